--- a/crates/core/src/admit/queue.rs
+++ b/crates/core/src/admit/queue.rs
@@ -6,7 +6,7 @@
 
 /// A request that waits.
 #[derive(Clone, Debug)]
-pub struct Entry<T> {
+pub struct QueuedRequest<T> {
     /// Account that the request runs for; absent on open routes, which share one queue.
     pub account: Option<AccountId>,
     /// The account's weight in the fair queue (1 or more).
@@ -24,7 +24,7 @@
 /// Requests of one account and class, in order of arrival.
 #[derive(Debug)]
 pub(super) struct Queue<T> {
-    pub(super) entries: VecDeque<Entry<T>>,
+    pub(super) entries: VecDeque<QueuedRequest<T>>,
     /// Tokens that the account may place before the next round.
     pub(super) deficit_tokens: u64,
     pub(super) weight: u32,
--- a/crates/core/src/admit/queues.rs
+++ b/crates/core/src/admit/queues.rs
@@ -1,33 +1,33 @@
 //! The queues of one instance.
 
-use super::queue::Entry;
+use super::queue::QueuedRequest;
 use super::round::Round;
-use super::{AdmitSettings, Rejected};
+use super::{AdmissionSettings, EnqueueError};
 use crate::id::AccountId;
 use crate::time::Millis;
 use std::collections::BTreeMap;
 
 /// A request that leaves its queue.
 #[derive(Debug)]
-pub enum Next<T, P> {
+pub enum Dequeued<T, P> {
     /// It has found a place.
-    Placed(Entry<T>, P),
+    Placed(QueuedRequest<T>, P),
     /// It may no longer run, because its key was withdrawn.
-    Withdrawn(Entry<T>),
+    Withdrawn(QueuedRequest<T>),
 }
 
 /// The queues of one instance, by class and account. Owned by the deciding thread.
 #[derive(Debug)]
-pub struct Admit<T> {
-    settings: AdmitSettings,
+pub struct AdmissionQueues<T> {
+    settings: AdmissionSettings,
     pub(super) classes: BTreeMap<u8, Round<T>>,
     pub(super) len: usize,
     picks: u64,
 }
 
-impl<T> Admit<T> {
+impl<T> AdmissionQueues<T> {
     /// Empty queues.
-    pub fn new(settings: AdmitSettings) -> Self {
+    pub fn new(settings: AdmissionSettings) -> Self {
         Self {
             settings,
             classes: BTreeMap::new(),
@@ -44,18 +44,18 @@
     /// Gives the request back if its queue is full or if it would wait past its deadline.
     pub fn enqueue(
         &mut self,
-        entry: Entry<T>,
+        entry: QueuedRequest<T>,
         slot_wait_ms: u64,
         now: Millis,
-    ) -> Result<(), (Entry<T>, Rejected)> {
+    ) -> Result<(), (QueuedRequest<T>, EnqueueError)> {
         let wait_ms = self.predicted_wait_ms(&entry, slot_wait_ms);
         let queued = self.queue_len(entry.account.as_ref(), entry.priority);
         let is_full = queued >= self.settings.max_queue_requests;
         if is_full || self.len >= self.settings.max_requests {
-            return Err((entry, Rejected::QueueFull { wait_ms }));
+            return Err((entry, EnqueueError::QueueFull { wait_ms }));
         }
         if wait_ms > entry.deadline.since(now) {
-            return Err((entry, Rejected::WouldExpire { wait_ms }));
+            return Err((entry, EnqueueError::WouldExpire { wait_ms }));
         }
         let class = self.classes.entry(entry.priority).or_default();
         class.push(entry, self.settings.quantum_tokens);
@@ -72,7 +72,7 @@
     }
 
     /// Time that `entry` would wait: a slot for each request that goes before it.
-    fn predicted_wait_ms(&self, entry: &Entry<T>, slot_wait_ms: u64) -> u64 {
+    fn predicted_wait_ms(&self, entry: &QueuedRequest<T>, slot_wait_ms: u64) -> u64 {
         let class = self.classes.get(&entry.priority);
         let ahead = class.map_or(0, |class| {
             class.requests_ahead(&entry.account, entry.weight)
@@ -82,15 +82,15 @@
 
     /// The next request that leaves its queue: one that finds a place, or one that is no longer
     /// allowed. None if no request that is due can be placed. To be called until it gives none
-    /// whenever work ends or an upstream comes back, after [`Admit::expire`].
+    /// whenever work ends or an upstream comes back, after [`AdmissionQueues::expire`].
     ///
-    /// `is_still_allowed` is asked of a request right before its placement, `can_place` gives its
+    /// `is_still_allowed` is asked of a request right before its placement, `try_place` gives its
     /// place or none.
-    pub fn next<P>(
+    pub fn dequeue<P>(
         &mut self,
-        mut is_still_allowed: impl FnMut(&Entry<T>) -> bool,
-        mut can_place: impl FnMut(&Entry<T>) -> Option<P>,
-    ) -> Option<Next<T, P>> {
+        mut is_still_allowed: impl FnMut(&QueuedRequest<T>) -> bool,
+        mut try_place: impl FnMut(&QueuedRequest<T>) -> Option<P>,
+    ) -> Option<Dequeued<T, P>> {
         let quantum_tokens = self.settings.quantum_tokens;
         let mut priorities: Vec<u8> = self.classes.keys().copied().collect();
         if self.picks % self.settings.reverse_every == self.settings.reverse_every - 1 {
@@ -98,7 +98,7 @@
         }
         for priority in priorities {
             let class = self.classes.get_mut(&priority)?;
-            let next = class.next(quantum_tokens, &mut is_still_allowed, &mut can_place);
+            let next = class.dequeue(quantum_tokens, &mut is_still_allowed, &mut try_place);
             if let Some(next) = next {
                 self.len -= 1;
                 self.picks += 1;
@@ -109,7 +109,7 @@
     }
 
     /// Takes out the requests whose deadline has passed.
-    pub fn expire(&mut self, now: Millis) -> Vec<Entry<T>> {
+    pub fn expire(&mut self, now: Millis) -> Vec<QueuedRequest<T>> {
         let quantum_tokens = self.settings.quantum_tokens;
         let classes = self.classes.values_mut();
         let expired: Vec<_> = classes
@@ -120,11 +120,14 @@
     }
 
     /// Takes out the requests that match, such as one whose caller has left.
-    pub fn take(&mut self, mut matches: impl FnMut(&Entry<T>) -> bool) -> Vec<Entry<T>> {
+    pub fn remove_where(
+        &mut self,
+        mut matches: impl FnMut(&QueuedRequest<T>) -> bool,
+    ) -> Vec<QueuedRequest<T>> {
         let quantum_tokens = self.settings.quantum_tokens;
         let classes = self.classes.values_mut();
         let taken: Vec<_> = classes
-            .flat_map(|class| class.take(quantum_tokens, &mut matches))
+            .flat_map(|class| class.remove_where(quantum_tokens, &mut matches))
             .collect();
         self.len -= taken.len();
         taken
--- a/crates/core/src/admit/round.rs
+++ b/crates/core/src/admit/round.rs
@@ -1,7 +1,7 @@
 //! Deficit round robin between the accounts of one class.
 
-use super::queue::{Entry, Queue};
-use super::Next;
+use super::queue::{Queue, QueuedRequest};
+use super::Dequeued;
 use crate::id::AccountId;
 use crate::time::Millis;
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -33,7 +33,7 @@
 }
 
 impl<T> Round<T> {
-    pub(super) fn push(&mut self, entry: Entry<T>, quantum_tokens: u64) {
+    pub(super) fn push(&mut self, entry: QueuedRequest<T>, quantum_tokens: u64) {
         let key = entry.account.clone();
         let queue = self.queues.entry(key.clone()).or_insert_with(Queue::new);
         if queue.entries.is_empty() {
@@ -74,12 +74,12 @@
     ///
     /// Rounds are given to all accounts, those without a place too, and only once a request is
     /// placed: a pick in vain changes no account's share.
-    pub(super) fn next<P>(
+    pub(super) fn dequeue<P>(
         &mut self,
         quantum_tokens: u64,
-        is_still_allowed: &mut impl FnMut(&Entry<T>) -> bool,
-        can_place: &mut impl FnMut(&Entry<T>) -> Option<P>,
-    ) -> Option<Next<T, P>> {
+        is_still_allowed: &mut impl FnMut(&QueuedRequest<T>) -> bool,
+        try_place: &mut impl FnMut(&QueuedRequest<T>) -> Option<P>,
+    ) -> Option<Dequeued<T, P>> {
         let mut blocked = HashSet::new();
         let mut rounds = 0;
         loop {
@@ -93,13 +93,13 @@
                 }
                 if !is_still_allowed(entry) {
                     let entry = self.pop(&key, quantum_tokens)?;
-                    return Some(Next::Withdrawn(entry));
+                    return Some(Dequeued::Withdrawn(entry));
                 }
-                if let Some(place) = can_place(entry) {
+                if let Some(place) = try_place(entry) {
                     self.grow(quantum_tokens, rounds);
                     self.charge(&key, quantum_tokens);
                     let entry = self.pop(&key, quantum_tokens)?;
-                    return Some(Next::Placed(entry, place));
+                    return Some(Dequeued::Placed(entry, place));
                 }
                 blocked.insert(key);
                 self.turn.rotate_left(1);
@@ -142,7 +142,7 @@
         queue.deficit_tokens -= cost_tokens;
     }
 
-    fn pop(&mut self, key: &AccountKey, quantum_tokens: u64) -> Option<Entry<T>> {
+    fn pop(&mut self, key: &AccountKey, quantum_tokens: u64) -> Option<QueuedRequest<T>> {
         let queue = self.queues.get_mut(key)?;
         let entry = queue.entries.pop_front();
         self.settle(key, quantum_tokens);
@@ -164,11 +164,11 @@
     }
 
     /// Takes out all requests that match, in order of accounts and arrival.
-    pub(super) fn take(
+    pub(super) fn remove_where(
         &mut self,
         quantum_tokens: u64,
-        matches: &mut impl FnMut(&Entry<T>) -> bool,
-    ) -> Vec<Entry<T>> {
+        matches: &mut impl FnMut(&QueuedRequest<T>) -> bool,
+    ) -> Vec<QueuedRequest<T>> {
         let mut taken = Vec::new();
         let keys: Vec<_> = self.queues.keys().cloned().collect();
         for key in keys {
@@ -188,7 +188,7 @@
     }
 
     /// Takes out all requests whose deadline has passed.
-    pub(super) fn expire(&mut self, quantum_tokens: u64, now: Millis) -> Vec<Entry<T>> {
-        self.take(quantum_tokens, &mut |entry| entry.deadline <= now)
+    pub(super) fn expire(&mut self, quantum_tokens: u64, now: Millis) -> Vec<QueuedRequest<T>> {
+        self.remove_where(quantum_tokens, &mut |entry| entry.deadline <= now)
     }
 }
--- a/crates/core/src/admit/settings.rs
+++ b/crates/core/src/admit/settings.rs
@@ -4,7 +4,7 @@
 
 /// Bounds of the queues of one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AdmitSettings {
+pub struct AdmissionSettings {
     /// Requests waiting in one queue at most.
     pub max_queue_requests: usize,
     /// Requests waiting in all queues at most.
@@ -15,7 +15,7 @@
     pub reverse_every: u64,
 }
 
-impl Default for AdmitSettings {
+impl Default for AdmissionSettings {
     fn default() -> Self {
         Self {
             max_queue_requests: 256,
@@ -28,7 +28,7 @@
 
 /// Why a request was not queued. It has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rejected {
+pub enum EnqueueError {
     /// The queue of the account and class is full.
     QueueFull {
         /// Predicted time until it has room, in milliseconds.
@@ -41,7 +41,7 @@
     },
 }
 
-impl Rejected {
+impl EnqueueError {
     /// Time after which another try may succeed, in milliseconds.
     pub fn retry_after_ms(&self) -> u64 {
         let (Self::QueueFull { wait_ms } | Self::WouldExpire { wait_ms }) = self;
@@ -49,7 +49,7 @@
     }
 }
 
-impl fmt::Display for Rejected {
+impl fmt::Display for EnqueueError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::QueueFull { wait_ms } => {
@@ -62,4 +62,4 @@
     }
 }
 
-impl std::error::Error for Rejected {}
+impl std::error::Error for EnqueueError {}
--- a/crates/core/src/admit/tests.rs
+++ b/crates/core/src/admit/tests.rs
@@ -1,12 +1,12 @@
 //! Planted faults: each assertion of the module stops a program that breaks its promise.
 
-use super::{Admit, AdmitSettings, Entry};
+use super::{AdmissionQueues, AdmissionSettings, QueuedRequest};
 use crate::time::Millis;
 
-fn admit() -> Admit<u32> {
-    let mut admit = Admit::new(AdmitSettings::default());
+fn admit() -> AdmissionQueues<u32> {
+    let mut admit = AdmissionQueues::new(AdmissionSettings::default());
     for item in 0..2 {
-        let entry = Entry {
+        let entry = QueuedRequest {
             account: None,
             weight: 1,
             priority: 0,
@@ -19,7 +19,7 @@
     admit
 }
 
-fn plant_deficit(admit: &mut Admit<u32>, deficit_tokens: u64) {
+fn plant_deficit(admit: &mut AdmissionQueues<u32>, deficit_tokens: u64) {
     let class = admit.classes.get_mut(&0).expect("a class");
     class.queues.get_mut(&None).expect("a queue").deficit_tokens = deficit_tokens;
 }
@@ -29,7 +29,7 @@
 fn an_account_that_saves_up_more_than_a_round_is_noticed() {
     let mut admit = admit();
     plant_deficit(&mut admit, 1_000_000);
-    admit.next(|_| true, |_| Some(()));
+    admit.dequeue(|_| true, |_| Some(()));
 }
 
 #[test]
@@ -45,6 +45,6 @@
 #[should_panic(expected = "a queue exceeds its bound")]
 fn a_queue_beyond_its_bound_is_noticed() {
     let mut admit = admit();
-    admit.len = AdmitSettings::default().max_requests + 1;
+    admit.len = AdmissionSettings::default().max_requests + 1;
     admit.assert_bounded(1);
 }
--- a/crates/core/src/limit/audit.rs
+++ b/crates/core/src/limit/audit.rs
@@ -8,7 +8,7 @@
 use super::limiter::{Limiter, Passed};
 use super::loan::Lent;
 use super::message::{Audit, AuditAnswer};
-use super::HOLD_LIFE_MS;
+use super::FORMER_OWNER_HOLD_MS;
 use crate::id::AccountId;
 use crate::slot::{shard_of, Peer, Role, SlotId};
 use crate::time::Millis;
@@ -65,7 +65,7 @@
     }
 
     fn is_held_over(&self, now: Millis) -> bool {
-        now.since(self.added) > HOLD_LIFE_MS
+        now.since(self.added) > FORMER_OWNER_HOLD_MS
     }
 
     /// Every member has said what it may still use.
@@ -127,7 +127,7 @@
                 continue;
             };
             part.accrue(now);
-            if part.level_micro > 0 && !self.is_void {
+            if part.level_micro > 0 && !self.are_slots_invalid {
                 levels.push((id.clone(), part.level_micro));
             }
         }
--- a/crates/core/src/limit/borrow.rs
+++ b/crates/core/src/limit/borrow.rs
@@ -1,10 +1,10 @@
 //! Borrowing: the side of an instance whose own parts do not suffice.
 
 use super::account::{Active, Remote};
-use super::charge::{ChargeRequest, Outcome};
+use super::charge::{ChargeOutcome, ChargeRequest};
 use super::limiter::Limiter;
 use super::loan::Loan;
-use super::message::{LoanAsk, LoanGrant, LoanMessage, LoanReport, Outgoing};
+use super::message::{LoanGrant, LoanMessage, LoanReport, LoanRequest, OutgoingLoanMessage};
 use super::{MICRO_PER_TOKEN, REFILL_PER_MILLE};
 use crate::id::{AccountId, RegionId};
 use crate::slot::Peer;
@@ -41,14 +41,14 @@
         request: &ChargeRequest<'_>,
         need_micro: u64,
         now: Millis,
-    ) -> Outcome {
+    ) -> ChargeOutcome {
         let left_ms = request.wait_until.since(now);
         let pending_micro = self.pending_micro(request.account, now);
         let rate_per_ms = self.rate_micro_per_ms(request.account);
         let home = self.region.clone();
         let may_borrow = self.has_joined(now);
         let Some(active) = self.activate(request.account, now) else {
-            return Outcome::UnknownAccount;
+            return ChargeOutcome::UnknownAccount;
         };
         let mut within_reach: u64 = pending_micro;
         for remote in &active.remotes {
@@ -60,7 +60,7 @@
         let accrual_ms = short_micro.div_ceil(rate_per_ms);
         if accrual_ms > left_ms || left_ms == 0 {
             let retry_after_ms = accrual_ms.max(need_micro.div_ceil(rate_per_ms).min(1_000));
-            return Outcome::Refused { retry_after_ms };
+            return ChargeOutcome::Refused { retry_after_ms };
         }
         let may_ask_away = left_ms >= AWAY_LEAST_MS;
         let mut needed = need_micro.saturating_sub(pending_micro);
@@ -82,7 +82,7 @@
         }
         if asks.is_empty() && pending_micro == 0 {
             let ms = accrual_ms.clamp(5, LONGEST_WAIT_MS);
-            return Outcome::Wait { ms };
+            return ChargeOutcome::Wait { ms };
         }
         let wait_ms = if is_away || asks.is_empty() {
             AWAY_ANSWER_MS
@@ -90,7 +90,7 @@
             HOME_ANSWER_MS
         };
         let messages = self.send_asks(request.account, asks, true, now);
-        Outcome::Borrow { messages, wait_ms }
+        ChargeOutcome::Borrow { messages, wait_ms }
     }
 
     /// Borrows for accounts whose demand exceeds what accrues here.
@@ -107,7 +107,11 @@
         for id in hot {
             let asks = self.asks_ahead(&id, now);
             for (to, message) in self.send_asks(&id, asks, false, now) {
-                self.outbox.entry(to).or_default().asks.extend(message.asks);
+                self.outbox
+                    .entry(to)
+                    .or_default()
+                    .requests
+                    .extend(message.requests);
             }
         }
     }
@@ -152,11 +156,11 @@
         asks: Vec<Ask>,
         is_urgent: bool,
         now: Millis,
-    ) -> Vec<Outgoing> {
+    ) -> Vec<OutgoingLoanMessage> {
         let mut messages: BTreeMap<Peer, LoanMessage> = BTreeMap::new();
         for ask in asks {
             let number = self.next_loan();
-            let item = LoanAsk {
+            let item = LoanRequest {
                 loan: number,
                 account: account.clone(),
                 role: ask.remote.slot.role,
@@ -164,7 +168,7 @@
                 is_urgent,
             };
             let to = ask.remote.owner.clone();
-            messages.entry(to.clone()).or_default().asks.push(item);
+            messages.entry(to.clone()).or_default().requests.push(item);
             let loan = Loan::new(account.clone(), ask.remote.slot, to, ask.wanted_micro, now);
             self.loans.insert(number, loan);
             if let Some(active) = self.activate(account, now) {
--- a/crates/core/src/limit/charge.rs
+++ b/crates/core/src/limit/charge.rs
@@ -1,6 +1,6 @@
 //! Charges of admitted requests.
 
-use super::message::Outgoing;
+use super::message::OutgoingLoanMessage;
 use crate::id::AccountId;
 use crate::slot::Role;
 use crate::time::Millis;
@@ -24,7 +24,7 @@
 
 /// What to do with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ChargeOutcome {
     /// Charged: the request may run, and has to be settled when it ends.
     Admitted {
         /// The charge to settle.
@@ -34,7 +34,7 @@
     /// come, at the latest after `wait_ms`.
     Borrow {
         /// Messages to other owners.
-        messages: Vec<Outgoing>,
+        messages: Vec<OutgoingLoanMessage>,
         /// Longest time to the next try, in milliseconds.
         wait_ms: u64,
     },
--- a/crates/core/src/limit/charging.rs
+++ b/crates/core/src/limit/charging.rs
@@ -1,37 +1,37 @@
 //! Charging requests and settling them.
 
-use super::charge::{Charge, ChargeId, ChargeRequest, Origin, Outcome, Source};
+use super::charge::{Charge, ChargeId, ChargeOutcome, ChargeRequest, Origin, Source};
 use super::limiter::Limiter;
-use super::{CHARGE_LIFE_MS, MICRO_PER_TOKEN};
+use super::{MAX_CHARGE_DURATION_MS, MICRO_PER_TOKEN};
 use crate::id::AccountId;
 use crate::slot::Role;
 use crate::time::Millis;
 
 impl Limiter {
     /// Charges a request, or says what to do first.
-    pub fn try_charge(&mut self, request: &ChargeRequest<'_>, now: Millis) -> Outcome {
+    pub fn try_charge(&mut self, request: &ChargeRequest<'_>, now: Millis) -> ChargeOutcome {
         let Some(limits) = self
             .tables
             .last()
             .and_then(|table| table.accounts.get(request.account))
         else {
-            return Outcome::UnknownAccount;
+            return ChargeOutcome::UnknownAccount;
         };
         let total_tokens = request
             .prompt_tokens
             .saturating_add(request.max_output_tokens);
         if total_tokens > limits.burst_tokens {
-            return Outcome::TooLarge;
+            return ChargeOutcome::TooLarge;
         }
         let total_micro = total_tokens.saturating_mul(MICRO_PER_TOKEN);
         let available = self.available_micro(request.account, now);
         if available >= total_micro {
             let charge = self.admit(request, now);
             self.note_demand(request.account, total_micro, now);
-            return Outcome::Admitted { charge };
+            return ChargeOutcome::Admitted { charge };
         }
         let outcome = self.gather(request, total_micro - available, now);
-        if matches!(outcome, Outcome::Refused { .. }) {
+        if matches!(outcome, ChargeOutcome::Refused { .. }) {
             self.note_demand(request.account, total_micro, now);
         }
         outcome
@@ -53,7 +53,7 @@
 
     /// Charges that reached the longest time without being settled since the last call, and are
     /// counted as fully used. Their requests have to be ended.
-    pub fn take_ended(&mut self) -> Vec<ChargeId> {
+    pub fn take_expired_charges(&mut self) -> Vec<ChargeId> {
         std::mem::take(&mut self.ended)
     }
 
@@ -62,7 +62,7 @@
         let Some(state) = self.accounts.get_mut(account) else {
             return 0;
         };
-        let own = if self.is_void {
+        let own = if self.are_slots_invalid {
             0
         } else {
             state.level_micro(now)
@@ -121,7 +121,7 @@
         }
         for (part, role) in account.parts.iter_mut().zip(Role::ALL) {
             let Some(part) = part else { continue };
-            if self.is_void || part.is_suspended {
+            if self.are_slots_invalid || part.is_suspended {
                 continue;
             }
             let (used, reserved) = split(part.level_micro);
@@ -144,7 +144,7 @@
             account: request.account.clone(),
             sources,
             revision: self.revision(),
-            ends: now.plus(CHARGE_LIFE_MS),
+            ends: now.plus(MAX_CHARGE_DURATION_MS),
         };
         self.charges.insert(self.next_charge, charge);
         ChargeId(self.next_charge)
--- a/crates/core/src/limit/lend.rs
+++ b/crates/core/src/limit/lend.rs
@@ -2,8 +2,10 @@
 
 use super::limiter::Limiter;
 use super::loan::Lent;
-use super::message::{LoanAck, LoanAsk, LoanGrant, LoanMessage, LoanReport, Outgoing};
-use super::LENT_LIFE_MS;
+use super::message::{
+    LoanAck, LoanGrant, LoanMessage, LoanReport, LoanRequest, OutgoingLoanMessage,
+};
+use super::GIVEN_LOAN_LIFE_MS;
 use crate::slot::Peer;
 use crate::time::Millis;
 
@@ -15,9 +17,14 @@
 
 impl Limiter {
     /// Handles a message and returns the answers.
-    pub fn on_message(&mut self, from: &Peer, message: &LoanMessage, now: Millis) -> Vec<Outgoing> {
+    pub fn on_message(
+        &mut self,
+        from: &Peer,
+        message: &LoanMessage,
+        now: Millis,
+    ) -> Vec<OutgoingLoanMessage> {
         let mut answer = LoanMessage::default();
-        for ask in &message.asks {
+        for ask in &message.requests {
             answer.grants.push(self.on_ask(from, ask, now));
         }
         for grant in &message.grants {
@@ -34,9 +41,9 @@
             }
         }
         for audit in &message.audits {
-            answer.answers.push(self.on_audit(audit, now));
+            answer.audit_answers.push(self.on_audit(audit, now));
         }
-        for audit_answer in &message.answers {
+        for audit_answer in &message.audit_answers {
             self.on_answer(from, audit_answer, now);
         }
         if answer == LoanMessage::default() {
@@ -46,7 +53,7 @@
     }
 
     /// Does what is due with time, and returns messages to send.
-    pub fn tick(&mut self, now: Millis) -> Vec<Outgoing> {
+    pub fn tick(&mut self, now: Millis) -> Vec<OutgoingLoanMessage> {
         self.first_tick.get_or_insert(now);
         self.end_charges(now);
         self.tend_loans(now);
@@ -60,7 +67,7 @@
         std::mem::take(&mut self.outbox).into_iter().collect()
     }
 
-    fn on_ask(&mut self, from: &Peer, ask: &LoanAsk, now: Millis) -> LoanGrant {
+    fn on_ask(&mut self, from: &Peer, ask: &LoanRequest, now: Millis) -> LoanGrant {
         let mut grant = LoanGrant {
             loan: ask.loan,
             incarnation: from.incarnation,
@@ -69,7 +76,7 @@
             amount_micro: 0,
             level_micro: 0,
         };
-        let is_usable = !self.is_void;
+        let is_usable = !self.are_slots_invalid;
         let Some(account) = self.accounts.get_mut(&ask.account) else {
             return grant;
         };
@@ -103,7 +110,7 @@
                 amount_micro: grant.amount_micro,
                 used_micro: 0,
                 returned_micro: 0,
-                expires: now.plus(LENT_LIFE_MS),
+                expires: now.plus(GIVEN_LOAN_LIFE_MS),
             };
             self.lent.insert(key, lent);
         }
--- a/crates/core/src/limit/limiter.rs
+++ b/crates/core/src/limit/limiter.rs
@@ -7,7 +7,7 @@
 use super::message::LoanMessage;
 use super::part::Part;
 use super::table::{Share, Table};
-use super::JOIN_MS;
+use super::JOIN_DELAY_MS;
 use crate::document::Document;
 use crate::id::{AccountId, RegionId};
 use crate::slot::{shard_of, OwnedSlot, Peer, Role, SlotId};
@@ -16,7 +16,7 @@
 
 /// Sums over all accounts, for metrics and measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Totals {
+pub struct LimiterTotals {
     /// Slots owned.
     pub slots: usize,
     /// Accounts with at least one part here.
@@ -60,7 +60,7 @@
     pub(super) charges: BTreeMap<u64, Charge>,
     pub(super) ended: Vec<ChargeId>,
     pub(super) outbox: BTreeMap<Peer, LoanMessage>,
-    pub(super) is_void: bool,
+    pub(super) are_slots_invalid: bool,
     pub(super) last_sweep: Millis,
     pub(super) first_tick: Option<Millis>,
     next_loan: u64,
@@ -86,7 +86,7 @@
             charges: BTreeMap::new(),
             ended: Vec::new(),
             outbox: BTreeMap::new(),
-            is_void: false,
+            are_slots_invalid: false,
             last_sweep: Millis::default(),
             first_tick: None,
             next_loan: 0,
@@ -218,8 +218,8 @@
     /// Makes the own slots unusable after a long pause of this instance, and gives back what is
     /// borrowed. The returned charges are no longer covered: their requests have to be ended and
     /// settled by what they have used.
-    pub fn void(&mut self) -> Vec<ChargeId> {
-        self.is_void = true;
+    pub fn invalidate_slots(&mut self) -> Vec<ChargeId> {
+        self.are_slots_invalid = true;
         for loan in self.loans.values_mut() {
             loan.give_back();
         }
@@ -231,14 +231,14 @@
     }
 
     /// Makes the own slots usable again, which the store has confirmed to be `owned`.
-    pub fn confirm(&mut self, owned: &[OwnedSlot], now: Millis) {
+    pub fn confirm_slots(&mut self, owned: &[OwnedSlot], now: Millis) {
         self.set_slots(owned, now);
-        self.is_void = false;
+        self.are_slots_invalid = false;
     }
 
     /// Sums over all accounts.
-    pub fn totals(&self) -> Totals {
-        Totals {
+    pub fn totals(&self) -> LimiterTotals {
+        LimiterTotals {
             slots: self.slots.len(),
             accounts: self
                 .accounts
@@ -298,7 +298,7 @@
     /// instance borrows nothing before that.
     pub fn has_joined(&self, now: Millis) -> bool {
         self.first_tick
-            .is_some_and(|first| now.since(first) >= JOIN_MS)
+            .is_some_and(|first| now.since(first) >= JOIN_DELAY_MS)
     }
 
     pub(super) fn next_loan(&mut self) -> u64 {
--- a/crates/core/src/limit/loan.rs
+++ b/crates/core/src/limit/loan.rs
@@ -1,7 +1,7 @@
 //! Loans as their borrower and their lender keep them.
 
 use super::message::{LoanGrant, LoanReport};
-use super::{DRIFT_PPM, HOLD_LIFE_MS, LOAN_LIFE_MS};
+use super::{FORMER_OWNER_HOLD_MS, LOAN_USABLE_MS, MAX_CLOCK_DRIFT_PPM};
 use crate::id::AccountId;
 use crate::slot::{Peer, Role, SlotId};
 use crate::time::Millis;
@@ -77,7 +77,7 @@
 
     /// Requests may no longer be admitted against the loan.
     pub(super) fn is_expired(&self, now: Millis) -> bool {
-        now.since(self.asked) >= LOAN_LIFE_MS - LOAN_LIFE_MS * DRIFT_PPM / 1_000_000
+        now.since(self.asked) >= LOAN_USABLE_MS - LOAN_USABLE_MS * MAX_CLOCK_DRIFT_PPM / 1_000_000
     }
 
     /// Nothing of the loan can still be used.
@@ -91,7 +91,7 @@
             return now.since(self.asked) > ASK_TIMEOUT_MS;
         }
         let is_acked = self.is_final() && self.acked_micro == self.settled_micro();
-        is_acked || now.since(self.asked) > HOLD_LIFE_MS + LOAN_LIFE_MS
+        is_acked || now.since(self.asked) > FORMER_OWNER_HOLD_MS + LOAN_USABLE_MS
     }
 
     /// Gives back what is not spent.
--- a/crates/core/src/limit/message.rs
+++ b/crates/core/src/limit/message.rs
@@ -8,11 +8,11 @@
 use serde::{Deserialize, Serialize};
 
 /// A message to send.
-pub type Outgoing = (Peer, LoanMessage);
+pub type OutgoingLoanMessage = (Peer, LoanMessage);
 
 /// Asks the owner of a slot for tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoanAsk {
+pub struct LoanRequest {
     /// Number of the loan, unique in the borrower's incarnation.
     pub loan: u64,
     /// Account to borrow for; it also names the shard.
@@ -102,7 +102,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanMessage {
     /// Asks for tokens.
-    pub asks: Vec<LoanAsk>,
+    pub requests: Vec<LoanRequest>,
     /// Answers to asks.
     pub grants: Vec<LoanGrant>,
     /// Reports on loans taken.
@@ -112,5 +112,5 @@
     /// Questions of new owners.
     pub audits: Vec<Audit>,
     /// Answers to new owners.
-    pub answers: Vec<AuditAnswer>,
+    pub audit_answers: Vec<AuditAnswer>,
 }
--- a/crates/core/src/limit/mod.rs
+++ b/crates/core/src/limit/mod.rs
@@ -21,10 +21,11 @@
 mod table;
 mod tend;
 
-pub use charge::{ChargeId, ChargeRequest, Outcome};
-pub use limiter::{Limiter, Totals};
+pub use charge::{ChargeId, ChargeOutcome, ChargeRequest};
+pub use limiter::{Limiter, LimiterTotals};
 pub use message::{
-    Audit, AuditAnswer, LoanAck, LoanAsk, LoanGrant, LoanMessage, LoanReport, Outgoing,
+    Audit, AuditAnswer, LoanAck, LoanGrant, LoanMessage, LoanReport, LoanRequest,
+    OutgoingLoanMessage,
 };
 
 /// Micro-tokens in a token.
@@ -32,19 +33,19 @@
 /// Parts refill at this share of the rate, in parts per thousand, which covers clock drift.
 pub const REFILL_PER_MILLE: u64 = 999;
 /// Time for which a borrower may admit requests against a loan, from its asking, in milliseconds.
-pub const LOAN_LIFE_MS: u64 = 10_000;
+pub const LOAN_USABLE_MS: u64 = 10_000;
 /// Longest time from admission to settlement, in milliseconds; the request has to end by then.
-pub const CHARGE_LIFE_MS: u64 = 600_000;
+pub const MAX_CHARGE_DURATION_MS: u64 = 600_000;
 /// Allowed difference between two clocks, in parts per million.
-pub const DRIFT_PPM: u64 = 1_000;
+pub const MAX_CLOCK_DRIFT_PPM: u64 = 1_000;
 /// Time after its start in which an instance borrows nothing, in milliseconds. Until then a new
 /// owner of a slot might not know of it and would not ask it what it has borrowed.
-pub const JOIN_MS: u64 = 3_000;
+pub const JOIN_DELAY_MS: u64 = 3_000;
 /// Time for which a lender counts a loan that is not reported, in milliseconds.
-pub const LENT_LIFE_MS: u64 = with_drift(with_drift(LOAN_LIFE_MS + CHARGE_LIFE_MS));
+pub const GIVEN_LOAN_LIFE_MS: u64 = with_drift(with_drift(LOAN_USABLE_MS + MAX_CHARGE_DURATION_MS));
 /// Time after which nobody can still spend tokens of a slot's former owner, in milliseconds.
-pub const HOLD_LIFE_MS: u64 = LENT_LIFE_MS;
+pub const FORMER_OWNER_HOLD_MS: u64 = GIVEN_LOAN_LIFE_MS;
 
 const fn with_drift(duration_ms: u64) -> u64 {
-    duration_ms + duration_ms * DRIFT_PPM / 1_000_000 + 1
+    duration_ms + duration_ms * MAX_CLOCK_DRIFT_PPM / 1_000_000 + 1
 }
--- a/crates/core/src/slot/keeper.rs
+++ b/crates/core/src/slot/keeper.rs
@@ -1,22 +1,22 @@
 //! Reading and writing the record of owners of the own region.
 
-use super::{plan, OwnedSlot, PauseGuard, Peer, Plan, Record, Role, View};
+use super::{plan, OwnedSlot, OwnershipPlan, OwnershipRecord, PauseGuard, Peer, PlanContext, Role};
 use crate::time::Millis;
 
 /// A compare-and-swap of the record, to be sent as often as needed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Write {
+pub struct OwnershipWrite {
     /// Revision of the record that the write replaces; 0 if there is none.
     pub base_revision: u64,
     /// The record to write.
-    pub next: Record,
+    pub next: OwnershipRecord,
     /// Slots to suspend before the write is sent.
     pub suspended: Vec<(u16, Role)>,
 }
 
 /// What a read of the record means for the limiter.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Update {
+pub enum OwnershipUpdate {
     /// Nothing has changed.
     Unchanged,
     /// These slots are owned; hand them to `Limiter::set_slots`.
@@ -30,23 +30,23 @@
 /// A write whose answer is lost may take effect at any later time, so it stays undecided until a
 /// read shows a revision other than the one it was based on.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct OwnershipReconciler {
     me: Peer,
     guard: PauseGuard,
-    record: Record,
+    record: OwnershipRecord,
     revision: Option<u64>,
-    undecided: Option<Write>,
+    undecided: Option<OwnershipWrite>,
     /// The number of confirmations that has to be read before the slots are valid.
     awaited: Option<u64>,
 }
 
-impl Keeper {
+impl OwnershipReconciler {
     /// A keeper that has read nothing.
     pub fn new(me: Peer, now: Millis) -> Self {
         Self {
             me,
             guard: PauseGuard::new(now),
-            record: Record::default(),
+            record: OwnershipRecord::default(),
             revision: None,
             undecided: None,
             awaited: None,
@@ -54,8 +54,8 @@
     }
 
     /// Notes a tick of the deciding thread; true when the limiter has to be made void.
-    pub fn has_paused(&mut self, now: Millis) -> bool {
-        let has_paused = self.guard.has_paused(now);
+    pub fn detect_pause(&mut self, now: Millis) -> bool {
+        let has_paused = self.guard.detect_pause(now);
         if has_paused {
             self.awaited = None;
         }
@@ -64,9 +64,14 @@
 
     /// Takes the record read at `revision` (0 if there is none) by a read that began at
     /// `read_began`.
-    pub fn on_read(&mut self, revision: u64, record: Record, read_began: Millis) -> Update {
+    pub fn on_read(
+        &mut self,
+        revision: u64,
+        record: OwnershipRecord,
+        read_began: Millis,
+    ) -> OwnershipUpdate {
         if self.revision.is_some_and(|known| revision < known) {
-            return Update::Unchanged;
+            return OwnershipUpdate::Unchanged;
         }
         let is_new = self.revision != Some(revision);
         self.revision = Some(revision);
@@ -79,35 +84,37 @@
             self.undecided = None;
         }
         let owned = self.record.owned_by(&self.me);
-        if self.guard.is_void() {
+        if self.guard.are_slots_invalid() {
             let is_confirmed = owned.is_empty() || self.is_awaited_reached();
-            if !is_confirmed || !self.guard.has_confirmed(read_began) {
-                return Update::Unchanged;
+            if !is_confirmed || !self.guard.confirm_read(read_began) {
+                return OwnershipUpdate::Unchanged;
             }
             self.awaited = None;
-            return Update::Confirmed(owned);
+            return OwnershipUpdate::Confirmed(owned);
         }
         if !is_new || self.undecided.is_some() {
-            return Update::Unchanged;
+            return OwnershipUpdate::Unchanged;
         }
-        Update::Owned(owned)
+        OwnershipUpdate::Owned(owned)
     }
 
     /// The write to send now, if any. Its slots have to be suspended first, and the record read
     /// again after it, whatever its answer.
-    pub fn next_write(&mut self, view: &View<'_>) -> Option<Write> {
+    pub fn next_write(&mut self, view: &PlanContext<'_>) -> Option<OwnershipWrite> {
         if self.undecided.is_some() {
             return self.undecided.clone();
         }
         let base_revision = self.revision?;
-        let write = if self.guard.is_void() {
+        let write = if self.guard.are_slots_invalid() {
             self.confirmation(base_revision)?
         } else {
-            let Plan { next, given, .. } = plan(&self.record, view)?;
-            Write {
+            let OwnershipPlan {
+                next, handed_over, ..
+            } = plan(&self.record, view)?;
+            OwnershipWrite {
                 base_revision,
                 next,
-                suspended: given,
+                suspended: handed_over,
             }
         };
         self.undecided = Some(write.clone());
@@ -115,7 +122,7 @@
     }
 
     /// The record as last read.
-    pub fn record(&self) -> &Record {
+    pub fn record(&self) -> &OwnershipRecord {
         &self.record
     }
 
@@ -124,7 +131,7 @@
         self.awaited.is_some_and(|awaited| count == Some(&awaited))
     }
 
-    fn confirmation(&mut self, base_revision: u64) -> Option<Write> {
+    fn confirmation(&mut self, base_revision: u64) -> Option<OwnershipWrite> {
         if self.record.owned_by(&self.me).is_empty() {
             return None;
         }
@@ -135,7 +142,7 @@
             .or_default();
         *count += 1;
         self.awaited = Some(*count);
-        Some(Write {
+        Some(OwnershipWrite {
             base_revision,
             next,
             suspended: Vec::new(),
--- a/crates/core/src/slot/mod.rs
+++ b/crates/core/src/slot/mod.rs
@@ -9,10 +9,10 @@
 mod plan;
 mod presence;
 
-pub use keeper::{Keeper, Update, Write};
+pub use keeper::{OwnershipReconciler, OwnershipUpdate, OwnershipWrite};
 pub use pause::PauseGuard;
-pub use plan::{plan, Absence, Plan, View};
-pub use presence::Presence;
+pub use plan::{plan, OwnerLiveness, OwnershipPlan, PlanContext};
+pub use presence::LivenessTracker;
 
 use crate::id::{AccountId, InstanceId, RegionId};
 use serde::{Deserialize, Serialize};
@@ -83,7 +83,7 @@
 /// The owners of a region's slots, as stored under `slots/<region>`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Record {
+pub struct OwnershipRecord {
     /// Schema of the record; has to be [`RECORD_SCHEMA`].
     pub schema: u32,
     /// Owners of the primary slots by shard.
@@ -96,7 +96,7 @@
     pub confirmations: BTreeMap<InstanceId, u64>,
 }
 
-impl Default for Record {
+impl Default for OwnershipRecord {
     fn default() -> Self {
         Self {
             schema: RECORD_SCHEMA,
@@ -107,7 +107,7 @@
     }
 }
 
-impl Record {
+impl OwnershipRecord {
     /// Owners of the slots in `role`, by shard.
     pub fn owners(&self, role: Role) -> &BTreeMap<u16, Ownership> {
         match role {
--- a/crates/core/src/slot/pause.rs
+++ b/crates/core/src/slot/pause.rs
@@ -24,7 +24,7 @@
     }
 
     /// Notes a tick; true when the slots have just become void.
-    pub fn has_paused(&mut self, now: Millis) -> bool {
+    pub fn detect_pause(&mut self, now: Millis) -> bool {
         let gap_ms = now.since(self.last_tick);
         self.last_tick = now;
         if gap_ms <= TOLERATED_PAUSE_MS / 2 {
@@ -36,7 +36,7 @@
 
     /// Notes the answer to a read of the record that began at `read_began`; true when the slots
     /// of the record are valid from now on.
-    pub fn has_confirmed(&mut self, read_began: Millis) -> bool {
+    pub fn confirm_read(&mut self, read_began: Millis) -> bool {
         match self.void_since {
             Some(since) if read_began < since => false,
             _ => {
@@ -47,7 +47,7 @@
     }
 
     /// Slots may not be used.
-    pub fn is_void(&self) -> bool {
+    pub fn are_slots_invalid(&self) -> bool {
         self.void_since.is_some()
     }
 }
--- a/crates/core/src/slot/plan.rs
+++ b/crates/core/src/slot/plan.rs
@@ -1,19 +1,19 @@
 //! Planning the next record of owners.
 
-use super::{score, Ownership, Peer, Record, Role, SHARDS, TOLERATED_PAUSE_MS};
+use super::{score, Ownership, OwnershipRecord, Peer, Role, SHARDS, TOLERATED_PAUSE_MS};
 use crate::id::InstanceId;
 use std::collections::BTreeSet;
 
 /// What is known of an owner that the live list may no longer name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Absence {
+pub struct OwnerLiveness {
     /// The live list, read after the last sign of life, no longer names this run.
     pub is_unlisted: bool,
     /// Time since the last sign of life from any source, in milliseconds.
     pub silent_ms: u64,
 }
 
-impl Absence {
+impl OwnerLiveness {
     /// The owner is gone: its slots may be taken by another instance.
     pub const fn is_gone(self) -> bool {
         self.is_unlisted && self.silent_ms > TOLERATED_PAUSE_MS
@@ -21,30 +21,30 @@
 }
 
 /// What an instance knows when it plans.
-pub struct View<'a> {
+pub struct PlanContext<'a> {
     /// This run of this instance.
     pub me: &'a Peer,
     /// This instance is about to stop: it hands over everything and claims nothing.
     pub is_leaving: bool,
     /// Every member that is not confirmed gone answers. As long as one does not, a slot that is
     /// handed over stays empty, because its new owner waits for that member's answer.
-    pub is_complete: bool,
+    pub are_all_reachable: bool,
     /// Members of the region that are alive and not leaving, this instance included.
     pub alive: &'a [Peer],
     /// What is known of an owner that is not alive.
-    pub absence: &'a dyn Fn(&Peer) -> Absence,
+    pub liveness: &'a dyn Fn(&Peer) -> OwnerLiveness,
 }
 
 /// The next record and what changes with it for this instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct OwnershipPlan {
     /// The record to write by compare-and-swap on the record that was read.
-    pub next: Record,
+    pub next: OwnershipRecord,
     /// Slots that this instance gives away. They may not be used from the moment the write is
     /// sent, since its answer may be lost after it took effect.
-    pub given: Vec<(u16, Role)>,
+    pub handed_over: Vec<(u16, Role)>,
     /// Slots that this instance takes once the write is known to have taken effect.
-    pub taken: Vec<(u16, Role)>,
+    pub claimed: Vec<(u16, Role)>,
 }
 
 /// Plans the next record from the `record` that was read; none when nothing is to change.
@@ -52,11 +52,11 @@
 /// An instance claims slots without an owner and slots whose owner is gone, when it is the
 /// preferred one among the members alive. It hands over a slot of its own to the preferred
 /// member, when it leaves or every member answers. It never takes a slot from an owner that may be alive.
-pub fn plan(record: &Record, view: &View<'_>) -> Option<Plan> {
-    let mut plan = Plan {
+pub fn plan(record: &OwnershipRecord, view: &PlanContext<'_>) -> Option<OwnershipPlan> {
+    let mut plan = OwnershipPlan {
         next: record.clone(),
-        given: Vec::new(),
-        taken: Vec::new(),
+        handed_over: Vec::new(),
+        claimed: Vec::new(),
     };
     let candidates = candidates(view);
     for shard in 0..SHARDS {
@@ -66,11 +66,11 @@
             plan_slot(&mut plan, view, shard, role, preferred);
         }
     }
-    let is_unchanged = plan.given.is_empty() && plan.taken.is_empty();
+    let is_unchanged = plan.handed_over.is_empty() && plan.claimed.is_empty();
     (!is_unchanged).then_some(plan)
 }
 
-fn candidates<'a>(view: &View<'a>) -> Vec<&'a Peer> {
+fn candidates<'a>(view: &PlanContext<'a>) -> Vec<&'a Peer> {
     let mut seen: BTreeSet<&InstanceId> = BTreeSet::new();
     let mut candidates: Vec<&Peer> = view.alive.iter().collect();
     candidates.retain(|peer| peer.instance != view.me.instance || **peer == *view.me);
@@ -89,7 +89,13 @@
     [primary, backup]
 }
 
-fn plan_slot(plan: &mut Plan, view: &View<'_>, shard: u16, role: Role, preferred: &Peer) {
+fn plan_slot(
+    plan: &mut OwnershipPlan,
+    view: &PlanContext<'_>,
+    shard: u16,
+    role: Role,
+    preferred: &Peer,
+) {
     let owners = plan.next.owners_mut(role);
     let (epoch, may_take) = match owners.get(&shard) {
         None => (1, *preferred == *view.me),
@@ -103,10 +109,10 @@
     let is_mine = owners
         .get(&shard)
         .is_some_and(|ownership| ownership.owner == *view.me);
-    if is_mine && (view.is_complete || view.is_leaving) {
-        plan.given.push((shard, role));
+    if is_mine && (view.are_all_reachable || view.is_leaving) {
+        plan.handed_over.push((shard, role));
     } else if may_take {
-        plan.taken.push((shard, role));
+        plan.claimed.push((shard, role));
     } else {
         return;
     }
@@ -114,6 +120,6 @@
     owners.insert(shard, Ownership { owner, epoch });
 }
 
-fn is_gone(view: &View<'_>, owner: &Peer) -> bool {
-    !view.alive.contains(owner) && (view.absence)(owner).is_gone()
+fn is_gone(view: &PlanContext<'_>, owner: &Peer) -> bool {
+    !view.alive.contains(owner) && (view.liveness)(owner).is_gone()
 }
--- a/crates/core/src/slot/presence.rs
+++ b/crates/core/src/slot/presence.rs
@@ -1,6 +1,6 @@
 //! Signs of life of owners.
 
-use super::{Absence, Peer, Record};
+use super::{OwnerLiveness, OwnershipRecord, Peer};
 use crate::id::InstanceId;
 use crate::time::Millis;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,14 +10,14 @@
 /// A heartbeat, the live list and a confirmation in the record are signs of life. An owner that
 /// is seen for the first time counts as heard of at that moment.
 #[derive(Clone, Debug, Default)]
-pub struct Presence {
+pub struct LivenessTracker {
     last_sign: BTreeMap<Peer, Millis>,
     listed: BTreeSet<Peer>,
     list_read_began: Option<Millis>,
     confirmations: BTreeMap<InstanceId, u64>,
 }
 
-impl Presence {
+impl LivenessTracker {
     /// Notes a heartbeat, or any message that `peer` can only have sent lately.
     pub fn note_heartbeat(&mut self, peer: &Peer, now: Millis) {
         self.last_sign.insert(peer.clone(), now);
@@ -33,7 +33,7 @@
     }
 
     /// Notes the owners of a record and their confirmations.
-    pub fn note_record(&mut self, record: &Record, now: Millis) {
+    pub fn note_record(&mut self, record: &OwnershipRecord, now: Millis) {
         for owner in record.peers() {
             let confirmations = record.confirmations.get(&owner.instance);
             let confirmations = confirmations.copied().unwrap_or(0);
@@ -50,15 +50,15 @@
     }
 
     /// What is known of a peer that is not alive.
-    pub fn absence(&self, peer: &Peer, now: Millis) -> Absence {
+    pub fn liveness(&self, peer: &Peer, now: Millis) -> OwnerLiveness {
         let Some(last_sign) = self.last_sign.get(peer) else {
-            return Absence {
+            return OwnerLiveness {
                 is_unlisted: false,
                 silent_ms: 0,
             };
         };
         let is_read_since = self.list_read_began.is_some_and(|began| began > *last_sign);
-        Absence {
+        OwnerLiveness {
             is_unlisted: is_read_since && !self.listed.contains(peer),
             silent_ms: now.since(*last_sign),
         }
--- a/crates/core/tests/admit_random.rs
+++ b/crates/core/tests/admit_random.rs
@@ -1,6 +1,8 @@
 //! Seeded runs of the queues: fairness, bounds, deadlines, withdrawn keys.
 
-use carobwheel_core::admit::{Admit, AdmitSettings, Entry, Next, Rejected};
+use carobwheel_core::admit::{
+    AdmissionQueues, AdmissionSettings, Dequeued, EnqueueError, QueuedRequest,
+};
 use carobwheel_core::id::AccountId;
 use carobwheel_core::time::Millis;
 use rand::rngs::StdRng;
@@ -15,8 +17,8 @@
     format!("account-{index}").parse().expect("a name")
 }
 
-fn entry(index: usize, weight: u32, cost_tokens: u64, priority: u8) -> Entry<usize> {
-    Entry {
+fn entry(index: usize, weight: u32, cost_tokens: u64, priority: u8) -> QueuedRequest<usize> {
+    QueuedRequest {
         account: Some(account(index)),
         weight,
         priority,
@@ -26,10 +28,10 @@
     }
 }
 
-fn is_placed<P>(next: Option<Next<usize, P>>) -> Option<Entry<usize>> {
+fn is_placed<P>(next: Option<Dequeued<usize, P>>) -> Option<QueuedRequest<usize>> {
     match next {
-        Some(Next::Placed(entry, _)) => Some(entry),
-        Some(Next::Withdrawn(_)) | None => None,
+        Some(Dequeued::Placed(entry, _)) => Some(entry),
+        Some(Dequeued::Withdrawn(_)) | None => None,
     }
 }
 
@@ -41,7 +43,7 @@
     let weights = [1, 1, 2, 5];
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut admit = Admit::new(AdmitSettings::default());
+        let mut admit = AdmissionQueues::new(AdmissionSettings::default());
         let mut placed = [0_u64; 4];
         for _ in 0..2_000 {
             for (index, weight) in weights.iter().enumerate() {
@@ -52,7 +54,7 @@
                 }
             }
             let is_free = !rng.random_bool(refusal_share);
-            let next = admit.next(|_| true, |_| is_free.then_some(()));
+            let next = admit.dequeue(|_| true, |_| is_free.then_some(()));
             if let Some(entry) = is_placed(next) {
                 placed[entry.item] += entry.cost_tokens;
             }
@@ -71,7 +73,7 @@
 
 #[test]
 fn a_greedy_account_delays_no_other() {
-    let mut admit = Admit::new(AdmitSettings::default());
+    let mut admit = AdmissionQueues::new(AdmissionSettings::default());
     for _ in 0..200 {
         admit
             .enqueue(entry(0, 1, 1_000, 0), 0, Millis(0))
@@ -81,7 +83,7 @@
         .enqueue(entry(1, 1, 1_000, 0), 0, Millis(0))
         .expect("room");
     let order: Vec<_> = (0..3)
-        .filter_map(|_| is_placed(admit.next(|_| true, |_| Some(()))))
+        .filter_map(|_| is_placed(admit.dequeue(|_| true, |_| Some(()))))
         .map(|entry| entry.item)
         .collect();
     assert!(order.contains(&1), "{order:?}");
@@ -89,7 +91,7 @@
 
 #[test]
 fn long_requests_do_not_delay_short_ones_and_are_not_starved() {
-    let mut admit = Admit::new(AdmitSettings::default());
+    let mut admit = AdmissionQueues::new(AdmissionSettings::default());
     for _ in 0..100 {
         admit
             .enqueue(entry(0, 1, 10_000, 1), 0, Millis(0))
@@ -99,7 +101,7 @@
             .expect("room");
     }
     let order: Vec<_> = (0..16)
-        .filter_map(|_| is_placed(admit.next(|_| true, |_| Some(()))))
+        .filter_map(|_| is_placed(admit.dequeue(|_| true, |_| Some(()))))
         .map(|entry| entry.priority)
         .collect();
     assert_eq!(order.iter().filter(|priority| **priority == 1).count(), 2);
@@ -108,23 +110,23 @@
 
 #[test]
 fn a_withdrawn_key_is_checked_again_at_placement() {
-    let mut admit = Admit::new(AdmitSettings::default());
+    let mut admit = AdmissionQueues::new(AdmissionSettings::default());
     admit
         .enqueue(entry(7, 1, 10, 0), 0, Millis(0))
         .expect("room");
-    let next = admit.next(|_| false, |_| -> Option<()> { panic!("placed") });
-    assert!(matches!(next, Some(Next::Withdrawn(entry)) if entry.item == 7));
+    let next = admit.dequeue(|_| false, |_| -> Option<()> { panic!("placed") });
+    assert!(matches!(next, Some(Dequeued::Withdrawn(entry)) if entry.item == 7));
     assert!(admit.is_empty());
 }
 
 #[test]
 fn refusals_are_early_and_give_the_request_back() {
-    let settings = AdmitSettings {
+    let settings = AdmissionSettings {
         max_queue_requests: 3,
-        ..AdmitSettings::default()
+        ..AdmissionSettings::default()
     };
-    let mut admit = Admit::new(settings);
-    let soon = |item| Entry {
+    let mut admit = AdmissionQueues::new(settings);
+    let soon = |item| QueuedRequest {
         deadline: Millis(350),
         ..entry(item, 1, 10, 0)
     };
@@ -133,10 +135,13 @@
         assert_eq!(admit.len(), item + 1);
     }
     let (back, full) = admit.enqueue(soon(0), 100, Millis(0)).expect_err("full");
-    assert_eq!((back.item, full), (0, Rejected::QueueFull { wait_ms: 400 }));
+    assert_eq!(
+        (back.item, full),
+        (0, EnqueueError::QueueFull { wait_ms: 400 })
+    );
     // Another account waits for its turn only, and yet too long at 200 ms for each slot.
     let (_, late) = admit.enqueue(soon(1), 200, Millis(0)).expect_err("late");
-    assert_eq!(late, Rejected::WouldExpire { wait_ms: 400 });
+    assert_eq!(late, EnqueueError::WouldExpire { wait_ms: 400 });
     admit.enqueue(soon(1), 100, Millis(0)).expect("in time");
     assert_eq!(admit.expire(Millis(349)).len(), 0);
     assert_eq!(admit.expire(Millis(350)).len(), 4);
@@ -149,19 +154,19 @@
 fn every_request_leaves_once() {
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let settings = AdmitSettings {
+        let settings = AdmissionSettings {
             max_queue_requests: 10,
             max_requests: 40,
-            ..AdmitSettings::default()
+            ..AdmissionSettings::default()
         };
-        let mut admit = Admit::new(settings);
+        let mut admit = AdmissionQueues::new(settings);
         let mut inside: HashMap<usize, ()> = HashMap::new();
         let leave = |inside: &mut HashMap<usize, ()>, item| {
             assert!(inside.remove(&item).is_some(), "left twice: {item}");
         };
         for item in 0..3_000 {
             let now = Millis(item as u64 * 10);
-            let new = Entry {
+            let new = QueuedRequest {
                 deadline: now.plus(rng.random_range(1..2_000)),
                 item,
                 ..entry(
@@ -180,19 +185,19 @@
             }
             if rng.random_bool(0.1) {
                 let chosen = rng.random_range(0..=item);
-                for gone in admit.take(|entry| entry.item == chosen) {
+                for gone in admit.remove_where(|entry| entry.item == chosen) {
                     leave(&mut inside, gone.item);
                 }
             }
             for _ in 0..rng.random_range(0..3) {
                 let is_allowed = rng.random_bool(0.9);
                 let is_free = rng.random_bool(0.6);
-                match admit.next(|_| is_allowed, |_| is_free.then_some(())) {
-                    Some(Next::Placed(entry, ())) => {
+                match admit.dequeue(|_| is_allowed, |_| is_free.then_some(())) {
+                    Some(Dequeued::Placed(entry, ())) => {
                         assert!(is_allowed && is_free && entry.deadline > now);
                         leave(&mut inside, entry.item);
                     }
-                    Some(Next::Withdrawn(entry)) => {
+                    Some(Dequeued::Withdrawn(entry)) => {
                         assert!(!is_allowed);
                         leave(&mut inside, entry.item);
                     }
--- a/crates/core/tests/limit_limiter.rs
+++ b/crates/core/tests/limit_limiter.rs
@@ -3,8 +3,8 @@
 use carobwheel_core::document::{Account, Document, Objective, Policy, Region};
 use carobwheel_core::id::AccountId;
 use carobwheel_core::limit::{
-    ChargeId, ChargeRequest, Limiter, LoanMessage, Outcome, Outgoing, CHARGE_LIFE_MS, JOIN_MS,
-    LENT_LIFE_MS, MICRO_PER_TOKEN,
+    ChargeId, ChargeOutcome, ChargeRequest, Limiter, LoanMessage, OutgoingLoanMessage,
+    GIVEN_LOAN_LIFE_MS, JOIN_DELAY_MS, MAX_CHARGE_DURATION_MS, MICRO_PER_TOKEN,
 };
 use carobwheel_core::slot::{shard_of, OwnedSlot, Peer, Role, SlotId};
 use carobwheel_core::time::Millis;
@@ -90,8 +90,9 @@
     }
 
     /// Delivers messages and the answers to them until none is left.
-    fn deliver(&mut self, from: usize, messages: Vec<Outgoing>, now: Millis) {
-        let mut queue: Vec<(usize, Outgoing)> = messages.into_iter().map(|m| (from, m)).collect();
+    fn deliver(&mut self, from: usize, messages: Vec<OutgoingLoanMessage>, now: Millis) {
+        let mut queue: Vec<(usize, OutgoingLoanMessage)> =
+            messages.into_iter().map(|m| (from, m)).collect();
         while let Some((from, (to, message))) = queue.pop() {
             let at = (0..6).find(|at| peer(*at) == to).expect("a known peer");
             let answers = self.limiters[at].on_message(&peer(from), &message, now);
@@ -107,10 +108,10 @@
     }
 
     /// Charges a request, delivering messages at once, until it is decided or has to wait.
-    fn charge(&mut self, at: usize, prompt: u64, output: u64, now: Millis) -> Outcome {
+    fn charge(&mut self, at: usize, prompt: u64, output: u64, now: Millis) -> ChargeOutcome {
         for _ in 0..5 {
             match try_charge(&mut self.limiters[at], prompt, output, now) {
-                Outcome::Borrow { messages, .. } => self.deliver(at, messages, now),
+                ChargeOutcome::Borrow { messages, .. } => self.deliver(at, messages, now),
                 decided => return decided,
             }
         }
@@ -132,7 +133,7 @@
     }
 }
 
-fn try_charge(limiter: &mut Limiter, prompt: u64, output: u64, now: Millis) -> Outcome {
+fn try_charge(limiter: &mut Limiter, prompt: u64, output: u64, now: Millis) -> ChargeOutcome {
     let account = account();
     let request = ChargeRequest {
         account: &account,
@@ -143,9 +144,9 @@
     limiter.try_charge(&request, now)
 }
 
-fn admitted(outcome: Outcome) -> ChargeId {
+fn admitted(outcome: ChargeOutcome) -> ChargeId {
     match outcome {
-        Outcome::Admitted { charge } => charge,
+        ChargeOutcome::Admitted { charge } => charge,
         other => panic!("not admitted: {other:?}"),
     }
 }
@@ -164,21 +165,24 @@
     let mut fleet = Fleet::new(&document(RATE, BURST, [1, 1, 1]));
     admitted(fleet.charge(0, 19_990, 0, FULL));
     let outcome = fleet.charge(0, 5_000, 0, FULL);
-    assert!(matches!(outcome, Outcome::Refused { .. }), "{outcome:?}");
+    assert!(
+        matches!(outcome, ChargeOutcome::Refused { .. }),
+        "{outcome:?}"
+    );
 }
 
 #[test]
 fn a_request_beyond_the_whole_burst_is_too_large() {
     let mut fleet = Fleet::new(&document(RATE, BURST, [1, 1, 1]));
     let outcome = fleet.charge(0, BURST, 1, FULL);
-    assert_eq!(outcome, Outcome::TooLarge);
+    assert_eq!(outcome, ChargeOutcome::TooLarge);
 }
 
 #[test]
 fn an_account_without_a_document_is_unknown() {
     let mut limiter = Limiter::new(peer(0), REGIONS[0].parse().expect("a valid name"));
     let outcome = try_charge(&mut limiter, 1, 0, FULL);
-    assert_eq!(outcome, Outcome::UnknownAccount);
+    assert_eq!(outcome, ChargeOutcome::UnknownAccount);
 }
 
 #[test]
@@ -188,7 +192,7 @@
     // Lenders refill only once they know that what they lent is used.
     fleet.tick(FULL);
     let outcome = fleet.charge(0, 1_000, 0, FULL.plus(100));
-    assert!(matches!(outcome, Outcome::Wait { .. }), "{outcome:?}");
+    assert!(matches!(outcome, ChargeOutcome::Wait { .. }), "{outcome:?}");
     admitted(fleet.charge(0, 1_000, 0, FULL.plus(1_000)));
 }
 
@@ -229,9 +233,9 @@
 fn a_charge_that_is_never_settled_ends_as_fully_used() {
     let mut fleet = Fleet::new(&document(RATE, BURST, [1, 1, 1]));
     let charge = admitted(fleet.charge(0, 0, 3_000, FULL));
-    let end = FULL.plus(CHARGE_LIFE_MS);
+    let end = FULL.plus(MAX_CHARGE_DURATION_MS);
     fleet.tick(end.plus(1));
-    assert_eq!(fleet.limiters[0].take_ended(), [charge]);
+    assert_eq!(fleet.limiters[0].take_expired_charges(), [charge]);
     assert_eq!(fleet.limiters[0].totals().charges, 0);
 }
 
@@ -256,7 +260,7 @@
 /// Borrows at the first instance and returns the ask, the grant and the lender.
 fn borrowed(fleet: &mut Fleet) -> (LoanMessage, LoanMessage, usize) {
     let outcome = try_charge(&mut fleet.limiters[0], 6_000, 0, FULL);
-    let Outcome::Borrow { messages, .. } = outcome else {
+    let ChargeOutcome::Borrow { messages, .. } = outcome else {
         panic!("nothing is borrowed: {outcome:?}");
     };
     assert_eq!(messages.len(), 1);
@@ -326,7 +330,7 @@
     let mut fleet = Fleet::new(&document(RATE, BURST, [1, 1, 1]));
     let (_, _, lender) = borrowed(&mut fleet);
     let level = fleet.limiters[lender].available_micro(&account(), FULL);
-    let expiry = FULL.plus(LENT_LIFE_MS);
+    let expiry = FULL.plus(GIVEN_LOAN_LIFE_MS);
     fleet.limiters[lender].tick(expiry);
     assert_eq!(fleet.limiters[lender].totals().loans_given, 0);
     assert_eq!(
@@ -339,11 +343,11 @@
 fn void_slots_admit_and_lend_nothing() {
     let mut fleet = Fleet::new(&document(RATE, BURST, [1, 1, 1]));
     let charge = admitted(fleet.charge(2, 10, 100, FULL));
-    assert_eq!(fleet.limiters[2].void(), [charge]);
+    assert_eq!(fleet.limiters[2].invalidate_slots(), [charge]);
     assert_eq!(fleet.limiters[2].available_micro(&account(), FULL), 0);
     admitted(fleet.charge(0, 14_000, 0, FULL));
     assert_eq!(fleet.limiters[2].totals().loans_given, 0);
-    fleet.limiters[2].confirm(&[owned(Role::Primary, 1)], FULL);
+    fleet.limiters[2].confirm_slots(&[owned(Role::Primary, 1)], FULL);
     assert!(fleet.limiters[2].available_micro(&account(), FULL) > 0);
 }
 
@@ -432,11 +436,14 @@
     fresh.apply_document(1, &document(RATE, BURST, [1, 1, 1]), FULL);
     fresh.set_owners((1..6).map(|at| (slot(at), peer(at))));
     fresh.tick(FULL);
-    let early = FULL.plus(JOIN_MS - 1);
+    let early = FULL.plus(JOIN_DELAY_MS - 1);
     let outcome = try_charge(&mut fresh, 100, 0, early);
-    assert!(!matches!(outcome, Outcome::Borrow { .. }), "{outcome:?}");
+    assert!(
+        !matches!(outcome, ChargeOutcome::Borrow { .. }),
+        "{outcome:?}"
+    );
     fleet.limiters[0] = fresh;
-    admitted(fleet.charge(0, 100, 0, FULL.plus(JOIN_MS)));
+    admitted(fleet.charge(0, 100, 0, FULL.plus(JOIN_DELAY_MS)));
 }
 
 #[test]
--- a/crates/ctl/src/experiment/limits/world/fault.rs
+++ b/crates/ctl/src/experiment/limits/world/fault.rs
@@ -2,7 +2,7 @@
 
 use super::node::Node;
 use carobwheel_core::document::Document;
-use carobwheel_core::limit::{AuditAnswer, Limiter, LoanMessage, LoanReport, Outgoing};
+use carobwheel_core::limit::{AuditAnswer, Limiter, LoanMessage, LoanReport, OutgoingLoanMessage};
 use carobwheel_core::slot::OwnedSlot;
 use carobwheel_core::time::Millis;
 
@@ -50,7 +50,7 @@
 pub fn corrupt(plant: Plant, message: &LoanMessage) -> LoanMessage {
     let mut message = message.clone();
     if plant == Plant::LoanCreditedTwice {
-        for ask in &mut message.asks {
+        for ask in &mut message.requests {
             ask.wanted_micro /= 2;
         }
         for grant in &mut message.grants {
@@ -61,7 +61,7 @@
 }
 
 /// Makes a lender take every loan that it has just granted as given back.
-pub fn forget_lent(limiter: &mut Limiter, granted: &[Outgoing], now: Millis) {
+pub fn forget_lent(limiter: &mut Limiter, granted: &[OutgoingLoanMessage], now: Millis) {
     for (borrower, message) in granted {
         let reports = message.grants.iter().map(|grant| LoanReport {
             loan: grant.loan,
@@ -97,7 +97,7 @@
                 levels: levels.clone(),
             };
             let forged = LoanMessage {
-                answers: vec![answer],
+                audit_answers: vec![answer],
                 ..LoanMessage::default()
             };
             node.limiter.on_message(member, &forged, now);
--- a/crates/ctl/src/experiment/limits/world/mod.rs
+++ b/crates/ctl/src/experiment/limits/world/mod.rs
@@ -17,7 +17,7 @@
 use carobwheel_core::document::Document;
 use carobwheel_core::id::{AccountId, RegionId};
 use carobwheel_core::limit::LoanMessage;
-use carobwheel_core::slot::{Peer, Write};
+use carobwheel_core::slot::{OwnershipWrite, Peer};
 use carobwheel_core::time::Millis;
 use fault::{Fault, Plant};
 use flow::{Arrival, Flow};
@@ -90,7 +90,7 @@
     Arrivals,
     Fault(Fault),
     Deliver(Peer, Peer, Payload),
-    StoreEffect(Peer, Option<Write>, Millis, bool),
+    StoreEffect(Peer, Option<OwnershipWrite>, Millis, bool),
     StoreAnswer(Peer, Versioned, Millis),
     LiveList,
 }
--- a/crates/ctl/src/experiment/limits/world/network.rs
+++ b/crates/ctl/src/experiment/limits/world/network.rs
@@ -2,7 +2,7 @@
 
 use super::fault::{self, Plant};
 use super::{Event, Payload, World, AWAY_DELAY_MS, HEARTBEAT_MS, HOME_DELAY_MS};
-use carobwheel_core::limit::Outgoing;
+use carobwheel_core::limit::OutgoingLoanMessage;
 use carobwheel_core::slot::Peer;
 use rand::Rng;
 use std::rc::Rc;
@@ -33,7 +33,7 @@
         }
     }
 
-    pub(super) fn send_loans(&mut self, at: usize, outgoing: Vec<Outgoing>) {
+    pub(super) fn send_loans(&mut self, at: usize, outgoing: Vec<OutgoingLoanMessage>) {
         let Some(process) = &mut self.processes[at] else {
             return;
         };
--- a/crates/ctl/src/experiment/limits/world/node.rs
+++ b/crates/ctl/src/experiment/limits/world/node.rs
@@ -3,8 +3,12 @@
 use super::flow::Arrival;
 use super::store::Versioned;
 use carobwheel_core::id::{AccountId, RegionId};
-use carobwheel_core::limit::{ChargeId, ChargeRequest, Limiter, LoanMessage, Outcome, Outgoing};
-use carobwheel_core::slot::{Keeper, Peer, Presence, Update, View, Write};
+use carobwheel_core::limit::{
+    ChargeId, ChargeOutcome, ChargeRequest, Limiter, LoanMessage, OutgoingLoanMessage,
+};
+use carobwheel_core::slot::{
+    LivenessTracker, OwnershipReconciler, OwnershipUpdate, OwnershipWrite, Peer, PlanContext,
+};
 use carobwheel_core::time::Millis;
 use std::collections::BTreeMap;
 
@@ -58,9 +62,9 @@
     /// Its limiter.
     pub limiter: Limiter,
     /// Its keeper.
-    pub keeper: Keeper,
+    pub keeper: OwnershipReconciler,
     /// Signs of life as it has seen them.
-    pub presence: Presence,
+    pub presence: LivenessTracker,
     /// Requests that wait.
     pub waiting: Vec<Waiting>,
     /// Requests that run.
@@ -82,10 +86,10 @@
         let now = Millis(0);
         Self {
             limiter: Limiter::new(peer.clone(), region.clone()),
-            keeper: Keeper::new(peer.clone(), now),
+            keeper: OwnershipReconciler::new(peer.clone(), now),
             peer,
             region,
-            presence: Presence::default(),
+            presence: LivenessTracker::default(),
             waiting: Vec::new(),
             running: Vec::new(),
             document: 0,
@@ -135,9 +139,9 @@
         self.presence.note_record(&versioned.record, now);
         let record = versioned.record.as_ref().clone();
         match self.keeper.on_read(versioned.revision, record, read_began) {
-            Update::Unchanged => {}
-            Update::Owned(owned) => self.limiter.set_slots(&owned, now),
-            Update::Confirmed(owned) => self.limiter.confirm(&owned, now),
+            OwnershipUpdate::Unchanged => {}
+            OwnershipUpdate::Owned(owned) => self.limiter.set_slots(&owned, now),
+            OwnershipUpdate::Confirmed(owned) => self.limiter.confirm_slots(&owned, now),
         }
     }
 
@@ -169,7 +173,7 @@
         members.push(self.peer.clone());
         members.sort();
         members.dedup();
-        members.retain(|peer| *peer == self.peer || !self.presence.absence(peer, now).is_gone());
+        members.retain(|peer| *peer == self.peer || !self.presence.liveness(peer, now).is_gone());
         members
     }
 
@@ -188,7 +192,7 @@
     }
 
     /// The write of the record that is due.
-    pub fn next_write(&mut self, now: Millis) -> Option<Write> {
+    pub fn next_write(&mut self, now: Millis) -> Option<OwnershipWrite> {
         let mut alive = vec![self.peer.clone()];
         for (peer, (region, _, heard)) in &self.reports {
             if *region == self.region && now.since(*heard) < ALIVE_MS {
@@ -196,14 +200,14 @@
             }
         }
         let presence = &self.presence;
-        let absence = |peer: &Peer| presence.absence(peer, now);
-        let view = View {
+        let liveness = |peer: &Peer| presence.liveness(peer, now);
+        let view = PlanContext {
             me: &self.peer,
             is_leaving: false,
             // More hand-overs than the daemon makes, which is the harder case.
-            is_complete: true,
+            are_all_reachable: true,
             alive: &alive,
-            absence: &absence,
+            liveness: &liveness,
         };
         let write = self.keeper.next_write(&view)?;
         self.limiter.suspend(&write.suspended, now);
@@ -239,7 +243,7 @@
         is_urgent: bool,
         within: &mut dyn FnMut(&Arrival) -> bool,
         decided: &mut dyn FnMut(&Waiting, bool),
-    ) -> Vec<Outgoing> {
+    ) -> Vec<OutgoingLoanMessage> {
         let now = self.clock(at_ms);
         let mut outgoing = Vec::new();
         let mut blocked: Vec<AccountId> = Vec::new();
@@ -260,7 +264,7 @@
                 wait_until: waiting.wait_until,
             };
             let wait_ms = match self.limiter.try_charge(&request, now) {
-                Outcome::Admitted { charge } => {
+                ChargeOutcome::Admitted { charge } => {
                     decided(&waiting, true);
                     self.running.push(Running {
                         arrival: waiting.arrival,
@@ -270,15 +274,17 @@
                     });
                     continue;
                 }
-                Outcome::Refused { .. } | Outcome::TooLarge | Outcome::UnknownAccount => {
+                ChargeOutcome::Refused { .. }
+                | ChargeOutcome::TooLarge
+                | ChargeOutcome::UnknownAccount => {
                     decided(&waiting, false);
                     continue;
                 }
-                Outcome::Borrow { messages, wait_ms } => {
+                ChargeOutcome::Borrow { messages, wait_ms } => {
                     outgoing.extend(messages);
                     wait_ms
                 }
-                Outcome::Wait { ms } => ms,
+                ChargeOutcome::Wait { ms } => ms,
             };
             waiting.retry_at = now.plus(wait_ms);
             blocked.push(waiting.arrival.account.clone());
@@ -293,7 +299,7 @@
         from: &Peer,
         message: &LoanMessage,
         now: Millis,
-    ) -> Vec<Outgoing> {
+    ) -> Vec<OutgoingLoanMessage> {
         self.limiter.on_message(from, message, now)
     }
 }
--- a/crates/ctl/src/experiment/limits/world/platform.rs
+++ b/crates/ctl/src/experiment/limits/world/platform.rs
@@ -3,7 +3,7 @@
 use super::fault::{self, Plant};
 use super::store::Versioned;
 use super::{Event, World, LIVE_LIST_MS, STORE_READ_MS, STORE_TIMEOUT_MS, UNLISTED_AFTER_MS};
-use carobwheel_core::slot::{Peer, Write};
+use carobwheel_core::slot::{OwnershipWrite, Peer};
 use carobwheel_core::time::Millis;
 use rand::Rng;
 
@@ -76,7 +76,7 @@
     pub(super) fn on_store(
         &mut self,
         peer: &Peer,
-        write: Option<Write>,
+        write: Option<OwnershipWrite>,
         began: Millis,
         is_answered: bool,
     ) {
--- a/crates/ctl/src/experiment/limits/world/process.rs
+++ b/crates/ctl/src/experiment/limits/world/process.rs
@@ -35,8 +35,8 @@
         };
         process.paused_from = None;
         let now = process.node.clock(now_ms);
-        if !is_planted && process.node.keeper.has_paused(now) {
-            process.node.limiter.void();
+        if !is_planted && process.node.keeper.detect_pause(now) {
+            process.node.limiter.invalidate_slots();
             process.awaits_store_until_ms = 0;
             process.next_read_ms = 0;
             self.end_requests(at);
@@ -48,7 +48,7 @@
         let Some(process) = &mut self.processes[at] else {
             return;
         };
-        let ended = process.node.limiter.take_ended();
+        let ended = process.node.limiter.take_expired_charges();
         let running = std::mem::take(&mut process.node.running);
         let (lost, kept) = running.into_iter().partition(|r| ended.contains(&r.charge));
         process.node.running = kept;
--- a/crates/ctl/src/experiment/limits/world/store.rs
+++ b/crates/ctl/src/experiment/limits/world/store.rs
@@ -1,7 +1,7 @@
 //! A fake of the store: records with revisions and compare-and-swap.
 
 use carobwheel_core::id::RegionId;
-use carobwheel_core::slot::{Record, Write};
+use carobwheel_core::slot::{OwnershipRecord, OwnershipWrite};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -11,7 +11,7 @@
     /// Revision of the last change.
     pub revision: u64,
     /// The record.
-    pub record: Rc<Record>,
+    pub record: Rc<OwnershipRecord>,
 }
 
 /// The records of all regions.
@@ -35,7 +35,7 @@
     }
 
     /// Replaces the record of a region if it still has the revision that the write is based on.
-    pub fn write(&mut self, region: &RegionId, write: &Write) {
+    pub fn write(&mut self, region: &RegionId, write: &OwnershipWrite) {
         self.calls += 1;
         let entry = self.records.entry(region.clone()).or_default();
         if entry.revision != write.base_revision {
--- a/crates/ctl/src/experiment/routing/instance.rs
+++ b/crates/ctl/src/experiment/routing/instance.rs
@@ -2,7 +2,7 @@
 
 use super::baseline::Eligible;
 use super::deployment::{Deployment, InstanceSpec};
-use carobwheel_core::admit::{Admit, AdmitSettings};
+use carobwheel_core::admit::{AdmissionQueues, AdmissionSettings};
 use carobwheel_core::document::Upstream;
 use carobwheel_core::id::RegionId;
 use carobwheel_core::retry::{Ejection, Group, Outliers, Retrier, RetrySettings};
@@ -15,7 +15,7 @@
 pub(super) struct Instance {
     pub(super) spec: InstanceSpec,
     pub(super) router: Router,
-    pub(super) admit: Admit<usize>,
+    pub(super) admit: AdmissionQueues<usize>,
     pub(super) retrier: Retrier,
     pub(super) outliers: Outliers,
     /// Requests that the instance itself has on each engine, which baselines choose by.
@@ -44,7 +44,7 @@
         let retries = RetrySettings::with_budget_pct(document.policy.retry_budget_pct);
         Self {
             router: Router::new(settings, document, Millis(0)),
-            admit: Admit::new(AdmitSettings::default()),
+            admit: AdmissionQueues::new(AdmissionSettings::default()),
             retrier: Retrier::new(retries),
             outliers,
             in_flight: vec![0; document.upstreams.len()],
--- a/crates/ctl/src/experiment/routing/world/attempt.rs
+++ b/crates/ctl/src/experiment/routing/world/attempt.rs
@@ -160,7 +160,7 @@
         }
         if live.stage == Stage::Queued {
             let instance = &mut self.instances[self.arrivals[request].instance];
-            instance.admit.take(|entry| entry.item == request);
+            instance.admit.remove_where(|entry| entry.item == request);
         }
         if let Some(engine) = live.engine {
             let job = job_of(request, live.attempts);
--- a/crates/ctl/src/experiment/routing/world/mod.rs
+++ b/crates/ctl/src/experiment/routing/world/mod.rs
@@ -11,7 +11,7 @@
 use super::measure::{EngineTotals, Measure, Row};
 use super::scenario::Case;
 use super::workload::Arrival;
-use carobwheel_core::admit::{Entry, Next};
+use carobwheel_core::admit::{Dequeued, QueuedRequest};
 use carobwheel_core::document::Document;
 use carobwheel_core::route::{Hops, Placement, Refusal, Request, Target, Wanted};
 use carobwheel_core::time::Millis;
@@ -234,7 +234,7 @@
         let document = &self.deployment.document;
         let class = &document.classes[arrival.class];
         let account = &document.accounts[arrival.account];
-        let entry = Entry {
+        let entry = QueuedRequest {
             account: Some(account.id.clone()),
             weight: account.queue_weight,
             priority: class.priority,
@@ -264,7 +264,7 @@
             if admit.is_empty() {
                 return;
             }
-            let next = admit.next(
+            let next = admit.dequeue(
                 |_| true,
                 |entry| {
                     let item = entry.item;
@@ -273,8 +273,8 @@
                 },
             );
             match next {
-                Some(Next::Placed(entry, placement)) => self.start(entry.item, &placement),
-                Some(Next::Withdrawn(_)) | None => return,
+                Some(Dequeued::Placed(entry, placement)) => self.start(entry.item, &placement),
+                Some(Dequeued::Withdrawn(_)) | None => return,
             }
         }
     }
--- a/crates/gateway/src/decide/ask.rs
+++ b/crates/gateway/src/decide/ask.rs
@@ -10,7 +10,7 @@
     refusal::{Cause, Refusal},
 };
 use carobwheel_core::{
-    admit::{Entry, Next},
+    admit::{Dequeued, QueuedRequest},
     id::{ModelId, VersionId},
     route::{self, Placement, Request, Wanted},
     slot::TOLERATED_PAUSE_MS,
@@ -112,13 +112,13 @@
             };
             let rng = &mut self.rng;
             let keys = &configured.in_force.keys;
-            let next = self.admit.next(
+            let next = self.admit.dequeue(
                 |entry| keys.is_valid(&entry.item.caller) && !entry.item.reply.is_closed(),
                 |entry| way.place(&entry.item, rng).ok(),
             );
             match next {
-                Some(Next::Placed(entry, chosen)) => self.start(*entry.item, chosen, now),
-                Some(Next::Withdrawn(entry)) => self.turn_away(entry.item, withdrawn(), now),
+                Some(Dequeued::Placed(entry, chosen)) => self.start(*entry.item, chosen, now),
+                Some(Dequeued::Withdrawn(entry)) => self.turn_away(entry.item, withdrawn(), now),
                 None => return,
             }
         }
@@ -306,13 +306,13 @@
     }
 }
 
-fn entry(in_force: &InForce, ask: Box<Ask>) -> Entry<Box<Ask>> {
+fn entry(in_force: &InForce, ask: Box<Ask>) -> QueuedRequest<Box<Ask>> {
     let account = account_of(&ask).cloned();
     let weight = account
         .as_ref()
         .and_then(|id| in_force.document.account(id))
         .map_or(OPEN_WEIGHT, |account| account.queue_weight);
-    Entry {
+    QueuedRequest {
         account,
         weight,
         priority: priority(in_force, &ask),
--- a/crates/gateway/src/decide/charge.rs
+++ b/crates/gateway/src/decide/charge.rs
@@ -9,7 +9,7 @@
 use crate::refusal::{Cause, Refusal};
 use carobwheel_core::{
     id::{AccountId, RegionId},
-    limit::{ChargeId, ChargeRequest, Limiter, LoanMessage, Outcome, Outgoing},
+    limit::{ChargeId, ChargeOutcome, ChargeRequest, Limiter, LoanMessage, OutgoingLoanMessage},
     slot::Peer,
     time::Millis,
 };
@@ -87,27 +87,27 @@
             wait_until: until,
         };
         match self.charging.limiter.try_charge(&request, now) {
-            Outcome::Admitted { charge } => {
+            ChargeOutcome::Admitted { charge } => {
                 ask.charge = Some(charge);
                 let cancel = ask.cancel.clone();
                 self.charging.cancels.insert(charge, cancel);
                 self.seek_place(ask, now);
             }
-            Outcome::Borrow { messages, wait_ms } => {
+            ChargeOutcome::Borrow { messages, wait_ms } => {
                 self.send_loans(messages);
                 self.wait_for_tokens(ask, until, now.plus(wait_ms.max(1)));
             }
-            Outcome::Wait { ms } => self.wait_for_tokens(ask, until, now.plus(ms.max(1))),
-            Outcome::Refused { retry_after_ms } => {
+            ChargeOutcome::Wait { ms } => self.wait_for_tokens(ask, until, now.plus(ms.max(1))),
+            ChargeOutcome::Refused { retry_after_ms } => {
                 let message = "the account has used up its rate";
                 let refusal = Refusal::not_run(Cause::RateLimited, message);
                 refuse(ask, refusal.retry_after(retry_after_ms));
             }
-            Outcome::TooLarge => {
+            ChargeOutcome::TooLarge => {
                 let message = "prompt and output together exceed the account's burst";
                 refuse(ask, Refusal::not_run(Cause::TooLarge, message));
             }
-            Outcome::UnknownAccount => {
+            ChargeOutcome::UnknownAccount => {
                 refuse(ask, Refusal::not_run(Cause::InvalidKey, "no such account"));
             }
         }
@@ -163,7 +163,7 @@
     pub(super) fn tick_charging(&mut self, now: Millis) {
         let messages = self.charging.limiter.tick(now);
         self.send_loans(messages);
-        let ended = self.charging.limiter.take_ended();
+        let ended = self.charging.limiter.take_expired_charges();
         self.charging.cancel(ended);
         self.retry_waiting(false, now);
     }
@@ -178,7 +178,7 @@
         }
     }
 
-    fn send_loans(&self, messages: Vec<Outgoing>) {
+    fn send_loans(&self, messages: Vec<OutgoingLoanMessage>) {
         for (to, message) in messages {
             let addr = self
                 .members
--- a/crates/gateway/src/decide/event.rs
+++ b/crates/gateway/src/decide/event.rs
@@ -206,7 +206,7 @@
     /// Revision of the record; 0 if there is none.
     pub revision: u64,
     /// The record.
-    pub record: slot::Record,
+    pub record: slot::OwnershipRecord,
     /// Time at which the read began; 0 if it is not known.
     pub began: Millis,
 }
--- a/crates/gateway/src/decide/slots.rs
+++ b/crates/gateway/src/decide/slots.rs
@@ -5,7 +5,10 @@
 use carobwheel_core::{
     id::{InstanceId, RegionId},
     member::{MemberView, State as MemberState},
-    slot::{Keeper, Peer, Presence, Record, Role, SlotId, Update, View, SHARDS},
+    slot::{
+        LivenessTracker, OwnershipReconciler, OwnershipRecord, OwnershipUpdate, Peer, PlanContext,
+        Role, SlotId, SHARDS,
+    },
     time::Millis,
 };
 use rand::Rng as _;
@@ -25,8 +28,8 @@
 
 /// The slots of this instance and what is known of those of others.
 pub(super) struct Slots {
-    pub(super) keeper: Keeper,
-    pub(super) presence: Presence,
+    pub(super) keeper: OwnershipReconciler,
+    pub(super) presence: LivenessTracker,
     /// The records of all regions have been read once.
     pub(super) are_known: bool,
     pub(super) are_void: bool,
@@ -38,15 +41,15 @@
     pub(super) has_live_list: bool,
     /// Instances on the live list as last read.
     pub(super) listed: Option<Vec<InstanceId>>,
-    records: BTreeMap<RegionId, (u64, Record)>,
+    records: BTreeMap<RegionId, (u64, OwnershipRecord)>,
     write_at: Millis,
 }
 
 impl Slots {
     pub(super) fn new(me: Peer, has_live_list: bool, now: Millis) -> Self {
         Self {
-            keeper: Keeper::new(me, now),
-            presence: Presence::default(),
+            keeper: OwnershipReconciler::new(me, now),
+            presence: LivenessTracker::default(),
             are_known: false,
             are_void: false,
             owners: BTreeMap::new(),
@@ -70,12 +73,12 @@
 impl State {
     /// Makes the slots void after a pause in which another instance may have taken them.
     pub(super) fn guard_pause(&mut self, now: Millis) {
-        if !self.slots.keeper.has_paused(now) {
+        if !self.slots.keeper.detect_pause(now) {
             return;
         }
         log::warn!("this process was paused: its slots are void until the store confirms them");
         self.slots.are_void = true;
-        let uncovered = self.charging.limiter.void();
+        let uncovered = self.charging.limiter.invalidate_slots();
         self.charging.cancel(uncovered);
         self.outlets.command(Command::ReadSlots);
     }
@@ -104,15 +107,15 @@
             self.slots.presence.note_record(&read.record, now);
             let record = read.record.clone();
             match self.slots.keeper.on_read(read.revision, record, read.began) {
-                Update::Unchanged => {}
-                Update::Owned(owned) => {
+                OwnershipUpdate::Unchanged => {}
+                OwnershipUpdate::Owned(owned) => {
                     self.charging.limiter.set_slots(&owned, now);
                     self.tell_owned(&owned);
                 }
-                Update::Confirmed(owned) => {
+                OwnershipUpdate::Confirmed(owned) => {
                     log::info!("the store has confirmed the slots");
                     self.slots.are_void = false;
-                    self.charging.limiter.confirm(&owned, now);
+                    self.charging.limiter.confirm_slots(&owned, now);
                     self.tell_owned(&owned);
                 }
             }
@@ -153,15 +156,15 @@
                 incarnation: identity.incarnation.0,
             })
             .collect();
-        let is_complete = self.are_all_answering(now);
+        let are_all_reachable = self.are_all_answering(now);
         let slots = &mut self.slots;
         let presence = &slots.presence;
-        let view = View {
+        let view = PlanContext {
             me: &self.me,
             is_leaving: self.is_leaving,
-            is_complete,
+            are_all_reachable,
             alive: &alive,
-            absence: &|peer| presence.absence(peer, now),
+            liveness: &|peer| presence.liveness(peer, now),
         };
         match slots.keeper.next_write(&view) {
             Some(write) => {
@@ -252,7 +255,12 @@
 
     fn is_confirmed_gone(&self, member: &MemberView, now: Millis) -> bool {
         let is_silent = matches!(member.state, MemberState::Gone | MemberState::Leaving);
-        is_silent && self.slots.presence.absence(&peer_of(member), now).is_gone()
+        is_silent
+            && self
+                .slots
+                .presence
+                .liveness(&peer_of(member), now)
+                .is_gone()
     }
 }
 
--- a/crates/gateway/src/decide/state.rs
+++ b/crates/gateway/src/decide/state.rs
@@ -13,7 +13,7 @@
     settings::{Identity, Settings},
 };
 use carobwheel_core::{
-    admit::{Admit, AdmitSettings},
+    admit::{AdmissionQueues, AdmissionSettings},
     id::{AccountId, UpstreamId},
     identity::Caller,
     member::Members,
@@ -57,7 +57,7 @@
     pub(super) slots: Slots,
     pub(super) charging: Charging,
     pub(super) rollouts: Rollouts,
-    pub(super) admit: Admit<Box<Ask>>,
+    pub(super) admit: AdmissionQueues<Box<Ask>>,
     pub(super) open: HashMap<u64, Open>,
     pub(super) last_ticket: u64,
     pub(super) digest_sequence: u64,
@@ -112,7 +112,7 @@
             me,
             outlets,
             configured: None,
-            admit: Admit::new(AdmitSettings::default()),
+            admit: AdmissionQueues::new(AdmissionSettings::default()),
             open: HashMap::new(),
             last_ticket: 0,
             digest_sequence: 0,
--- a/crates/gateway/src/platform/mod.rs
+++ b/crates/gateway/src/platform/mod.rs
@@ -40,7 +40,7 @@
     /// Read the record of slots of the own region.
     ReadSlots,
     /// Write the record of slots of the own region, then read it.
-    WriteSlots(Box<slot::Write>),
+    WriteSlots(Box<slot::OwnershipWrite>),
     /// Write a verdict on a rollout unless there is one.
     WriteVerdict {
         /// The rollout.
--- a/crates/gateway/src/platform/slots.rs
+++ b/crates/gateway/src/platform/slots.rs
@@ -8,7 +8,7 @@
 };
 use carobwheel_core::{
     id::RegionId,
-    slot::{Record, Write},
+    slot::{OwnershipRecord, OwnershipWrite},
     time::{Clock, Millis},
 };
 use std::time::Duration;
@@ -64,7 +64,7 @@
             let read = SlotsRead {
                 region: region.clone(),
                 revision: 0,
-                record: Record::default(),
+                record: OwnershipRecord::default(),
                 began,
             };
             report(decide::Event::Slots(Box::new(read)), decide).await;
@@ -78,7 +78,7 @@
     store: &StoreClient,
     clock: Clock,
     region: &RegionId,
-    write: &Write,
+    write: &OwnershipWrite,
     decide: &Sender<decide::Event>,
 ) {
     let (Ok(value), Ok(base)) = (
