--- a/crates/core/src/admit/mod.rs
+++ b/crates/core/src/admit/mod.rs
@@ -7,7 +7,7 @@
 
 mod queue;
 mod queues;
-mod round;
+mod round_robin;
 mod settings;
 
 #[cfg(test)]
--- a/crates/core/src/admit/queues.rs
+++ b/crates/core/src/admit/queues.rs
@@ -1,7 +1,7 @@
 //! The queues of one instance.
 
 use super::queue::QueuedRequest;
-use super::round::Round;
+use super::round_robin::Round;
 use super::{AdmissionSettings, EnqueueError};
 use crate::id::AccountId;
 use crate::time::Millis;
--- a/crates/core/src/limit/mod.rs
+++ b/crates/core/src/limit/mod.rs
@@ -16,10 +16,10 @@
 mod lend;
 mod limiter;
 mod loan;
+mod maintenance;
 mod message;
 mod part;
 mod table;
-mod tend;
 
 pub use charge::{ChargeId, ChargeOutcome, ChargeRequest};
 pub use limiter::{Limiter, LimiterTotals};
--- a/crates/core/src/slot/mod.rs
+++ b/crates/core/src/slot/mod.rs
@@ -4,15 +4,15 @@
 //! role, and its owner holds the parts of the shard's accounts. The record of owners of a region
 //! is one key of the store, changed by compare-and-swap only when ownership changes.
 
-mod keeper;
+mod liveness;
 mod pause;
 mod plan;
-mod presence;
+mod reconciler;
 
-pub use keeper::{OwnershipReconciler, OwnershipUpdate, OwnershipWrite};
+pub use liveness::LivenessTracker;
 pub use pause::PauseGuard;
 pub use plan::{plan, OwnerLiveness, OwnershipPlan, PlanContext};
-pub use presence::LivenessTracker;
+pub use reconciler::{OwnershipReconciler, OwnershipUpdate, OwnershipWrite};
 
 use crate::id::{AccountId, InstanceId, RegionId};
 use serde::{Deserialize, Serialize};
