--- a/crates/core/src/admit/queue.rs
+++ b/crates/core/src/admit/queue.rs
@@ -23,14 +23,14 @@
 
 /// Requests of one account and class, in order of arrival.
 #[derive(Debug)]
-pub(super) struct Queue<T> {
+pub(super) struct AccountQueue<T> {
     pub(super) entries: VecDeque<QueuedRequest<T>>,
     /// Tokens that the account may place before the next round.
     pub(super) deficit_tokens: u64,
     pub(super) weight: u32,
 }
 
-impl<T> Queue<T> {
+impl<T> AccountQueue<T> {
     pub(super) fn new() -> Self {
         Self {
             entries: VecDeque::new(),
@@ -48,28 +48,28 @@
     }
 
     /// Rounds until the deficit covers the first request.
-    pub(super) fn rounds_missing(&self, quantum_tokens: u64) -> u64 {
+    pub(super) fn rounds_needed(&self, quantum_tokens: u64) -> u64 {
         let head_tokens = self.head_tokens().unwrap_or(0);
         let missing_tokens = head_tokens.saturating_sub(self.deficit_tokens);
         missing_tokens.div_ceil(quantum_tokens * u64::from(self.weight))
     }
 
     /// Keeps the deficit below the first request's cost and one round's share.
-    pub(super) fn limit_deficit(&mut self, quantum_tokens: u64) {
-        let most = self.most_deficit_tokens(quantum_tokens);
-        self.deficit_tokens = self.deficit_tokens.min(most);
+    pub(super) fn clamp_deficit(&mut self, quantum_tokens: u64) {
+        let max_tokens = self.max_deficit_tokens(quantum_tokens);
+        self.deficit_tokens = self.deficit_tokens.min(max_tokens);
     }
 
     pub(super) fn assert_bounded(&self, quantum_tokens: u64) {
-        let most = self.most_deficit_tokens(quantum_tokens);
+        let max_tokens = self.max_deficit_tokens(quantum_tokens);
         assert!(
-            self.deficit_tokens <= most,
-            "a deficit of {} tokens exceeds {most}",
+            self.deficit_tokens <= max_tokens,
+            "a deficit of {} tokens exceeds {max_tokens}",
             self.deficit_tokens
         );
     }
 
-    fn most_deficit_tokens(&self, quantum_tokens: u64) -> u64 {
+    fn max_deficit_tokens(&self, quantum_tokens: u64) -> u64 {
         let share_tokens = quantum_tokens * u64::from(self.weight);
         self.head_tokens().unwrap_or(0) + share_tokens
     }
--- a/crates/core/src/admit/queues.rs
+++ b/crates/core/src/admit/queues.rs
@@ -1,7 +1,7 @@
 //! The queues of one instance.
 
 use super::queue::QueuedRequest;
-use super::round_robin::Round;
+use super::round_robin::ClassQueues;
 use super::{AdmissionSettings, EnqueueError};
 use crate::id::AccountId;
 use crate::time::Millis;
@@ -20,9 +20,9 @@
 #[derive(Debug)]
 pub struct AdmissionQueues<T> {
     settings: AdmissionSettings,
-    pub(super) classes: BTreeMap<u8, Round<T>>,
+    pub(super) classes: BTreeMap<u8, ClassQueues<T>>,
     pub(super) len: usize,
-    picks: u64,
+    dequeue_count: u64,
 }
 
 impl<T> AdmissionQueues<T> {
@@ -32,7 +32,7 @@
             settings,
             classes: BTreeMap::new(),
             len: 0,
-            picks: 0,
+            dequeue_count: 0,
         }
     }
 
@@ -93,7 +93,7 @@
     ) -> Option<Dequeued<T, P>> {
         let quantum_tokens = self.settings.quantum_tokens;
         let mut priorities: Vec<u8> = self.classes.keys().copied().collect();
-        if self.picks % self.settings.reverse_every == self.settings.reverse_every - 1 {
+        if self.dequeue_count % self.settings.reverse_every == self.settings.reverse_every - 1 {
             priorities.reverse();
         }
         for priority in priorities {
@@ -101,7 +101,7 @@
             let next = class.dequeue(quantum_tokens, &mut is_still_allowed, &mut try_place);
             if let Some(next) = next {
                 self.len -= 1;
-                self.picks += 1;
+                self.dequeue_count += 1;
                 return Some(next);
             }
         }
@@ -126,11 +126,11 @@
     ) -> Vec<QueuedRequest<T>> {
         let quantum_tokens = self.settings.quantum_tokens;
         let classes = self.classes.values_mut();
-        let taken: Vec<_> = classes
+        let removed: Vec<_> = classes
             .flat_map(|class| class.remove_where(quantum_tokens, &mut matches))
             .collect();
-        self.len -= taken.len();
-        taken
+        self.len -= removed.len();
+        removed
     }
 
     /// Requests waiting.
--- a/crates/core/src/admit/round_robin.rs
+++ b/crates/core/src/admit/round_robin.rs
@@ -1,13 +1,13 @@
 //! Deficit round robin between the accounts of one class.
 
-use super::queue::{Queue, QueuedRequest};
+use super::queue::{AccountQueue, QueuedRequest};
 use super::Dequeued;
 use crate::id::AccountId;
 use crate::time::Millis;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 /// Accounts whose first request may fail to find a place in one pick, which bounds its work.
-const MAX_BLOCKED: usize = 32;
+const MAX_BLOCKED_ACCOUNTS: usize = 32;
 
 type AccountKey = Option<AccountId>;
 
@@ -18,34 +18,37 @@
 /// below the cost of the first request and one round's share, so two accounts that wait all the
 /// time never drift further apart than that.
 #[derive(Debug)]
-pub(super) struct Round<T> {
-    pub(super) queues: BTreeMap<AccountKey, Queue<T>>,
-    turn: VecDeque<AccountKey>,
+pub(super) struct ClassQueues<T> {
+    pub(super) queues: BTreeMap<AccountKey, AccountQueue<T>>,
+    rotation: VecDeque<AccountKey>,
 }
 
-impl<T> Default for Round<T> {
+impl<T> Default for ClassQueues<T> {
     fn default() -> Self {
         Self {
             queues: BTreeMap::new(),
-            turn: VecDeque::new(),
+            rotation: VecDeque::new(),
         }
     }
 }
 
-impl<T> Round<T> {
+impl<T> ClassQueues<T> {
     pub(super) fn push(&mut self, entry: QueuedRequest<T>, quantum_tokens: u64) {
         let key = entry.account.clone();
-        let queue = self.queues.entry(key.clone()).or_insert_with(Queue::new);
+        let queue = self
+            .queues
+            .entry(key.clone())
+            .or_insert_with(AccountQueue::new);
         if queue.entries.is_empty() {
-            self.turn.push_back(key);
+            self.rotation.push_back(key);
         }
         queue.weight = entry.weight.max(1);
         queue.entries.push_back(entry);
-        queue.limit_deficit(quantum_tokens);
+        queue.clamp_deficit(quantum_tokens);
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.turn.is_empty()
+        self.rotation.is_empty()
     }
 
     pub(super) fn queue_len(&self, account: &AccountKey) -> usize {
@@ -54,7 +57,9 @@
     }
 
     pub(super) fn waiting_tokens(&self, account: &AccountKey) -> u64 {
-        self.queues.get(account).map_or(0, Queue::waiting_tokens)
+        self.queues
+            .get(account)
+            .map_or(0, AccountQueue::waiting_tokens)
     }
 
     /// Requests placed before a further one of `account`: its own, and what others place meanwhile
@@ -62,9 +67,9 @@
     pub(super) fn requests_ahead(&self, account: &AccountKey, weight: u32) -> u64 {
         let weight = u64::from(weight.max(1));
         let own = self.queue_len(account) as u64;
-        let share = |queue: &Queue<T>| {
-            let part = (own + 1) * u64::from(queue.weight) / weight;
-            part.min(queue.entries.len() as u64)
+        let share = |queue: &AccountQueue<T>| {
+            let placed = (own + 1) * u64::from(queue.weight) / weight;
+            placed.min(queue.entries.len() as u64)
         };
         let others = self.queues.iter().filter(|(key, _)| *key != account);
         own + others.map(|(_, queue)| share(queue)).sum::<u64>()
@@ -83,12 +88,12 @@
         let mut blocked = HashSet::new();
         let mut rounds = 0;
         loop {
-            for _ in 0..self.turn.len() {
-                let key = self.turn.front()?.clone();
+            for _ in 0..self.rotation.len() {
+                let key = self.rotation.front()?.clone();
                 let queue = self.queues.get(&key)?;
                 let entry = queue.entries.front()?;
-                if queue.rounds_missing(quantum_tokens) > rounds || blocked.contains(&key) {
-                    self.turn.rotate_left(1);
+                if queue.rounds_needed(quantum_tokens) > rounds || blocked.contains(&key) {
+                    self.rotation.rotate_left(1);
                     continue;
                 }
                 if !is_still_allowed(entry) {
@@ -96,14 +101,14 @@
                     return Some(Dequeued::Withdrawn(entry));
                 }
                 if let Some(place) = try_place(entry) {
-                    self.grow(quantum_tokens, rounds);
-                    self.charge(&key, quantum_tokens);
+                    self.add_rounds(quantum_tokens, rounds);
+                    self.deduct_head_cost(&key, quantum_tokens);
                     let entry = self.pop(&key, quantum_tokens)?;
                     return Some(Dequeued::Placed(entry, place));
                 }
                 blocked.insert(key);
-                self.turn.rotate_left(1);
-                if blocked.len() >= MAX_BLOCKED {
+                self.rotation.rotate_left(1);
+                if blocked.len() >= MAX_BLOCKED_ACCOUNTS {
                     return None;
                 }
             }
@@ -116,20 +121,20 @@
         let queues = self.queues.iter();
         queues
             .filter(|(key, _)| !blocked.contains(*key))
-            .map(|(_, queue)| queue.rounds_missing(quantum_tokens))
+            .map(|(_, queue)| queue.rounds_needed(quantum_tokens))
             .min()
     }
 
     /// Gives every account its share of `rounds` rounds.
-    fn grow(&mut self, quantum_tokens: u64, rounds: u64) {
+    fn add_rounds(&mut self, quantum_tokens: u64, rounds: u64) {
         for queue in self.queues.values_mut() {
             queue.assert_bounded(quantum_tokens);
             queue.deficit_tokens += rounds * quantum_tokens * u64::from(queue.weight);
-            queue.limit_deficit(quantum_tokens);
+            queue.clamp_deficit(quantum_tokens);
         }
     }
 
-    pub(super) fn charge(&mut self, key: &AccountKey, quantum_tokens: u64) {
+    pub(super) fn deduct_head_cost(&mut self, key: &AccountKey, quantum_tokens: u64) {
         let Some(queue) = self.queues.get_mut(key) else {
             return;
         };
@@ -145,22 +150,22 @@
     fn pop(&mut self, key: &AccountKey, quantum_tokens: u64) -> Option<QueuedRequest<T>> {
         let queue = self.queues.get_mut(key)?;
         let entry = queue.entries.pop_front();
-        self.settle(key, quantum_tokens);
+        self.restore_bounds(key, quantum_tokens);
         entry
     }
 
     /// Restores the bounds of an account's queue after its first requests went: an empty queue
     /// saves up nothing.
-    fn settle(&mut self, key: &AccountKey, quantum_tokens: u64) {
+    fn restore_bounds(&mut self, key: &AccountKey, quantum_tokens: u64) {
         let Some(queue) = self.queues.get_mut(key) else {
             return;
         };
         if queue.entries.is_empty() {
             self.queues.remove(key);
-            self.turn.retain(|other| other != key);
+            self.rotation.retain(|other| other != key);
             return;
         }
-        queue.limit_deficit(quantum_tokens);
+        queue.clamp_deficit(quantum_tokens);
     }
 
     /// Takes out all requests that match, in order of accounts and arrival.
@@ -169,7 +174,7 @@
         quantum_tokens: u64,
         matches: &mut impl FnMut(&QueuedRequest<T>) -> bool,
     ) -> Vec<QueuedRequest<T>> {
-        let mut taken = Vec::new();
+        let mut removed = Vec::new();
         let keys: Vec<_> = self.queues.keys().cloned().collect();
         for key in keys {
             let Some(queue) = self.queues.get_mut(&key) else {
@@ -179,12 +184,12 @@
                 continue;
             }
             let entries = std::mem::take(&mut queue.entries);
-            let (gone, kept): (Vec<_>, _) = entries.into_iter().partition(&mut *matches);
+            let (matching, kept): (Vec<_>, _) = entries.into_iter().partition(&mut *matches);
             queue.entries = kept.into();
-            taken.extend(gone);
-            self.settle(&key, quantum_tokens);
+            removed.extend(matching);
+            self.restore_bounds(&key, quantum_tokens);
         }
-        taken
+        removed
     }
 
     /// Takes out all requests whose deadline has passed.
--- a/crates/core/src/admit/settings.rs
+++ b/crates/core/src/admit/settings.rs
@@ -11,7 +11,7 @@
     pub max_requests: usize,
     /// Tokens that an account of weight 1 may have placed in one round.
     pub quantum_tokens: u64,
-    /// One in so many picks begins with the least urgent class.
+    /// One in so many dequeue_count begins with the least urgent class.
     pub reverse_every: u64,
 }
 
--- a/crates/core/src/admit/tests.rs
+++ b/crates/core/src/admit/tests.rs
@@ -19,7 +19,7 @@
     admit
 }
 
-fn plant_deficit(admit: &mut AdmissionQueues<u32>, deficit_tokens: u64) {
+fn set_deficit(admit: &mut AdmissionQueues<u32>, deficit_tokens: u64) {
     let class = admit.classes.get_mut(&0).expect("a class");
     class.queues.get_mut(&None).expect("a queue").deficit_tokens = deficit_tokens;
 }
@@ -28,7 +28,7 @@
 #[should_panic(expected = "exceeds")]
 fn an_account_that_saves_up_more_than_a_round_is_noticed() {
     let mut admit = admit();
-    plant_deficit(&mut admit, 1_000_000);
+    set_deficit(&mut admit, 1_000_000);
     admit.dequeue(|_| true, |_| Some(()));
 }
 
@@ -36,9 +36,9 @@
 #[should_panic(expected = "placed more tokens than the account's share")]
 fn a_request_that_is_placed_without_its_share_is_noticed() {
     let mut admit = admit();
-    plant_deficit(&mut admit, 4_999);
+    set_deficit(&mut admit, 4_999);
     let class = admit.classes.get_mut(&0).expect("a class");
-    class.charge(&None, 1_024);
+    class.deduct_head_cost(&None, 1_024);
 }
 
 #[test]
--- a/crates/core/src/limit/audit.rs
+++ b/crates/core/src/limit/audit.rs
@@ -4,9 +4,9 @@
 //! asks every member that is not confirmed gone what that member may still use of earlier
 //! epochs. Once all have answered it holds back the sum of the answers, which only shrink.
 
-use super::charge::{Charge, Origin, Source};
-use super::limiter::{Limiter, Passed};
-use super::loan::Lent;
+use super::charge::{Charge, Reservation, ReservationOrigin};
+use super::limiter::{HandedOverLevels, Limiter};
+use super::loan::GivenLoan;
 use super::message::{Audit, AuditAnswer};
 use super::FORMER_OWNER_HOLD_MS;
 use crate::id::AccountId;
@@ -21,23 +21,23 @@
 
 /// A slot that this instance owns.
 #[derive(Clone, Debug)]
-pub(super) struct Slot {
+pub(super) struct SlotState {
     pub(super) epoch: u64,
     /// The slot is being given away: its parts may not be used.
     pub(super) is_suspended: bool,
-    added: Millis,
+    added_at: Millis,
     /// Members that have not answered.
-    waiting: BTreeSet<Peer>,
+    unanswered: BTreeSet<Peer>,
     /// Reservations of earlier epochs as answered.
     outstanding: BTreeMap<Peer, Vec<(AccountId, u64)>>,
     /// Levels that the former owner passes on, until all members have answered.
-    passed_on: Vec<(AccountId, u64)>,
-    asked: Option<Millis>,
+    inherited_levels: Vec<(AccountId, u64)>,
+    last_audit: Option<Millis>,
     /// Highest revision of the document that a member has answered with.
-    least_revision: u64,
+    required_revision: u64,
 }
 
-impl Slot {
+impl SlotState {
     /// What an account's part holds back for tokens of earlier owners, in micro-tokens, when this
     /// instance applies `revision`.
     pub(super) fn held_micro(
@@ -47,13 +47,13 @@
         revision: u64,
         now: Millis,
     ) -> u64 {
-        if self.least_revision > revision {
+        if self.required_revision > revision {
             return cap_micro;
         }
-        if self.is_held_over(now) {
+        if self.is_hold_expired(now) {
             return 0;
         }
-        if !self.waiting.is_empty() {
+        if !self.unanswered.is_empty() {
             return cap_micro;
         }
         self.outstanding
@@ -64,51 +64,52 @@
             .sum()
     }
 
-    fn is_held_over(&self, now: Millis) -> bool {
-        now.since(self.added) > FORMER_OWNER_HOLD_MS
+    fn is_hold_expired(&self, now: Millis) -> bool {
+        now.since(self.added_at) > FORMER_OWNER_HOLD_MS
     }
 
     /// Every member has said what it may still use.
-    pub(super) fn is_answered(&self) -> bool {
-        self.waiting.is_empty()
+    pub(super) fn has_all_answers(&self) -> bool {
+        self.unanswered.is_empty()
     }
 
-    fn is_clear(&self) -> bool {
-        self.waiting.is_empty() && self.outstanding.is_empty()
+    fn is_audit_complete(&self) -> bool {
+        self.unanswered.is_empty() && self.outstanding.is_empty()
     }
 
-    fn is_due(&self, now: Millis) -> bool {
-        let retry_ms = if self.waiting.is_empty() {
+    fn is_audit_due(&self, now: Millis) -> bool {
+        let retry_ms = if self.unanswered.is_empty() {
             AUDIT_REFRESH_MS
         } else {
             AUDIT_RETRY_MS
         };
-        self.asked.is_none_or(|asked| now.since(asked) >= retry_ms)
+        self.last_audit
+            .is_none_or(|last_audit| now.since(last_audit) >= retry_ms)
     }
 
-    fn asked_members(&self) -> impl Iterator<Item = &Peer> {
-        let is_waiting = !self.waiting.is_empty();
+    fn members_to_audit(&self) -> impl Iterator<Item = &Peer> {
+        let is_waiting = !self.unanswered.is_empty();
         let answered = self.outstanding.keys().filter(move |_| !is_waiting);
-        self.waiting.iter().chain(answered)
+        self.unanswered.iter().chain(answered)
     }
 }
 
 impl Limiter {
     pub(super) fn add_slot(&mut self, key: (u16, Role), epoch: u64, now: Millis) {
-        let mut waiting: BTreeSet<Peer> = self.members.iter().cloned().collect();
-        waiting.insert(self.me.clone());
+        let mut unanswered: BTreeSet<Peer> = self.members.iter().cloned().collect();
+        unanswered.insert(self.me.clone());
         if epoch == 1 {
-            waiting.clear();
+            unanswered.clear();
         }
-        let slot = Slot {
+        let slot = SlotState {
             epoch,
             is_suspended: false,
-            added: now,
-            waiting,
+            added_at: now,
+            unanswered,
             outstanding: BTreeMap::new(),
-            passed_on: Vec::new(),
-            asked: None,
-            least_revision: 0,
+            inherited_levels: Vec::new(),
+            last_audit: None,
+            required_revision: 0,
         };
         self.slots.insert(key, slot);
     }
@@ -132,9 +133,10 @@
             }
         }
         let epoch = slot.epoch;
-        self.passed.insert(key, Passed { epoch, levels });
-        let is_of_slot = |lent: &Lent| lent.role == role && shard_of(&lent.account) == shard;
-        self.lent.retain(|_, lent| !is_of_slot(lent));
+        self.handed_over
+            .insert(key, HandedOverLevels { epoch, levels });
+        let is_of_slot = |lent: &GivenLoan| lent.role == role && shard_of(&lent.account) == shard;
+        self.given_loans.retain(|_, lent| !is_of_slot(lent));
     }
 
     /// Answers the new owner of a slot.
@@ -154,9 +156,9 @@
         {
             self.drop_slot(key, now);
         }
-        let least = self.least_epochs.entry(slot.clone()).or_default();
-        *least = audit.epoch.max(*least);
-        for loan in self.loans.values_mut() {
+        let min_epoch = self.min_epochs.entry(slot.clone()).or_default();
+        *min_epoch = audit.epoch.max(*min_epoch);
+        for loan in self.taken_loans.values_mut() {
             let is_earlier = loan
                 .granted
                 .is_some_and(|granted| granted.epoch < audit.epoch);
@@ -164,7 +166,7 @@
                 loan.give_back();
             }
         }
-        let levels = match self.passed.get(&key) {
+        let levels = match self.handed_over.get(&key) {
             Some(passed) if is_home && passed.epoch + 1 == audit.epoch => passed.levels.clone(),
             _ => Vec::new(),
         };
@@ -179,7 +181,7 @@
     }
 
     /// Takes the answer of a member to an audit of an own slot.
-    pub(super) fn on_answer(&mut self, from: &Peer, answer: &AuditAnswer, now: Millis) {
+    pub(super) fn on_audit_answer(&mut self, from: &Peer, answer: &AuditAnswer, now: Millis) {
         let key = (answer.shard, answer.role);
         let Some(slot) = self.slots.get_mut(&key) else {
             return;
@@ -187,22 +189,22 @@
         if slot.epoch != answer.epoch {
             return;
         }
-        slot.least_revision = slot.least_revision.max(answer.revision);
-        let is_first = slot.waiting.remove(from);
+        slot.required_revision = slot.required_revision.max(answer.revision);
+        let is_first = slot.unanswered.remove(from);
         let is_known = slot.outstanding.contains_key(from);
         if !is_first && !is_known {
             return;
         }
         // Answers only shrink, so the smaller of two is right whatever their order.
-        let smaller = match slot.outstanding.remove(from) {
-            Some(known) => smaller(known, &answer.outstanding),
+        let remaining = match slot.outstanding.remove(from) {
+            Some(known) => min_amounts(known, &answer.outstanding),
             None => answer.outstanding.clone(),
         };
-        if !smaller.is_empty() {
-            slot.outstanding.insert(from.clone(), smaller);
+        if !remaining.is_empty() {
+            slot.outstanding.insert(from.clone(), remaining);
         }
         if is_first && !answer.levels.is_empty() {
-            slot.passed_on = answer.levels.clone();
+            slot.inherited_levels = answer.levels.clone();
         }
         self.refresh_held(key, now);
     }
@@ -211,9 +213,9 @@
     fn outstanding(&self, slot: &SlotId, epoch: u64) -> Vec<(AccountId, u64)> {
         let mut sums: BTreeMap<&AccountId, u64> = BTreeMap::new();
         for charge in self.charges.values() {
-            for source in &charge.sources {
-                if self.is_of_earlier(charge, source, slot, epoch) {
-                    *sums.entry(&charge.account).or_default() += source.reserved_micro;
+            for reservation in &charge.reservations {
+                if self.is_from_earlier_epoch(charge, reservation, slot, epoch) {
+                    *sums.entry(&charge.account).or_default() += reservation.reserved_micro;
                 }
             }
         }
@@ -222,15 +224,24 @@
             .collect()
     }
 
-    fn is_of_earlier(&self, charge: &Charge, source: &Source, slot: &SlotId, epoch: u64) -> bool {
-        match source.origin {
-            Origin::Part { role, epoch: at } => {
+    fn is_from_earlier_epoch(
+        &self,
+        charge: &Charge,
+        reservation: &Reservation,
+        slot: &SlotId,
+        epoch: u64,
+    ) -> bool {
+        match reservation.origin {
+            ReservationOrigin::Part {
+                role,
+                epoch: owned_epoch,
+            } => {
                 slot.region == self.region
                     && slot.role == role
                     && slot.shard == shard_of(&charge.account)
-                    && at < epoch
+                    && owned_epoch < epoch
             }
-            Origin::Loan(number) => self.loans.get(&number).is_some_and(|loan| {
+            ReservationOrigin::Loan(number) => self.taken_loans.get(&number).is_some_and(|loan| {
                 loan.slot == *slot && loan.granted.is_some_and(|granted| granted.epoch < epoch)
             }),
         }
@@ -242,8 +253,8 @@
         let Some(slot) = self.slots.get_mut(&key) else {
             return;
         };
-        let passed_on = if slot.waiting.is_empty() {
-            std::mem::take(&mut slot.passed_on)
+        let inherited_levels = if slot.unanswered.is_empty() {
+            std::mem::take(&mut slot.inherited_levels)
         } else {
             Vec::new()
         };
@@ -255,8 +266,8 @@
                 continue;
             };
             part.set_held(slot.held_micro(id, part.cap_micro, revision, now), now);
-            let passed = passed_on.iter().find(|(of, _)| of == id);
-            if let Some((_, level_micro)) = passed {
+            let inherited = inherited_levels.iter().find(|(account, _)| account == id);
+            if let Some((_, level_micro)) = inherited {
                 part.add_level(*level_micro);
             }
         }
@@ -272,10 +283,10 @@
             return;
         }
         for slot in self.slots.values_mut() {
-            slot.waiting.retain(|peer| after.contains(peer));
+            slot.unanswered.retain(|peer| after.contains(peer));
             slot.outstanding.retain(|peer, _| after.contains(peer));
-            if slot.epoch > 1 && !slot.is_held_over(now) {
-                slot.waiting.extend(after.difference(&before).cloned());
+            if slot.epoch > 1 && !slot.is_hold_expired(now) {
+                slot.unanswered.extend(after.difference(&before).cloned());
             }
         }
         let keys: Vec<(u16, Role)> = self.slots.keys().copied().collect();
@@ -296,30 +307,30 @@
         let Some(slot) = self.slots.get_mut(&key) else {
             return;
         };
-        if slot.is_clear() {
+        if slot.is_audit_complete() {
             return;
         }
-        if slot.is_held_over(now) {
-            slot.waiting.clear();
+        if slot.is_hold_expired(now) {
+            slot.unanswered.clear();
             slot.outstanding.clear();
             self.refresh_held(key, now);
             return;
         }
-        if !slot.is_due(now) {
+        if !slot.is_audit_due(now) {
             return;
         }
-        slot.asked = Some(now);
+        slot.last_audit = Some(now);
         let audit = Audit {
             region: self.region.clone(),
             shard: key.0,
             role: key.1,
             epoch: slot.epoch,
         };
-        let asked: Vec<Peer> = slot.asked_members().cloned().collect();
-        for peer in asked {
+        let targets: Vec<Peer> = slot.members_to_audit().cloned().collect();
+        for peer in targets {
             if peer == self.me {
                 let answer = self.on_audit(&audit, now);
-                self.on_answer(&peer, &answer, now);
+                self.on_audit_answer(&peer, &answer, now);
                 continue;
             }
             let message = self.outbox.entry(peer).or_default();
@@ -328,9 +339,9 @@
     }
 }
 
-fn smaller(known: Vec<(AccountId, u64)>, answer: &[(AccountId, u64)]) -> Vec<(AccountId, u64)> {
+fn min_amounts(known: Vec<(AccountId, u64)>, answer: &[(AccountId, u64)]) -> Vec<(AccountId, u64)> {
     let amount = |id: &AccountId| {
-        let found = answer.iter().find(|(of, _)| of == id);
+        let found = answer.iter().find(|(account, _)| account == id);
         found.map_or(0, |(_, amount)| *amount)
     };
     known
--- a/crates/core/src/limit/borrow.rs
+++ b/crates/core/src/limit/borrow.rs
@@ -1,9 +1,9 @@
 //! Borrowing: the side of an instance whose own parts do not suffice.
 
-use super::account::{Active, Remote};
+use super::account::{ActiveState, RemoteSlot};
 use super::charge::{ChargeOutcome, ChargeRequest};
 use super::limiter::Limiter;
-use super::loan::Loan;
+use super::loan::TakenLoan;
 use super::message::{LoanGrant, LoanMessage, LoanReport, LoanRequest, OutgoingLoanMessage};
 use super::{MICRO_PER_TOKEN, REFILL_PER_MILLE};
 use crate::id::{AccountId, RegionId};
@@ -12,31 +12,31 @@
 use std::collections::BTreeMap;
 
 /// Time for an answer from the own region, in milliseconds.
-const HOME_ANSWER_MS: u64 = 20;
+const HOME_ANSWER_WAIT_MS: u64 = 20;
 /// Time for an answer from another region, in milliseconds.
-const AWAY_ANSWER_MS: u64 = 250;
+const OTHER_REGION_ANSWER_WAIT_MS: u64 = 250;
 /// Time after which an answer from the own region is no longer expected, in milliseconds.
-const HOME_LONGEST_ANSWER_MS: u64 = 100;
+const HOME_ANSWER_TIMEOUT_MS: u64 = 100;
 /// Time after which an answer from another region is no longer expected, in milliseconds.
-const AWAY_LONGEST_ANSWER_MS: u64 = 400;
+const OTHER_REGION_ANSWER_TIMEOUT_MS: u64 = 400;
 /// Least time left to a request for which another region is asked, in milliseconds.
-const AWAY_LEAST_MS: u64 = 200;
+const MIN_OTHER_REGION_TIME_LEFT_MS: u64 = 200;
 /// Longest time between two tries of a request that waits for refill, in milliseconds.
-const LONGEST_WAIT_MS: u64 = 100;
+const MAX_REFILL_RETRY_MS: u64 = 100;
 /// Demand that an instance borrows ahead for, in milliseconds.
-const AHEAD_MS: u64 = 1_500;
+const BORROW_AHEAD_MS: u64 = 1_500;
 /// An account's demand is concentrated at an instance from one in this many of its rate on.
-const CONCENTRATED_SHARE: u64 = 4;
+const CONCENTRATED_RATE_DIVISOR: u64 = 4;
 /// A part from this share of its burst on is about to lose accrual, in percent.
-const FULL_PCT: u64 = 90;
+const NEARLY_FULL_PCT: u64 = 90;
 /// A full part is asked for one in this many of its tokens.
-const FULL_SHARE_LENT: u64 = 3;
+const FULL_PART_LOAN_DIVISOR: u64 = 3;
 /// A loan that yields less than this share of what is needed is not worth a message.
-const LEAST_SHARE: u64 = 8;
+const MIN_LOAN_DIVISOR: u64 = 8;
 
 impl Limiter {
     /// Gathers what a request needs beyond what is available here.
-    pub(super) fn gather(
+    pub(super) fn borrow_for_request(
         &mut self,
         request: &ChargeRequest<'_>,
         need_micro: u64,
@@ -50,46 +50,46 @@
         let Some(active) = self.activate(request.account, now) else {
             return ChargeOutcome::UnknownAccount;
         };
-        let mut within_reach: u64 = pending_micro;
+        let mut obtainable_micro: u64 = pending_micro;
         for remote in &active.remotes {
-            if may_borrow && !remote.is_asked {
-                within_reach += remote.estimate_micro(now);
+            if may_borrow && !remote.is_request_pending {
+                obtainable_micro += remote.estimate_micro(now);
             }
         }
-        let short_micro = need_micro.saturating_sub(within_reach);
-        let accrual_ms = short_micro.div_ceil(rate_per_ms);
+        let shortfall_micro = need_micro.saturating_sub(obtainable_micro);
+        let accrual_ms = shortfall_micro.div_ceil(rate_per_ms);
         if accrual_ms > left_ms || left_ms == 0 {
             let retry_after_ms = accrual_ms.max(need_micro.div_ceil(rate_per_ms).min(1_000));
             return ChargeOutcome::Refused { retry_after_ms };
         }
-        let may_ask_away = left_ms >= AWAY_LEAST_MS;
-        let mut needed = need_micro.saturating_sub(pending_micro);
-        let least = (needed / LEAST_SHARE).max(MICRO_PER_TOKEN);
-        let mut asks = Vec::new();
-        let mut is_away = false;
-        for remote in order(&mut active.remotes, &home, now) {
+        let may_ask_other_regions = left_ms >= MIN_OTHER_REGION_TIME_LEFT_MS;
+        let mut needed_micro = need_micro.saturating_sub(pending_micro);
+        let min_micro = (needed_micro / MIN_LOAN_DIVISOR).max(MICRO_PER_TOKEN);
+        let mut planned = Vec::new();
+        let mut asks_other_region = false;
+        for remote in by_preference(&mut active.remotes, &home, now) {
             let is_home = remote.slot.region == home;
-            let estimate = remote.estimate_micro(now);
-            let is_too_small = estimate < least.min(needed);
-            let is_in_time = may_borrow && (is_home || may_ask_away);
-            if needed == 0 || remote.is_asked || is_too_small || !is_in_time {
+            let estimate_micro = remote.estimate_micro(now);
+            let is_too_small = estimate_micro < min_micro.min(needed_micro);
+            let is_in_time = may_borrow && (is_home || may_ask_other_regions);
+            if needed_micro == 0 || remote.is_request_pending || is_too_small || !is_in_time {
                 continue;
             }
-            let wanted = needed.min(estimate);
-            needed -= wanted;
-            is_away |= !is_home;
-            asks.push(mark_asked(remote, wanted, now));
+            let wanted_micro = needed_micro.min(estimate_micro);
+            needed_micro -= wanted_micro;
+            asks_other_region |= !is_home;
+            planned.push(mark_requested(remote, wanted_micro, now));
         }
-        if asks.is_empty() && pending_micro == 0 {
-            let ms = accrual_ms.clamp(5, LONGEST_WAIT_MS);
+        if planned.is_empty() && pending_micro == 0 {
+            let ms = accrual_ms.clamp(5, MAX_REFILL_RETRY_MS);
             return ChargeOutcome::Wait { ms };
         }
-        let wait_ms = if is_away || asks.is_empty() {
-            AWAY_ANSWER_MS
+        let wait_ms = if asks_other_region || planned.is_empty() {
+            OTHER_REGION_ANSWER_WAIT_MS
         } else {
-            HOME_ANSWER_MS
+            HOME_ANSWER_WAIT_MS
         };
-        let messages = self.send_asks(request.account, asks, true, now);
+        let messages = self.send_loan_requests(request.account, planned, true, now);
         ChargeOutcome::Borrow { messages, wait_ms }
     }
 
@@ -98,15 +98,15 @@
         if !self.has_joined(now) {
             return;
         }
-        let hot: Vec<AccountId> = self
+        let active_accounts: Vec<AccountId> = self
             .accounts
             .iter()
             .filter(|(_, account)| account.active.is_some())
             .map(|(id, _)| id.clone())
             .collect();
-        for id in hot {
-            let asks = self.asks_ahead(&id, now);
-            for (to, message) in self.send_asks(&id, asks, false, now) {
+        for id in active_accounts {
+            let planned = self.plan_ahead(&id, now);
+            for (to, message) in self.send_loan_requests(&id, planned, false, now) {
                 self.outbox
                     .entry(to)
                     .or_default()
@@ -116,10 +116,10 @@
         }
     }
 
-    fn asks_ahead(&mut self, id: &AccountId, now: Millis) -> Vec<Ask> {
+    fn plan_ahead(&mut self, id: &AccountId, now: Millis) -> Vec<PlannedRequest> {
         let home = self.region.clone();
         let rate_per_ms = self.rate_micro_per_ms(id);
-        let pending = self.pending_micro(id, now);
+        let pending_micro = self.pending_micro(id, now);
         let available = self.available_micro(id, now);
         let Some(account) = self.accounts.get_mut(id) else {
             return Vec::new();
@@ -131,48 +131,58 @@
         let Some(active) = &mut account.active else {
             return Vec::new();
         };
-        let demand = active.demand.over_ms(AHEAD_MS, now);
-        let target = demand.min(rate_per_ms * AHEAD_MS);
-        let accruing = own_per_ms * AHEAD_MS;
-        let have = available + pending + accruing;
+        let demand = active.demand.expected_micro(BORROW_AHEAD_MS, now);
+        let target = demand.min(rate_per_ms * BORROW_AHEAD_MS);
+        let accruing = own_per_ms * BORROW_AHEAD_MS;
+        let have = available + pending_micro + accruing;
         if target < MICRO_PER_TOKEN || accruing >= target {
             return Vec::new();
         }
         if have <= target / 2 {
-            let least = (target - have) / LEAST_SHARE;
-            return ask_in_order(active, &home, target - have, least, now);
+            let min_micro = (target - have) / MIN_LOAN_DIVISOR;
+            return plan_requests_in_order(active, &home, target - have, min_micro, now);
         }
-        let borrowed = available.saturating_sub(own_level) + pending;
-        let is_concentrated = target >= rate_per_ms * AHEAD_MS / CONCENTRATED_SHARE;
+        let borrowed = available.saturating_sub(own_level) + pending_micro;
+        let is_concentrated = target >= rate_per_ms * BORROW_AHEAD_MS / CONCENTRATED_RATE_DIVISOR;
         if !is_concentrated || borrowed >= target || is_nearly_full(own_level, own_cap) {
             return Vec::new();
         }
-        ask_full_ones(active, target - borrowed, now)
+        plan_requests_to_full_parts(active, target - borrowed, now)
     }
 
-    fn send_asks(
+    fn send_loan_requests(
         &mut self,
         account: &AccountId,
-        asks: Vec<Ask>,
+        planned: Vec<PlannedRequest>,
         is_urgent: bool,
         now: Millis,
     ) -> Vec<OutgoingLoanMessage> {
         let mut messages: BTreeMap<Peer, LoanMessage> = BTreeMap::new();
-        for ask in asks {
+        for plan in planned {
             let number = self.next_loan();
-            let item = LoanRequest {
+            let request = LoanRequest {
                 loan: number,
                 account: account.clone(),
-                role: ask.remote.slot.role,
-                wanted_micro: ask.wanted_micro,
+                role: plan.remote.slot.role,
+                wanted_micro: plan.wanted_micro,
                 is_urgent,
             };
-            let to = ask.remote.owner.clone();
-            messages.entry(to.clone()).or_default().requests.push(item);
-            let loan = Loan::new(account.clone(), ask.remote.slot, to, ask.wanted_micro, now);
-            self.loans.insert(number, loan);
+            let to = plan.remote.owner.clone();
+            messages
+                .entry(to.clone())
+                .or_default()
+                .requests
+                .push(request);
+            let loan = TakenLoan::new(
+                account.clone(),
+                plan.remote.slot,
+                to,
+                plan.wanted_micro,
+                now,
+            );
+            self.taken_loans.insert(number, loan);
             if let Some(active) = self.activate(account, now) {
-                active.loans.push(number);
+                active.loan_numbers.push(number);
             }
         }
         messages.into_iter().collect()
@@ -190,7 +200,7 @@
             used_micro: 0,
             returned_micro: grant.amount_micro,
         };
-        let Some(loan) = self.loans.get_mut(&grant.loan) else {
+        let Some(loan) = self.taken_loans.get_mut(&grant.loan) else {
             return (grant.amount_micro > 0).then_some(unwanted);
         };
         if loan.granted.is_some() {
@@ -198,23 +208,23 @@
         }
         let account = loan.account.clone();
         let slot = loan.slot.clone();
-        let least_epoch = self.least_epochs.get(&slot).copied().unwrap_or(0);
+        let min_epoch = self.min_epochs.get(&slot).copied().unwrap_or(0);
         let is_valid = loan.lender == *from
             && grant.amount_micro <= loan.wanted_micro
-            && grant.epoch >= least_epoch;
+            && grant.epoch >= min_epoch;
         if is_valid && grant.amount_micro > 0 && !loan.is_expired(now) {
             loan.grant(grant);
         } else {
-            self.forget_loan(grant.loan, &account);
+            self.remove_loan(grant.loan, &account);
         }
         if let Some(active) = self.activate(&account, now) {
             let remote = active.remotes.iter_mut().find(|remote| remote.slot == slot);
             if let Some(remote) = remote {
                 remote.note_level(grant.level_micro, now);
-                remote.is_asked = false;
+                remote.is_request_pending = false;
             }
         }
-        let is_taken = self.loans.contains_key(&grant.loan);
+        let is_taken = self.taken_loans.contains_key(&grant.loan);
         (!is_taken && grant.amount_micro > 0).then_some(unwanted)
     }
 
@@ -226,19 +236,19 @@
         let active = account.and_then(|account| account.active.as_ref());
         active
             .iter()
-            .flat_map(|active| &active.loans)
-            .filter_map(|number| self.loans.get(number))
+            .flat_map(|active| &active.loan_numbers)
+            .filter_map(|number| self.taken_loans.get(number))
             .filter(|loan| loan.granted.is_none())
-            .filter(|loan| now.since(loan.asked) < self.longest_answer_ms(&loan.slot.region))
+            .filter(|loan| now.since(loan.requested_at) < self.answer_timeout_ms(&loan.slot.region))
             .map(|loan| loan.wanted_micro)
             .sum()
     }
 
-    fn longest_answer_ms(&self, region: &RegionId) -> u64 {
+    fn answer_timeout_ms(&self, region: &RegionId) -> u64 {
         if *region == self.region {
-            HOME_LONGEST_ANSWER_MS
+            HOME_ANSWER_TIMEOUT_MS
         } else {
-            AWAY_LONGEST_ANSWER_MS
+            OTHER_REGION_ANSWER_TIMEOUT_MS
         }
     }
 
@@ -251,70 +261,81 @@
     }
 }
 
-/// Asks for `needed` micro-tokens, of slots that yield at least `least`.
-fn ask_in_order(
-    active: &mut Active,
+/// Asks for `needed` micro-tokens, of slots that yield at min_micro `least`.
+fn plan_requests_in_order(
+    active: &mut ActiveState,
     home: &RegionId,
-    mut needed: u64,
-    least: u64,
+    mut needed_micro: u64,
+    min_micro: u64,
     now: Millis,
-) -> Vec<Ask> {
-    let mut asks = Vec::new();
-    for remote in order(&mut active.remotes, home, now) {
-        let estimate = remote.estimate_micro(now);
-        if needed == 0 || remote.is_asked || estimate < least {
+) -> Vec<PlannedRequest> {
+    let mut planned = Vec::new();
+    for remote in by_preference(&mut active.remotes, home, now) {
+        let estimate_micro = remote.estimate_micro(now);
+        if needed_micro == 0 || remote.is_request_pending || estimate_micro < min_micro {
             continue;
         }
-        let wanted = needed.min(estimate);
-        needed -= wanted;
-        asks.push(mark_asked(remote, wanted, now));
+        let wanted_micro = needed_micro.min(estimate_micro);
+        needed_micro -= wanted_micro;
+        planned.push(mark_requested(remote, wanted_micro, now));
     }
-    asks
+    planned
 }
 
 /// Asks slots that are about to lose accrual because they are full, while this one is not. With
 /// all parts equally full the account can spend its whole burst, as with a single bucket.
-fn ask_full_ones(active: &mut Active, mut wanted_micro: u64, now: Millis) -> Vec<Ask> {
-    let mut asks = Vec::new();
+fn plan_requests_to_full_parts(
+    active: &mut ActiveState,
+    mut wanted_micro: u64,
+    now: Millis,
+) -> Vec<PlannedRequest> {
+    let mut planned = Vec::new();
     for remote in &mut active.remotes {
-        let estimate = remote.estimate_micro(now);
-        let is_full = is_nearly_full(estimate, remote.share.cap_micro);
-        if remote.is_asked || !is_full || wanted_micro < MICRO_PER_TOKEN {
+        let estimate_micro = remote.estimate_micro(now);
+        let is_full = is_nearly_full(estimate_micro, remote.share.cap_micro);
+        if remote.is_request_pending || !is_full || wanted_micro < MICRO_PER_TOKEN {
             continue;
         }
-        let wanted = wanted_micro.min(estimate / FULL_SHARE_LENT);
-        wanted_micro -= wanted;
-        asks.push(mark_asked(remote, wanted, now));
+        let requested_micro = wanted_micro.min(estimate_micro / FULL_PART_LOAN_DIVISOR);
+        wanted_micro -= requested_micro;
+        planned.push(mark_requested(remote, requested_micro, now));
     }
-    asks
+    planned
 }
 
 fn is_nearly_full(level_micro: u64, cap_micro: u64) -> bool {
-    level_micro >= cap_micro / 100 * FULL_PCT && cap_micro > 0
+    level_micro >= cap_micro / 100 * NEARLY_FULL_PCT && cap_micro > 0
 }
 
 /// An ask to be sent.
-struct Ask {
-    remote: Remote,
+struct PlannedRequest {
+    remote: RemoteSlot,
     wanted_micro: u64,
 }
 
-fn mark_asked(remote: &mut Remote, wanted_micro: u64, now: Millis) -> Ask {
+fn mark_requested(remote: &mut RemoteSlot, wanted_micro: u64, now: Millis) -> PlannedRequest {
     let left_micro = remote.estimate_micro(now) - wanted_micro;
     remote.note_level(left_micro, now);
-    remote.is_asked = true;
-    Ask {
+    remote.is_request_pending = true;
+    PlannedRequest {
         remote: remote.clone(),
         wanted_micro,
     }
 }
 
 /// Slots of the home region first, then the fullest of the others.
-fn order<'a>(remotes: &'a mut [Remote], home: &RegionId, now: Millis) -> Vec<&'a mut Remote> {
-    let mut ordered: Vec<&mut Remote> = remotes.iter_mut().collect();
+fn by_preference<'a>(
+    remotes: &'a mut [RemoteSlot],
+    home: &RegionId,
+    now: Millis,
+) -> Vec<&'a mut RemoteSlot> {
+    let mut ordered: Vec<&mut RemoteSlot> = remotes.iter_mut().collect();
     ordered.sort_by_key(|remote| {
-        let is_away = remote.slot.region != *home;
-        (is_away, std::cmp::Reverse(remote.estimate_micro(now)))
+        let is_other_region = remote.slot.region != *home;
+        (
+            is_other_region,
+            std::cmp::Reverse(remote.estimate_micro(now)),
+        )
     });
     ordered
 }
--- a/crates/core/src/limit/charge.rs
+++ b/crates/core/src/limit/charge.rs
@@ -56,7 +56,7 @@
 
 /// Where a charge's tokens come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Origin {
+pub(super) enum ReservationOrigin {
     /// The own part in a role, owned in an epoch.
     Part { role: Role, epoch: u64 },
     /// A loan by number.
@@ -65,8 +65,8 @@
 
 /// A reservation against one origin.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Source {
-    pub(super) origin: Origin,
+pub(super) struct Reservation {
+    pub(super) origin: ReservationOrigin,
     pub(super) reserved_micro: u64,
 }
 
@@ -74,8 +74,8 @@
 #[derive(Clone, Debug)]
 pub(super) struct Charge {
     pub(super) account: AccountId,
-    pub(super) sources: Vec<Source>,
+    pub(super) reservations: Vec<Reservation>,
     /// Revision of the document at admission.
     pub(super) revision: u64,
-    pub(super) ends: Millis,
+    pub(super) expires: Millis,
 }
--- a/crates/core/src/limit/charging.rs
+++ b/crates/core/src/limit/charging.rs
@@ -1,6 +1,8 @@
 //! Charging requests and settling them.
 
-use super::charge::{Charge, ChargeId, ChargeOutcome, ChargeRequest, Origin, Source};
+use super::charge::{
+    Charge, ChargeId, ChargeOutcome, ChargeRequest, Reservation, ReservationOrigin,
+};
 use super::limiter::Limiter;
 use super::{MAX_CHARGE_DURATION_MS, MICRO_PER_TOKEN};
 use crate::id::AccountId;
@@ -30,7 +32,7 @@
             self.note_demand(request.account, total_micro, now);
             return ChargeOutcome::Admitted { charge };
         }
-        let outcome = self.gather(request, total_micro - available, now);
+        let outcome = self.borrow_for_request(request, total_micro - available, now);
         if matches!(outcome, ChargeOutcome::Refused { .. }) {
             self.note_demand(request.account, total_micro, now);
         }
@@ -44,17 +46,17 @@
             return;
         };
         let mut used_left = used_output_tokens.saturating_mul(MICRO_PER_TOKEN);
-        for source in &charge.sources {
-            let used = used_left.min(source.reserved_micro);
+        for reservation in &charge.reservations {
+            let used = used_left.min(reservation.reserved_micro);
             used_left -= used;
-            self.settle_source(&charge.account, *source, used, now);
+            self.settle_reservation(&charge.account, *reservation, used, now);
         }
     }
 
     /// Charges that reached the longest time without being settled since the last call, and are
     /// counted as fully used. Their requests have to be ended.
     pub fn take_expired_charges(&mut self) -> Vec<ChargeId> {
-        std::mem::take(&mut self.ended)
+        std::mem::take(&mut self.expired_charges)
     }
 
     /// What an account could be charged here right now, in micro-tokens.
@@ -70,8 +72,8 @@
         let borrowed: u64 = state
             .active
             .iter()
-            .flat_map(|active| &active.loans)
-            .filter_map(|number| self.loans.get(number))
+            .flat_map(|active| &active.loan_numbers)
+            .filter_map(|number| self.taken_loans.get(number))
             .filter(|loan| !loan.is_expired(now))
             .map(|loan| loan.unspent_micro)
             .sum();
@@ -87,7 +89,7 @@
     pub(super) fn admit(&mut self, request: &ChargeRequest<'_>, now: Millis) -> ChargeId {
         let mut used_left = request.prompt_tokens * MICRO_PER_TOKEN;
         let mut reserved_left = request.max_output_tokens * MICRO_PER_TOKEN;
-        let mut sources = Vec::new();
+        let mut reservations = Vec::new();
         let mut split = |available: u64| {
             let used = used_left.min(available);
             let reserved = reserved_left.min(available - used);
@@ -99,9 +101,12 @@
             .accounts
             .get_mut(request.account)
             .expect("an account with tokens exists");
-        let numbers = account.active.iter().flat_map(|active| &active.loans);
+        let numbers = account
+            .active
+            .iter()
+            .flat_map(|active| &active.loan_numbers);
         for number in numbers {
-            let Some(loan) = self.loans.get_mut(number) else {
+            let Some(loan) = self.taken_loans.get_mut(number) else {
                 continue;
             };
             if loan.is_expired(now) || loan.unspent_micro == 0 {
@@ -112,8 +117,8 @@
             loan.used_micro += used;
             loan.reserved_micro += reserved;
             if reserved > 0 {
-                let origin = Origin::Loan(*number);
-                sources.push(Source {
+                let origin = ReservationOrigin::Loan(*number);
+                reservations.push(Reservation {
                     origin,
                     reserved_micro: reserved,
                 });
@@ -128,8 +133,8 @@
             part.charge(used, reserved);
             if reserved > 0 {
                 let epoch = part.epoch;
-                let origin = Origin::Part { role, epoch };
-                sources.push(Source {
+                let origin = ReservationOrigin::Part { role, epoch };
+                reservations.push(Reservation {
                     origin,
                     reserved_micro: reserved,
                 });
@@ -142,32 +147,32 @@
         self.next_charge += 1;
         let charge = Charge {
             account: request.account.clone(),
-            sources,
+            reservations,
             revision: self.revision(),
-            ends: now.plus(MAX_CHARGE_DURATION_MS),
+            expires: now.plus(MAX_CHARGE_DURATION_MS),
         };
         self.charges.insert(self.next_charge, charge);
         ChargeId(self.next_charge)
     }
 
-    pub(super) fn settle_source(
+    pub(super) fn settle_reservation(
         &mut self,
         account: &AccountId,
-        source: Source,
+        reservation: Reservation,
         used_micro: u64,
         now: Millis,
     ) {
-        let reserved = source.reserved_micro;
-        match source.origin {
-            Origin::Loan(number) => {
-                let Some(loan) = self.loans.get_mut(&number) else {
+        let reserved = reservation.reserved_micro;
+        match reservation.origin {
+            ReservationOrigin::Loan(number) => {
+                let Some(loan) = self.taken_loans.get_mut(&number) else {
                     return;
                 };
                 loan.reserved_micro -= reserved;
                 loan.used_micro += used_micro;
                 loan.returned_micro += reserved - used_micro;
             }
-            Origin::Part { role, epoch } => {
+            ReservationOrigin::Part { role, epoch } => {
                 let Some(account) = self.accounts.get_mut(account) else {
                     return;
                 };
--- a/crates/core/src/limit/lend.rs
+++ b/crates/core/src/limit/lend.rs
@@ -1,7 +1,7 @@
 //! Lending: the owner's side.
 
 use super::limiter::Limiter;
-use super::loan::Lent;
+use super::loan::GivenLoan;
 use super::message::{
     LoanAck, LoanGrant, LoanMessage, LoanReport, LoanRequest, OutgoingLoanMessage,
 };
@@ -11,9 +11,9 @@
 
 /// Demand of its own that a lender keeps back from borrowers without a waiting request, in
 /// milliseconds.
-const KEPT_BACK_MS: u64 = 500;
+const LENDER_RESERVE_MS: u64 = 500;
 /// Time between two sweeps of loans that were never reported, in milliseconds.
-const SWEEP_MS: u64 = 1_000;
+const SWEEP_INTERVAL_MS: u64 = 1_000;
 
 impl Limiter {
     /// Handles a message and returns the answers.
@@ -24,8 +24,8 @@
         now: Millis,
     ) -> Vec<OutgoingLoanMessage> {
         let mut answer = LoanMessage::default();
-        for ask in &message.requests {
-            answer.grants.push(self.on_ask(from, ask, now));
+        for request in &message.requests {
+            answer.grants.push(self.on_loan_request(from, request, now));
         }
         for grant in &message.grants {
             if grant.incarnation == self.me.incarnation {
@@ -44,7 +44,7 @@
             answer.audit_answers.push(self.on_audit(audit, now));
         }
         for audit_answer in &message.audit_answers {
-            self.on_answer(from, audit_answer, now);
+            self.on_audit_answer(from, audit_answer, now);
         }
         if answer == LoanMessage::default() {
             return Vec::new();
@@ -55,21 +55,21 @@
     /// Does what is due with time, and returns messages to send.
     pub fn tick(&mut self, now: Millis) -> Vec<OutgoingLoanMessage> {
         self.first_tick.get_or_insert(now);
-        self.end_charges(now);
-        self.tend_loans(now);
+        self.expire_charges(now);
+        self.maintain_loans(now);
         self.borrow_ahead(now);
-        if now.since(self.last_sweep) >= SWEEP_MS {
+        if now.since(self.last_sweep) >= SWEEP_INTERVAL_MS {
             self.last_sweep = now;
-            self.expire_lent(now);
-            self.forget_idle(now);
+            self.expire_given_loans(now);
+            self.drop_idle_state(now);
         }
         self.send_audits(now);
         std::mem::take(&mut self.outbox).into_iter().collect()
     }
 
-    fn on_ask(&mut self, from: &Peer, ask: &LoanRequest, now: Millis) -> LoanGrant {
+    fn on_loan_request(&mut self, from: &Peer, request: &LoanRequest, now: Millis) -> LoanGrant {
         let mut grant = LoanGrant {
-            loan: ask.loan,
+            loan: request.loan,
             incarnation: from.incarnation,
             epoch: 0,
             revision: self.revision(),
@@ -77,18 +77,20 @@
             level_micro: 0,
         };
         let is_usable = !self.are_slots_invalid;
-        let Some(account) = self.accounts.get_mut(&ask.account) else {
+        let Some(account) = self.accounts.get_mut(&request.account) else {
             return grant;
         };
         let active = account.active.as_ref();
-        let demand_micro = active.map_or(0, |active| active.demand.over_ms(KEPT_BACK_MS, now));
-        let Some(part) = &mut account.parts[ask.role as usize] else {
+        let demand_micro = active.map_or(0, |active| {
+            active.demand.expected_micro(LENDER_RESERVE_MS, now)
+        });
+        let Some(part) = &mut account.parts[request.role as usize] else {
             return grant;
         };
         part.accrue(now);
         grant.epoch = part.epoch;
-        let key = (from.clone(), ask.loan);
-        if let Some(lent) = self.lent.get(&key) {
+        let key = (from.clone(), request.loan);
+        if let Some(lent) = self.given_loans.get(&key) {
             grant.amount_micro = lent.amount_micro;
             grant.epoch = lent.epoch;
             grant.level_micro = part.level_micro;
@@ -97,22 +99,22 @@
         if !is_usable || part.is_suspended {
             return grant;
         }
-        let kept_micro = if ask.is_urgent { 0 } else { demand_micro };
-        let spare_micro = part.level_micro.saturating_sub(kept_micro);
-        grant.amount_micro = ask.wanted_micro.min(spare_micro);
+        let withheld_micro = if request.is_urgent { 0 } else { demand_micro };
+        let spare_micro = part.level_micro.saturating_sub(withheld_micro);
+        grant.amount_micro = request.wanted_micro.min(spare_micro);
         part.lend(grant.amount_micro);
         grant.level_micro = spare_micro - grant.amount_micro;
         if grant.amount_micro > 0 {
-            let lent = Lent {
-                account: ask.account.clone(),
-                role: ask.role,
+            let lent = GivenLoan {
+                account: request.account.clone(),
+                role: request.role,
                 epoch: part.epoch,
                 amount_micro: grant.amount_micro,
                 used_micro: 0,
                 returned_micro: 0,
                 expires: now.plus(GIVEN_LOAN_LIFE_MS),
             };
-            self.lent.insert(key, lent);
+            self.given_loans.insert(key, lent);
         }
         grant
     }
@@ -126,14 +128,14 @@
             returned_micro: report.returned_micro,
         };
         let key = (from.clone(), report.loan);
-        let Some(lent) = self.lent.get_mut(&key) else {
+        let Some(lent) = self.given_loans.get_mut(&key) else {
             return ack;
         };
-        let news = lent.merge(report);
+        let newly_settled = lent.merge(report);
         ack.used_micro = lent.used_micro;
         ack.returned_micro = lent.returned_micro;
         ack.is_closed = lent.outstanding_micro() == 0;
-        if let Some((used_micro, returned_micro)) = news {
+        if let Some((used_micro, returned_micro)) = newly_settled {
             let account = self.accounts.get_mut(&lent.account);
             let part = account.and_then(|account| account.parts[lent.role as usize].as_mut());
             if let Some(part) = part.filter(|part| part.epoch == lent.epoch) {
@@ -141,21 +143,21 @@
             }
         }
         if ack.is_closed {
-            self.lent.remove(&key);
+            self.given_loans.remove(&key);
         }
         ack
     }
 
     /// Counts loans as spent whose borrower has not reported in the longest time.
-    fn expire_lent(&mut self, now: Millis) {
+    fn expire_given_loans(&mut self, now: Millis) {
         let expired: Vec<(Peer, u64)> = self
-            .lent
+            .given_loans
             .iter()
             .filter(|(_, lent)| lent.expires <= now)
             .map(|(key, _)| key.clone())
             .collect();
         for key in expired {
-            let Some(lent) = self.lent.remove(&key) else {
+            let Some(lent) = self.given_loans.remove(&key) else {
                 continue;
             };
             let account = self.accounts.get_mut(&lent.account);
--- a/crates/core/src/limit/limiter.rs
+++ b/crates/core/src/limit/limiter.rs
@@ -1,12 +1,12 @@
 //! The parts, loans and charges of one instance.
 
-use super::account::{Account, Active, Remote};
-use super::audit::Slot;
-use super::charge::{Charge, ChargeId, Origin};
-use super::loan::{Lent, Loan};
+use super::account::{AccountState, ActiveState, RemoteSlot};
+use super::audit::SlotState;
+use super::charge::{Charge, ChargeId, ReservationOrigin};
+use super::loan::{GivenLoan, TakenLoan};
 use super::message::LoanMessage;
-use super::part::Part;
-use super::table::{Share, Table};
+use super::part::BucketPart;
+use super::table::{LimitTable, PartShare};
 use super::JOIN_DELAY_MS;
 use crate::document::Document;
 use crate::id::{AccountId, RegionId};
@@ -31,7 +31,7 @@
 
 /// Levels of a slot handed over, kept for the owner in the next epoch.
 #[derive(Clone, Debug)]
-pub(super) struct Passed {
+pub(super) struct HandedOverLevels {
     pub(super) epoch: u64,
     pub(super) levels: Vec<(AccountId, u64)>,
 }
@@ -45,20 +45,20 @@
     pub(super) me: Peer,
     pub(super) region: RegionId,
     /// Tables in force somewhere, in ascending order of revision.
-    pub(super) tables: Vec<Table>,
+    pub(super) tables: Vec<LimitTable>,
     pub(super) fleet_revision: u64,
-    pub(super) accounts: HashMap<AccountId, Account>,
-    pub(super) slots: BTreeMap<(u16, Role), Slot>,
+    pub(super) accounts: HashMap<AccountId, AccountState>,
+    pub(super) slots: BTreeMap<(u16, Role), SlotState>,
     pub(super) owners: HashMap<SlotId, Peer>,
     pub(super) members: Vec<Peer>,
     /// Lowest epoch of which a loan is accepted, by slot.
-    pub(super) least_epochs: HashMap<SlotId, u64>,
+    pub(super) min_epochs: HashMap<SlotId, u64>,
     /// Levels kept for the next owner of slots handed over.
-    pub(super) passed: HashMap<(u16, Role), Passed>,
-    pub(super) lent: HashMap<(Peer, u64), Lent>,
-    pub(super) loans: BTreeMap<u64, Loan>,
+    pub(super) handed_over: HashMap<(u16, Role), HandedOverLevels>,
+    pub(super) given_loans: HashMap<(Peer, u64), GivenLoan>,
+    pub(super) taken_loans: BTreeMap<u64, TakenLoan>,
     pub(super) charges: BTreeMap<u64, Charge>,
-    pub(super) ended: Vec<ChargeId>,
+    pub(super) expired_charges: Vec<ChargeId>,
     pub(super) outbox: BTreeMap<Peer, LoanMessage>,
     pub(super) are_slots_invalid: bool,
     pub(super) last_sweep: Millis,
@@ -79,12 +79,12 @@
             slots: BTreeMap::new(),
             owners: HashMap::new(),
             members: Vec::new(),
-            least_epochs: HashMap::new(),
-            passed: HashMap::new(),
-            lent: HashMap::new(),
-            loans: BTreeMap::new(),
+            min_epochs: HashMap::new(),
+            handed_over: HashMap::new(),
+            given_loans: HashMap::new(),
+            taken_loans: BTreeMap::new(),
             charges: BTreeMap::new(),
-            ended: Vec::new(),
+            expired_charges: Vec::new(),
             outbox: BTreeMap::new(),
             are_slots_invalid: false,
             last_sweep: Millis::default(),
@@ -106,7 +106,7 @@
         {
             return;
         }
-        self.tables.push(Table::new(revision, document));
+        self.tables.push(LimitTable::new(revision, document));
         self.refresh_accounts(now);
     }
 
@@ -129,30 +129,35 @@
             return 0;
         };
         let mut parts = self.accounts.values().flat_map(|account| &account.parts);
-        let is_within = parts.all(|part| part.as_ref().is_none_or(Part::is_settled));
-        if !is_within || !self.slots.values().all(Slot::is_answered) {
+        let is_within = parts.all(|part| part.as_ref().is_none_or(BucketPart::is_within_share));
+        if !is_within || !self.slots.values().all(SlotState::has_all_answers) {
             return self.fleet_revision.min(newest.revision);
         }
-        let loans = self.loans.values().filter(|loan| !loan.is_final());
-        let lent = loans.filter_map(|loan| loan.granted.map(|granted| granted.revision));
+        let loans = self.taken_loans.values().filter(|loan| !loan.is_final());
+        let loan_revisions = loans.filter_map(|loan| loan.granted.map(|granted| granted.revision));
         let orphans = self
             .charges
             .values()
             .filter(|charge| self.is_orphan(charge));
-        let charged = orphans.map(|charge| charge.revision);
-        lent.chain(charged).fold(newest.revision, u64::min)
+        let charge_revisions = orphans.map(|charge| charge.revision);
+        loan_revisions
+            .chain(charge_revisions)
+            .fold(newest.revision, u64::min)
     }
 
     /// A part of the charge's reservation belongs to an ownership that has ended.
     fn is_orphan(&self, charge: &Charge) -> bool {
         let shard = shard_of(&charge.account);
-        charge.sources.iter().any(|source| match source.origin {
-            Origin::Loan(_) => false,
-            Origin::Part { role, epoch } => {
-                let slot = self.slots.get(&(shard, role));
-                slot.is_none_or(|slot| slot.epoch != epoch)
-            }
-        })
+        charge
+            .reservations
+            .iter()
+            .any(|reservation| match reservation.origin {
+                ReservationOrigin::Loan(_) => false,
+                ReservationOrigin::Part { role, epoch } => {
+                    let slot = self.slots.get(&(shard, role));
+                    slot.is_none_or(|slot| slot.epoch != epoch)
+                }
+            })
     }
 
     /// Sets all members that are not confirmed gone, this instance included: those on the live
@@ -220,10 +225,10 @@
     /// settled by what they have used.
     pub fn invalidate_slots(&mut self) -> Vec<ChargeId> {
         self.are_slots_invalid = true;
-        for loan in self.loans.values_mut() {
+        for loan in self.taken_loans.values_mut() {
             loan.give_back();
         }
-        self.loans.retain(|_, loan| loan.granted.is_some());
+        self.taken_loans.retain(|_, loan| loan.granted.is_some());
         for account in self.accounts.values_mut() {
             account.active = None;
         }
@@ -246,13 +251,13 @@
                 .filter(|account| account.parts.iter().any(Option::is_some))
                 .count(),
             charges: self.charges.len(),
-            loans_taken: self.loans.len(),
-            loans_given: self.lent.len(),
+            loans_taken: self.taken_loans.len(),
+            loans_given: self.given_loans.len(),
         }
     }
 
     /// The account's state in use, with the slots that it may borrow from.
-    pub(super) fn activate(&mut self, id: &AccountId, now: Millis) -> Option<&mut Active> {
+    pub(super) fn activate(&mut self, id: &AccountId, now: Millis) -> Option<&mut ActiveState> {
         let account = self.accounts.get_mut(id)?;
         let active = account.active.get_or_insert_default();
         if active.remotes.is_empty() {
@@ -271,13 +276,13 @@
                     if share.cap_micro == 0 || *owner == self.me {
                         continue;
                     }
-                    active.remotes.push(Remote {
+                    active.remotes.push(RemoteSlot {
                         slot,
                         owner: owner.clone(),
                         share,
                         level_micro: share.cap_micro,
                         updated: now,
-                        is_asked: false,
+                        is_request_pending: false,
                     });
                 }
             }
@@ -307,18 +312,18 @@
     }
 
     /// The share in force of an own part: the smallest of all revisions that may be in force.
-    pub(super) fn share(&self, account: &AccountId, role: Role) -> Share {
+    pub(super) fn effective_share(&self, account: &AccountId, role: Role) -> PartShare {
         let Some(first) = self.tables.first() else {
-            return Share::default();
+            return PartShare::default();
         };
         // Smaller shares of revisions before the first one known may still be in force.
         if first.revision > self.fleet_revision {
-            return Share::default();
+            return PartShare::default();
         }
         self.tables
             .iter()
             .map(|table| table.share(account, &self.region, role))
-            .reduce(Share::min)
+            .reduce(PartShare::min)
             .unwrap_or_default()
     }
 
@@ -329,7 +334,7 @@
         };
         for id in newest.accounts.keys() {
             if !self.accounts.contains_key(id) {
-                let account = Account::new(shard_of(id));
+                let account = AccountState::new(shard_of(id));
                 self.accounts.insert(id.clone(), account);
             }
         }
@@ -339,17 +344,17 @@
             if let Some(active) = &mut account.active {
                 active.remotes.clear();
             }
-            for (at, role) in Role::ALL.into_iter().enumerate() {
+            for (index, role) in Role::ALL.into_iter().enumerate() {
                 let slot = self.slots.get(&(account.shard, role));
-                account.parts[at] = match (account.parts[at].take(), slot) {
+                account.parts[index] = match (account.parts[index].take(), slot) {
                     (_, None) => None,
                     (Some(part), Some(slot)) if part.epoch == slot.epoch => Some(part),
-                    (_, Some(slot)) => Some(Part::new(slot.epoch, now)),
+                    (_, Some(slot)) => Some(BucketPart::new(slot.epoch, now)),
                 };
-                let Some(part) = &mut account.parts[at] else {
+                let Some(part) = &mut account.parts[index] else {
                     continue;
                 };
-                let share = self.share(id, role);
+                let share = self.effective_share(id, role);
                 part.set_limits(share.cap_micro, share.rate_micro_per_s, now);
                 if let Some(slot) = slot {
                     part.is_suspended = slot.is_suspended;
--- a/crates/core/src/limit/loan.rs
+++ b/crates/core/src/limit/loan.rs
@@ -7,22 +7,22 @@
 use crate::time::Millis;
 
 /// Time after which an ask without an answer is given up, in milliseconds.
-pub(super) const ASK_TIMEOUT_MS: u64 = 1_000;
+pub(super) const LOAN_REQUEST_TIMEOUT_MS: u64 = 1_000;
 /// Time between two reports on the same loan while nothing is final, in milliseconds.
-const PARTIAL_REPORT_MS: u64 = 1_000;
+const PARTIAL_REPORT_INTERVAL_MS: u64 = 1_000;
 /// Time after which a final report without an acknowledgement is sent again, in milliseconds.
-const REPORT_RETRY_MS: u64 = 1_000;
+const FINAL_REPORT_RETRY_MS: u64 = 1_000;
 
 /// A loan as the borrower keeps it.
 #[derive(Clone, Debug)]
-pub(super) struct Loan {
+pub(super) struct TakenLoan {
     pub(super) account: AccountId,
     pub(super) slot: SlotId,
     pub(super) lender: Peer,
-    pub(super) asked: Millis,
+    pub(super) requested_at: Millis,
     pub(super) wanted_micro: u64,
     /// Absent until the lender has answered.
-    pub(super) granted: Option<Granted>,
+    pub(super) granted: Option<GrantTerms>,
     pub(super) unspent_micro: u64,
     pub(super) reserved_micro: u64,
     pub(super) used_micro: u64,
@@ -34,24 +34,24 @@
 
 /// Under what conditions a loan was granted.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Granted {
+pub(super) struct GrantTerms {
     pub(super) epoch: u64,
     pub(super) revision: u64,
 }
 
-impl Loan {
+impl TakenLoan {
     pub(super) fn new(
         account: AccountId,
         slot: SlotId,
         lender: Peer,
         wanted_micro: u64,
-        asked: Millis,
+        requested_at: Millis,
     ) -> Self {
         Self {
             account,
             slot,
             lender,
-            asked,
+            requested_at,
             wanted_micro,
             granted: None,
             unspent_micro: 0,
@@ -60,7 +60,7 @@
             returned_micro: 0,
             acked_micro: 0,
             reported_micro: 0,
-            reported_at: asked,
+            reported_at: requested_at,
         }
     }
 
@@ -69,7 +69,7 @@
         assert!(self.granted.is_none(), "a loan credited twice");
         assert!(grant.amount_micro <= self.wanted_micro, "a loan too large");
         self.unspent_micro = grant.amount_micro;
-        self.granted = Some(Granted {
+        self.granted = Some(GrantTerms {
             epoch: grant.epoch,
             revision: grant.revision,
         });
@@ -77,7 +77,8 @@
 
     /// Requests may no longer be admitted against the loan.
     pub(super) fn is_expired(&self, now: Millis) -> bool {
-        now.since(self.asked) >= LOAN_USABLE_MS - LOAN_USABLE_MS * MAX_CLOCK_DRIFT_PPM / 1_000_000
+        now.since(self.requested_at)
+            >= LOAN_USABLE_MS - LOAN_USABLE_MS * MAX_CLOCK_DRIFT_PPM / 1_000_000
     }
 
     /// Nothing of the loan can still be used.
@@ -86,12 +87,12 @@
     }
 
     /// The borrower may forget the loan.
-    pub(super) fn is_over(&self, now: Millis) -> bool {
+    pub(super) fn can_be_removed(&self, now: Millis) -> bool {
         if self.granted.is_none() {
-            return now.since(self.asked) > ASK_TIMEOUT_MS;
+            return now.since(self.requested_at) > LOAN_REQUEST_TIMEOUT_MS;
         }
         let is_acked = self.is_final() && self.acked_micro == self.settled_micro();
-        is_acked || now.since(self.asked) > FORMER_OWNER_HOLD_MS + LOAN_USABLE_MS
+        is_acked || now.since(self.requested_at) > FORMER_OWNER_HOLD_MS + LOAN_USABLE_MS
     }
 
     /// Gives back what is not spent.
@@ -119,8 +120,8 @@
         let is_new = self.reported_micro != settled;
         let is_due = match (self.is_final(), is_new) {
             (true, true) => true,
-            (true, false) => age_ms >= REPORT_RETRY_MS,
-            (false, _) => age_ms >= PARTIAL_REPORT_MS,
+            (true, false) => age_ms >= FINAL_REPORT_RETRY_MS,
+            (false, _) => age_ms >= PARTIAL_REPORT_INTERVAL_MS,
         };
         if !is_due {
             return None;
@@ -142,7 +143,7 @@
 
 /// A loan as the lender keeps it, so that a doubled ask gets the same answer.
 #[derive(Clone, Debug)]
-pub(super) struct Lent {
+pub(super) struct GivenLoan {
     pub(super) account: AccountId,
     pub(super) role: Role,
     pub(super) epoch: u64,
@@ -152,7 +153,7 @@
     pub(super) expires: Millis,
 }
 
-impl Lent {
+impl GivenLoan {
     /// What the borrower may still hold.
     pub(super) fn outstanding_micro(&self) -> u64 {
         self.amount_micro - self.used_micro - self.returned_micro
@@ -166,9 +167,9 @@
         if used.checked_add(returned)? > self.amount_micro {
             return None;
         }
-        let news = (used - self.used_micro, returned - self.returned_micro);
+        let newly_settled = (used - self.used_micro, returned - self.returned_micro);
         self.used_micro = used;
         self.returned_micro = returned;
-        Some(news)
+        Some(newly_settled)
     }
 }
--- a/crates/core/src/limit/maintenance.rs
+++ b/crates/core/src/limit/maintenance.rs
@@ -8,40 +8,40 @@
 use std::collections::BTreeMap;
 
 /// Demand that an instance keeps of what it has borrowed, in milliseconds.
-const KEPT_MS: u64 = 3_000;
+const RETAINED_DEMAND_MS: u64 = 3_000;
 /// Age at which an unspent loan beyond the demand is given back, in milliseconds.
 const IDLE_LOAN_MS: u64 = 1_500;
 
 impl Limiter {
     pub(super) fn on_ack(&mut self, ack: &LoanAck) {
-        if let Some(loan) = self.loans.get_mut(&ack.loan) {
+        if let Some(loan) = self.taken_loans.get_mut(&ack.loan) {
             loan.ack(ack.used_micro.saturating_add(ack.returned_micro));
         }
     }
 
-    /// Gives back what is not needed, sends due reports and forgets loans that are over.
-    pub(super) fn tend_loans(&mut self, now: Millis) {
-        let mut over = Vec::new();
+    /// Gives back what is not needed, sends due reports and forgets loans that are removable.
+    pub(super) fn maintain_loans(&mut self, now: Millis) {
+        let mut removable = Vec::new();
         let mut spent = Vec::new();
         let mut excess: BTreeMap<AccountId, u64> = BTreeMap::new();
-        let numbers: Vec<u64> = self.loans.keys().copied().collect();
+        let numbers: Vec<u64> = self.taken_loans.keys().copied().collect();
         for number in numbers {
             self.give_back_idle(number, &mut excess, now);
-            let Some(loan) = self.loans.get_mut(&number) else {
+            let Some(loan) = self.taken_loans.get_mut(&number) else {
                 continue;
             };
             if let Some(report) = loan.due_report(number, now) {
                 let message = self.outbox.entry(loan.lender.clone()).or_default();
                 message.reports.push(report);
             }
-            if loan.is_over(now) {
-                over.push((number, loan.account.clone()));
+            if loan.can_be_removed(now) {
+                removable.push((number, loan.account.clone()));
             } else if loan.granted.is_some() && loan.unspent_micro == 0 {
                 spent.push((number, loan.account.clone()));
             }
         }
-        for (number, account) in over {
-            self.forget_loan(number, &account);
+        for (number, account) in removable {
+            self.remove_loan(number, &account);
         }
         for (number, account) in spent {
             self.unlist_loan(number, &account);
@@ -54,14 +54,14 @@
         excess: &mut BTreeMap<AccountId, u64>,
         now: Millis,
     ) {
-        let Some(loan) = self.loans.get(&number) else {
+        let Some(loan) = self.taken_loans.get(&number) else {
             return;
         };
         if loan.unspent_micro == 0 {
             return;
         }
         let mut is_due = loan.is_expired(now);
-        if !is_due && now.since(loan.asked) >= IDLE_LOAN_MS {
+        if !is_due && now.since(loan.requested_at) >= IDLE_LOAN_MS {
             let account = loan.account.clone();
             let unspent = loan.unspent_micro;
             let spare = match excess.get(&account) {
@@ -69,13 +69,13 @@
                 None => self.excess_micro(&account, now),
             };
             is_due = unspent <= spare;
-            let rest = if is_due { spare - unspent } else { spare };
-            excess.insert(account, rest);
+            let remaining = if is_due { spare - unspent } else { spare };
+            excess.insert(account, remaining);
         }
         if !is_due {
             return;
         }
-        if let Some(loan) = self.loans.get_mut(&number) {
+        if let Some(loan) = self.taken_loans.get_mut(&number) {
             loan.give_back();
         }
     }
@@ -88,24 +88,24 @@
         let Some(active) = &account.active else {
             return u64::MAX;
         };
-        let numbers = active.loans.iter();
-        let loans = numbers.filter_map(|number| self.loans.get(number));
+        let numbers = active.loan_numbers.iter();
+        let loans = numbers.filter_map(|number| self.taken_loans.get(number));
         let borrowed: u64 = loans.map(|loan| loan.unspent_micro).sum();
-        borrowed.saturating_sub(active.demand.over_ms(KEPT_MS, now))
+        borrowed.saturating_sub(active.demand.expected_micro(RETAINED_DEMAND_MS, now))
     }
 
-    pub(super) fn forget_loan(&mut self, number: u64, account: &AccountId) {
-        let Some(loan) = self.loans.remove(&number) else {
+    pub(super) fn remove_loan(&mut self, number: u64, account: &AccountId) {
+        let Some(loan) = self.taken_loans.remove(&number) else {
             return;
         };
         let account = self.accounts.get_mut(account);
         let Some(active) = account.and_then(|account| account.active.as_mut()) else {
             return;
         };
-        active.loans.retain(|of| *of != number);
+        active.loan_numbers.retain(|listed| *listed != number);
         if loan.granted.is_none() {
             for remote in &mut active.remotes {
-                remote.is_asked &= remote.slot != loan.slot;
+                remote.is_request_pending &= remote.slot != loan.slot;
             }
         }
     }
@@ -114,26 +114,27 @@
     pub(super) fn unlist_loan(&mut self, number: u64, account: &AccountId) {
         let account = self.accounts.get_mut(account);
         if let Some(active) = account.and_then(|account| account.active.as_mut()) {
-            active.loans.retain(|of| *of != number);
+            active.loan_numbers.retain(|listed| *listed != number);
         }
     }
 
     /// Ends charges that were never settled, as fully used.
-    pub(super) fn end_charges(&mut self, now: Millis) {
+    pub(super) fn expire_charges(&mut self, now: Millis) {
         while let Some((&number, charge)) = self.charges.iter().next() {
-            if charge.ends > now {
+            if charge.expires > now {
                 return;
             }
             self.settle(ChargeId(number), u64::MAX, now);
-            self.ended.push(ChargeId(number));
+            self.expired_charges.push(ChargeId(number));
         }
     }
 
     /// Drops the state in use of accounts without demand and loans.
-    pub(super) fn forget_idle(&mut self, now: Millis) {
+    pub(super) fn drop_idle_state(&mut self, now: Millis) {
         for account in self.accounts.values_mut() {
             let is_idle = account.active.as_ref().is_some_and(|active| {
-                active.loans.is_empty() && active.demand.over_ms(KEPT_MS, now) == 0
+                active.loan_numbers.is_empty()
+                    && active.demand.expected_micro(RETAINED_DEMAND_MS, now) == 0
             });
             if is_idle {
                 account.active = None;
--- a/crates/core/src/limit/part.rs
+++ b/crates/core/src/limit/part.rs
@@ -7,7 +7,7 @@
 
 /// A part: what one slot may spend of one account.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Part {
+pub(super) struct BucketPart {
     /// Epoch of the slot's ownership.
     pub(super) epoch: u64,
     /// The slot is being given away: the part may not be used.
@@ -29,7 +29,7 @@
     updated: Millis,
 }
 
-impl Part {
+impl BucketPart {
     /// An empty part.
     pub(super) fn new(epoch: u64, now: Millis) -> Self {
         Self {
@@ -51,7 +51,7 @@
         let gained = u64::try_from(scaled / ACCRUAL_SCALE).unwrap_or(u64::MAX);
         self.remainder = u32::try_from(scaled % ACCRUAL_SCALE).unwrap_or(0);
         self.level_micro = self.level_micro.saturating_add(gained);
-        self.trim();
+        self.clamp_level();
     }
 
     /// Tokens that are not in the level but may still be used.
@@ -62,12 +62,12 @@
     }
 
     /// The part keeps within its share of the burst.
-    pub(super) fn is_settled(&self) -> bool {
+    pub(super) fn is_within_share(&self) -> bool {
         self.committed_micro() <= self.cap_micro
     }
 
     /// Cuts the level to what the share of the burst leaves room for.
-    fn trim(&mut self) {
+    fn clamp_level(&mut self) {
         let room = self.cap_micro.saturating_sub(self.committed_micro());
         if self.level_micro > room {
             self.level_micro = room;
@@ -84,20 +84,20 @@
         self.accrue(now);
         self.cap_micro = cap_micro;
         self.rate_micro_per_s = rate_micro_per_s;
-        self.trim();
+        self.clamp_level();
     }
 
     /// Sets what earlier owners' tokens may still amount to.
     pub(super) fn set_held(&mut self, held_micro: u64, now: Millis) {
         self.accrue(now);
         self.held_micro = held_micro;
-        self.trim();
+        self.clamp_level();
     }
 
     /// Adds tokens that the former owner passes on.
     pub(super) fn add_level(&mut self, amount_micro: u64) {
         self.level_micro = self.level_micro.saturating_add(amount_micro);
-        self.trim();
+        self.clamp_level();
     }
 
     /// Moves tokens from the level to used and reserved.
@@ -118,7 +118,7 @@
         self.accrue(now);
         self.reserved_micro -= reserved_micro;
         self.level_micro += reserved_micro - used_micro;
-        self.trim();
+        self.clamp_level();
     }
 
     /// Moves tokens from the level to a borrower.
@@ -135,6 +135,6 @@
         self.accrue(now);
         self.lent_micro -= total;
         self.level_micro += returned_micro;
-        self.trim();
+        self.clamp_level();
     }
 }
--- a/crates/core/src/limit/table.rs
+++ b/crates/core/src/limit/table.rs
@@ -13,14 +13,14 @@
     bound_region: Option<RegionId>,
 }
 
-/// Share of one part.
+/// PartShare of one part.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Share {
+pub(super) struct PartShare {
     pub(super) cap_micro: u64,
     pub(super) rate_micro_per_s: u64,
 }
 
-impl Share {
+impl PartShare {
     /// The smaller of both, for burst and rate each.
     pub(super) fn min(self, other: Self) -> Self {
         Self {
@@ -32,13 +32,13 @@
 
 /// What one revision of the document says about limits.
 #[derive(Clone, Debug)]
-pub(super) struct Table {
+pub(super) struct LimitTable {
     pub(super) revision: u64,
     regions: Vec<(RegionId, u64)>,
     pub(super) accounts: HashMap<AccountId, AccountLimits>,
 }
 
-impl Table {
+impl LimitTable {
     pub(super) fn new(revision: u64, document: &Document) -> Self {
         let total: u64 = document
             .regions
@@ -76,13 +76,13 @@
     }
 
     /// The share of the slot of `account` in `region` and `role`.
-    pub(super) fn share(&self, account: &AccountId, region: &RegionId, role: Role) -> Share {
+    pub(super) fn share(&self, account: &AccountId, region: &RegionId, role: Role) -> PartShare {
         let Some(limits) = self.accounts.get(account) else {
-            return Share::default();
+            return PartShare::default();
         };
         let weight_ppm = self.weight_ppm(limits, region) * role.share_ppm() / u64::from(WHOLE_PPM);
         // Tokens times parts per million are micro-tokens.
-        Share {
+        PartShare {
             cap_micro: limits.burst_tokens.saturating_mul(weight_ppm),
             rate_micro_per_s: limits.rate_tokens_per_s.saturating_mul(weight_ppm),
         }
--- a/crates/core/src/slot/liveness.rs
+++ b/crates/core/src/slot/liveness.rs
@@ -11,7 +11,7 @@
 /// is seen for the first time counts as heard of at that moment.
 #[derive(Clone, Debug, Default)]
 pub struct LivenessTracker {
-    last_sign: BTreeMap<Peer, Millis>,
+    last_seen: BTreeMap<Peer, Millis>,
     listed: BTreeSet<Peer>,
     list_read_began: Option<Millis>,
     confirmations: BTreeMap<InstanceId, u64>,
@@ -20,13 +20,13 @@
 impl LivenessTracker {
     /// Notes a heartbeat, or any message that `peer` can only have sent lately.
     pub fn note_heartbeat(&mut self, peer: &Peer, now: Millis) {
-        self.last_sign.insert(peer.clone(), now);
+        self.last_seen.insert(peer.clone(), now);
     }
 
     /// Notes the live list whose read began at `read_began`.
     pub fn note_live_list(&mut self, listed: &[Peer], read_began: Millis, now: Millis) {
         for peer in listed {
-            self.last_sign.insert(peer.clone(), now);
+            self.last_seen.insert(peer.clone(), now);
         }
         self.listed = listed.iter().cloned().collect();
         self.list_read_began = Some(read_began);
@@ -39,9 +39,9 @@
             let confirmations = confirmations.copied().unwrap_or(0);
             let known = self.confirmations.get(&owner.instance).copied();
             if known != Some(confirmations) {
-                self.last_sign.insert(owner.clone(), now);
+                self.last_seen.insert(owner.clone(), now);
             }
-            self.last_sign.entry(owner).or_insert(now);
+            self.last_seen.entry(owner).or_insert(now);
         }
         self.confirmations.clone_from(&record.confirmations);
         for owner in record.peers() {
@@ -51,16 +51,16 @@
 
     /// What is known of a peer that is not alive.
     pub fn liveness(&self, peer: &Peer, now: Millis) -> OwnerLiveness {
-        let Some(last_sign) = self.last_sign.get(peer) else {
+        let Some(last_seen) = self.last_seen.get(peer) else {
             return OwnerLiveness {
                 is_unlisted: false,
                 silent_ms: 0,
             };
         };
-        let is_read_since = self.list_read_began.is_some_and(|began| began > *last_sign);
+        let is_list_newer = self.list_read_began.is_some_and(|began| began > *last_seen);
         OwnerLiveness {
-            is_unlisted: is_read_since && !self.listed.contains(peer),
-            silent_ms: now.since(*last_sign),
+            is_unlisted: is_list_newer && !self.listed.contains(peer),
+            silent_ms: now.since(*last_seen),
         }
     }
 }
--- a/crates/core/src/slot/mod.rs
+++ b/crates/core/src/slot/mod.rs
@@ -175,24 +175,24 @@
 
 /// The shard that an account belongs to; the same in every version and on every machine.
 pub fn shard_of(account: &AccountId) -> u16 {
-    let hash = mix(fnv(FNV_OFFSET, account.as_str().as_bytes()));
+    let hash = finalize_hash(fnv1a(FNV_OFFSET, account.as_str().as_bytes()));
     let shard = hash % u64::from(SHARDS);
     u16::try_from(shard).unwrap_or(0)
 }
 
 /// Rendezvous score of an instance for a shard: the highest is preferred.
-pub(crate) fn score(instance: &InstanceId, shard: u16) -> u64 {
-    let hash = fnv(FNV_OFFSET, instance.as_str().as_bytes());
-    mix(fnv(hash, &shard.to_le_bytes()))
+pub(crate) fn rendezvous_score(instance: &InstanceId, shard: u16) -> u64 {
+    let hash = fnv1a(FNV_OFFSET, instance.as_str().as_bytes());
+    finalize_hash(fnv1a(hash, &shard.to_le_bytes()))
 }
 
-fn fnv(seed: u64, bytes: &[u8]) -> u64 {
+fn fnv1a(seed: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(seed, |hash, &byte| {
         (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
     })
 }
 
-fn mix(hash: u64) -> u64 {
+fn finalize_hash(hash: u64) -> u64 {
     let hash = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     let hash = (hash ^ (hash >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
     hash ^ (hash >> 33)
--- a/crates/core/src/slot/pause.rs
+++ b/crates/core/src/slot/pause.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub struct PauseGuard {
     last_tick: Millis,
-    void_since: Option<Millis>,
+    invalid_since: Option<Millis>,
 }
 
 impl PauseGuard {
@@ -19,7 +19,7 @@
     pub fn new(now: Millis) -> Self {
         Self {
             last_tick: now,
-            void_since: None,
+            invalid_since: None,
         }
     }
 
@@ -30,17 +30,17 @@
         if gap_ms <= TOLERATED_PAUSE_MS / 2 {
             return false;
         }
-        self.void_since = Some(now);
+        self.invalid_since = Some(now);
         true
     }
 
     /// Notes the answer to a read of the record that began at `read_began`; true when the slots
     /// of the record are valid from now on.
     pub fn confirm_read(&mut self, read_began: Millis) -> bool {
-        match self.void_since {
+        match self.invalid_since {
             Some(since) if read_began < since => false,
             _ => {
-                self.void_since = None;
+                self.invalid_since = None;
                 true
             }
         }
@@ -48,6 +48,6 @@
 
     /// Slots may not be used.
     pub fn are_slots_invalid(&self) -> bool {
-        self.void_since.is_some()
+        self.invalid_since.is_some()
     }
 }
--- a/crates/core/src/slot/plan.rs
+++ b/crates/core/src/slot/plan.rs
@@ -1,6 +1,6 @@
 //! Planning the next record of owners.
 
-use super::{score, Ownership, OwnershipRecord, Peer, Role, SHARDS, TOLERATED_PAUSE_MS};
+use super::{rendezvous_score, Ownership, OwnershipRecord, Peer, Role, SHARDS, TOLERATED_PAUSE_MS};
 use crate::id::InstanceId;
 use std::collections::BTreeSet;
 
@@ -52,29 +52,29 @@
 /// An instance claims slots without an owner and slots whose owner is gone, when it is the
 /// preferred one among the members alive. It hands over a slot of its own to the preferred
 /// member, when it leaves or every member answers. It never takes a slot from an owner that may be alive.
-pub fn plan(record: &OwnershipRecord, view: &PlanContext<'_>) -> Option<OwnershipPlan> {
+pub fn plan(record: &OwnershipRecord, context: &PlanContext<'_>) -> Option<OwnershipPlan> {
     let mut plan = OwnershipPlan {
         next: record.clone(),
         handed_over: Vec::new(),
         claimed: Vec::new(),
     };
-    let candidates = candidates(view);
+    let candidates = candidates(context);
     for shard in 0..SHARDS {
         let preferred = preferred(&candidates, shard);
         for (role, preferred) in Role::ALL.into_iter().zip(preferred) {
             let Some(preferred) = preferred else { continue };
-            plan_slot(&mut plan, view, shard, role, preferred);
+            plan_slot(&mut plan, context, shard, role, preferred);
         }
     }
     let is_unchanged = plan.handed_over.is_empty() && plan.claimed.is_empty();
     (!is_unchanged).then_some(plan)
 }
 
-fn candidates<'a>(view: &PlanContext<'a>) -> Vec<&'a Peer> {
+fn candidates<'a>(context: &PlanContext<'a>) -> Vec<&'a Peer> {
     let mut seen: BTreeSet<&InstanceId> = BTreeSet::new();
-    let mut candidates: Vec<&Peer> = view.alive.iter().collect();
-    candidates.retain(|peer| peer.instance != view.me.instance || **peer == *view.me);
-    candidates.retain(|peer| !view.is_leaving || **peer != *view.me);
+    let mut candidates: Vec<&Peer> = context.alive.iter().collect();
+    candidates.retain(|peer| peer.instance != context.me.instance || **peer == *context.me);
+    candidates.retain(|peer| !context.is_leaving || **peer != *context.me);
     candidates.sort_by_key(|peer| std::cmp::Reverse(peer.incarnation));
     candidates.retain(|peer| seen.insert(&peer.instance));
     candidates
@@ -83,7 +83,7 @@
 /// The preferred owners of the primary and the backup slot of `shard`.
 fn preferred<'a>(candidates: &[&'a Peer], shard: u16) -> [Option<&'a Peer>; 2] {
     let mut ranked: Vec<&Peer> = candidates.to_vec();
-    ranked.sort_by_key(|peer| std::cmp::Reverse((score(&peer.instance, shard), *peer)));
+    ranked.sort_by_key(|peer| std::cmp::Reverse((rendezvous_score(&peer.instance, shard), *peer)));
     let primary = ranked.first().copied();
     let backup = ranked.get(1).copied().or(primary);
     [primary, backup]
@@ -91,25 +91,25 @@
 
 fn plan_slot(
     plan: &mut OwnershipPlan,
-    view: &PlanContext<'_>,
+    context: &PlanContext<'_>,
     shard: u16,
     role: Role,
     preferred: &Peer,
 ) {
     let owners = plan.next.owners_mut(role);
     let (epoch, may_take) = match owners.get(&shard) {
-        None => (1, *preferred == *view.me),
+        None => (1, *preferred == *context.me),
         Some(ownership) if ownership.owner == *preferred => return,
-        Some(ownership) if ownership.owner == *view.me => (ownership.epoch + 1, false),
+        Some(ownership) if ownership.owner == *context.me => (ownership.epoch + 1, false),
         Some(ownership) => {
-            let may_take = *preferred == *view.me && is_gone(view, &ownership.owner);
+            let may_take = *preferred == *context.me && is_gone(context, &ownership.owner);
             (ownership.epoch + 1, may_take)
         }
     };
     let is_mine = owners
         .get(&shard)
-        .is_some_and(|ownership| ownership.owner == *view.me);
-    if is_mine && (view.are_all_reachable || view.is_leaving) {
+        .is_some_and(|ownership| ownership.owner == *context.me);
+    if is_mine && (context.are_all_reachable || context.is_leaving) {
         plan.handed_over.push((shard, role));
     } else if may_take {
         plan.claimed.push((shard, role));
@@ -120,6 +120,6 @@
     owners.insert(shard, Ownership { owner, epoch });
 }
 
-fn is_gone(view: &PlanContext<'_>, owner: &Peer) -> bool {
-    !view.alive.contains(owner) && (view.liveness)(owner).is_gone()
+fn is_gone(context: &PlanContext<'_>, owner: &Peer) -> bool {
+    !context.alive.contains(owner) && (context.liveness)(owner).is_gone()
 }
--- a/crates/core/src/slot/reconciler.rs
+++ b/crates/core/src/slot/reconciler.rs
@@ -32,12 +32,12 @@
 #[derive(Clone, Debug)]
 pub struct OwnershipReconciler {
     me: Peer,
-    guard: PauseGuard,
+    pause_guard: PauseGuard,
     record: OwnershipRecord,
     revision: Option<u64>,
-    undecided: Option<OwnershipWrite>,
+    pending_write: Option<OwnershipWrite>,
     /// The number of confirmations that has to be read before the slots are valid.
-    awaited: Option<u64>,
+    awaited_confirmation: Option<u64>,
 }
 
 impl OwnershipReconciler {
@@ -45,19 +45,19 @@
     pub fn new(me: Peer, now: Millis) -> Self {
         Self {
             me,
-            guard: PauseGuard::new(now),
+            pause_guard: PauseGuard::new(now),
             record: OwnershipRecord::default(),
             revision: None,
-            undecided: None,
-            awaited: None,
+            pending_write: None,
+            awaited_confirmation: None,
         }
     }
 
     /// Notes a tick of the deciding thread; true when the limiter has to be made void.
     pub fn detect_pause(&mut self, now: Millis) -> bool {
-        let has_paused = self.guard.detect_pause(now);
+        let has_paused = self.pause_guard.detect_pause(now);
         if has_paused {
-            self.awaited = None;
+            self.awaited_confirmation = None;
         }
         has_paused
     }
@@ -77,22 +77,22 @@
         self.revision = Some(revision);
         self.record = record;
         if self
-            .undecided
+            .pending_write
             .as_ref()
             .is_some_and(|write| write.base_revision != revision)
         {
-            self.undecided = None;
+            self.pending_write = None;
         }
         let owned = self.record.owned_by(&self.me);
-        if self.guard.are_slots_invalid() {
-            let is_confirmed = owned.is_empty() || self.is_awaited_reached();
-            if !is_confirmed || !self.guard.confirm_read(read_began) {
+        if self.pause_guard.are_slots_invalid() {
+            let is_confirmed = owned.is_empty() || self.is_confirmation_stored();
+            if !is_confirmed || !self.pause_guard.confirm_read(read_began) {
                 return OwnershipUpdate::Unchanged;
             }
-            self.awaited = None;
+            self.awaited_confirmation = None;
             return OwnershipUpdate::Confirmed(owned);
         }
-        if !is_new || self.undecided.is_some() {
+        if !is_new || self.pending_write.is_some() {
             return OwnershipUpdate::Unchanged;
         }
         OwnershipUpdate::Owned(owned)
@@ -100,24 +100,24 @@
 
     /// The write to send now, if any. Its slots have to be suspended first, and the record read
     /// again after it, whatever its answer.
-    pub fn next_write(&mut self, view: &PlanContext<'_>) -> Option<OwnershipWrite> {
-        if self.undecided.is_some() {
-            return self.undecided.clone();
+    pub fn next_write(&mut self, context: &PlanContext<'_>) -> Option<OwnershipWrite> {
+        if self.pending_write.is_some() {
+            return self.pending_write.clone();
         }
         let base_revision = self.revision?;
-        let write = if self.guard.are_slots_invalid() {
-            self.confirmation(base_revision)?
+        let write = if self.pause_guard.are_slots_invalid() {
+            self.confirmation_write(base_revision)?
         } else {
             let OwnershipPlan {
                 next, handed_over, ..
-            } = plan(&self.record, view)?;
+            } = plan(&self.record, context)?;
             OwnershipWrite {
                 base_revision,
                 next,
                 suspended: handed_over,
             }
         };
-        self.undecided = Some(write.clone());
+        self.pending_write = Some(write.clone());
         Some(write)
     }
 
@@ -126,12 +126,13 @@
         &self.record
     }
 
-    fn is_awaited_reached(&self) -> bool {
+    fn is_confirmation_stored(&self) -> bool {
         let count = self.record.confirmations.get(&self.me.instance);
-        self.awaited.is_some_and(|awaited| count == Some(&awaited))
+        self.awaited_confirmation
+            .is_some_and(|awaited| count == Some(&awaited))
     }
 
-    fn confirmation(&mut self, base_revision: u64) -> Option<OwnershipWrite> {
+    fn confirmation_write(&mut self, base_revision: u64) -> Option<OwnershipWrite> {
         if self.record.owned_by(&self.me).is_empty() {
             return None;
         }
@@ -141,7 +142,7 @@
             .entry(self.me.instance.clone())
             .or_default();
         *count += 1;
-        self.awaited = Some(*count);
+        self.awaited_confirmation = Some(*count);
         Some(OwnershipWrite {
             base_revision,
             next,
