--- a/crates/core/src/limit/account.rs
+++ b/crates/core/src/limit/account.rs
@@ -1,18 +1,18 @@
-//! State of one account at one instance.
+//! Per-account limiter state of one instance.
 
 use super::part::BucketPart;
 use super::table::PartShare;
 use crate::slot::{Peer, SlotId};
 use crate::time::Millis;
 
-/// Time constant of the demand average, in milliseconds.
+/// Time constant of the exponentially weighted demand average, in milliseconds.
 const DEMAND_TIME_CONSTANT_MS: f64 = 2_000.0;
 
-/// State of one account. Idle accounts keep only their parts.
+/// Limiter state of one account. An idle account holds only its bucket parts.
 #[derive(Clone, Debug)]
 pub(super) struct AccountState {
     pub(super) shard: u16,
-    /// Own parts by role, in the order of `Role::ALL`.
+    /// Parts owned by this instance, indexed by role in the order of `Role::ALL`.
     pub(super) parts: [Option<BucketPart>; 2],
     pub(super) active: Option<Box<ActiveState>>,
 }
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Tokens in the own parts that may be used, in micro-tokens.
+    /// Spendable tokens in the parts owned by this instance, in micro-tokens.
     pub(super) fn level_micro(&mut self, now: Millis) -> u64 {
         let mut total = 0;
         for part in self.parts.iter_mut().flatten() {
@@ -39,17 +39,17 @@
     }
 }
 
-/// State of an account that has been used lately.
+/// Additional state of an account with recent requests or open loans.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ActiveState {
     pub(super) demand: Demand,
-    /// Numbers of the loans that are asked for or not spent.
+    /// Numbers of the taken loans that are requested or still hold unspent tokens.
     pub(super) loan_numbers: Vec<u64>,
-    /// Slots of other owners.
+    /// Slots of the account's shard that other instances own.
     pub(super) remotes: Vec<RemoteSlot>,
 }
 
-/// Exponentially weighted average of the tokens that requests ask for.
+/// Exponentially weighted average of the tokens requested per time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Demand {
     sum_micro: f64,
@@ -62,7 +62,7 @@
         self.updated = now;
     }
 
-    /// Tokens asked for in `span_ms` at the present rate, in micro-tokens.
+    /// Expected demand over the next `span_ms` at the current rate, in micro-tokens.
     pub(super) fn expected_micro(&self, span_ms: u64, now: Millis) -> u64 {
         (self.decayed(now) * span_ms as f64 / DEMAND_TIME_CONSTANT_MS) as u64
     }
@@ -73,7 +73,7 @@
     }
 }
 
-/// What is known of a slot of another owner.
+/// Local estimate of a slot that another instance owns.
 #[derive(Clone, Debug)]
 pub(super) struct RemoteSlot {
     pub(super) slot: SlotId,
@@ -81,18 +81,18 @@
     pub(super) share: PartShare,
     pub(super) level_micro: u64,
     pub(super) updated: Millis,
-    /// An ask to the slot is under way.
+    /// A loan request to the slot is in flight.
     pub(super) is_request_pending: bool,
 }
 
 impl RemoteSlot {
-    /// What the slot can be expected to lend.
+    /// Estimated amount that the slot can lend, in micro-tokens.
     pub(super) fn estimate_micro(&self, now: Millis) -> u64 {
         let accrued = self.share.rate_micro_per_s / 1_000 * now.since(self.updated);
         self.share.cap_micro.min(self.level_micro + accrued)
     }
 
-    /// Notes a level that was seen or is expected.
+    /// Sets the estimated level to a reported or predicted value.
     pub(super) fn note_level(&mut self, level_micro: u64, now: Millis) {
         self.level_micro = level_micro;
         self.updated = now;
--- a/crates/core/src/limit/audit.rs
+++ b/crates/core/src/limit/audit.rs
@@ -1,8 +1,8 @@
-//! Change of a slot's owner: what may still be used of the former owners' tokens.
+//! Audits after a slot has changed its owner: tokens of former owners that may still be spent.
 //!
 //! A new owner starts every part empty and holds back the part's whole share of the burst. It
-//! asks every member that is not confirmed gone what that member may still use of earlier
-//! epochs. Once all have answered it holds back the sum of the answers, which only shrink.
+//! asks every member that is not confirmed gone how many tokens of earlier epochs that member may
+//! still spend. Once all have answered, it holds back the sum of the answers, which only decrease.
 
 use super::charge::{Charge, Reservation, ReservationOrigin};
 use super::limiter::{HandedOverLevels, Limiter};
@@ -14,32 +14,33 @@
 use crate::time::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time after which a member that has not answered is asked again, in milliseconds.
+/// Interval between audits of members that have not answered yet, in milliseconds.
 const AUDIT_RETRY_MS: u64 = 500;
-/// Time after which a member with reservations is asked again, in milliseconds.
+/// Interval between audits of members that still hold reservations, in milliseconds.
 const AUDIT_REFRESH_MS: u64 = 3_000;
 
-/// A slot that this instance owns.
+/// State of a slot that this instance owns.
 #[derive(Clone, Debug)]
 pub(super) struct SlotState {
     pub(super) epoch: u64,
-    /// The slot is being given away: its parts may not be used.
+    /// The slot is being handed over: its parts must not be used.
     pub(super) is_suspended: bool,
     added_at: Millis,
-    /// Members that have not answered.
+    /// Members that have not answered the audit.
     unanswered: BTreeSet<Peer>,
-    /// Reservations of earlier epochs as answered.
+    /// Reservations of earlier epochs, as last reported by each member.
     outstanding: BTreeMap<Peer, Vec<(AccountId, u64)>>,
-    /// Levels that the former owner passes on, until all members have answered.
+    /// Levels handed over by the former owner; credited once all members have answered.
     inherited_levels: Vec<(AccountId, u64)>,
     last_audit: Option<Millis>,
-    /// Highest revision of the document that a member has answered with.
+    /// Highest document revision that any member has reported. The slot's parts are fully held
+    /// back until this instance applies it.
     required_revision: u64,
 }
 
 impl SlotState {
-    /// What an account's part holds back for tokens of earlier owners, in micro-tokens, when this
-    /// instance applies `revision`.
+    /// Amount that an account's part holds back for tokens of earlier owners, in micro-tokens, when
+    /// this instance applies `revision`.
     pub(super) fn held_micro(
         &self,
         account: &AccountId,
@@ -68,7 +69,7 @@
         now.since(self.added_at) > FORMER_OWNER_HOLD_MS
     }
 
-    /// Every member has said what it may still use.
+    /// Whether every member has answered the audit.
     pub(super) fn has_all_answers(&self) -> bool {
         self.unanswered.is_empty()
     }
@@ -139,7 +140,8 @@
         self.given_loans.retain(|_, lent| !is_of_slot(lent));
     }
 
-    /// Answers the new owner of a slot.
+    /// Answers the audit of a slot's new owner. This instance drops the slot if it owned it in an
+    /// earlier epoch, and returns unspent loans of earlier epochs.
     pub(super) fn on_audit(&mut self, audit: &Audit, now: Millis) -> AuditAnswer {
         let slot = SlotId {
             region: audit.region.clone(),
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Takes the answer of a member to an audit of an own slot.
+    /// Applies a member's answer to an audit of a slot that this instance owns.
     pub(super) fn on_audit_answer(&mut self, from: &Peer, answer: &AuditAnswer, now: Millis) {
         let key = (answer.shard, answer.role);
         let Some(slot) = self.slots.get_mut(&key) else {
@@ -195,7 +197,7 @@
         if !is_first && !is_known {
             return;
         }
-        // Answers only shrink, so the smaller of two is right whatever their order.
+        // Amounts only decrease, so the minimum of two answers is correct in any order of arrival.
         let remaining = match slot.outstanding.remove(from) {
             Some(known) => min_amounts(known, &answer.outstanding),
             None => answer.outstanding.clone(),
@@ -209,7 +211,7 @@
         self.refresh_held(key, now);
     }
 
-    /// What this instance may still use of `slot`'s epochs before `epoch`, by account.
+    /// Reservations of this instance against epochs of `slot` before `epoch`, by account.
     fn outstanding(&self, slot: &SlotId, epoch: u64) -> Vec<(AccountId, u64)> {
         let mut sums: BTreeMap<&AccountId, u64> = BTreeMap::new();
         for charge in self.charges.values() {
@@ -247,7 +249,8 @@
         }
     }
 
-    /// Brings the parts of a slot in line with the answers to its audit.
+    /// Updates the held-back amounts of a slot's parts from the audit answers, and credits
+    /// inherited levels once all members have answered.
     fn refresh_held(&mut self, key: (u16, Role), now: Millis) {
         let revision = self.revision();
         let Some(slot) = self.slots.get_mut(&key) else {
@@ -273,8 +276,7 @@
         }
     }
 
-    /// Asks members of whom this instance hears only now as well, and waits no longer for those
-    /// that are gone.
+    /// Replaces the member list: audits wait for new members too, and no longer for removed ones.
     pub(super) fn change_members(&mut self, members: &[Peer], now: Millis) {
         let before: BTreeSet<Peer> = std::mem::take(&mut self.members).into_iter().collect();
         let after: BTreeSet<Peer> = members.iter().chain([&self.me]).cloned().collect();
@@ -295,7 +297,7 @@
         }
     }
 
-    /// Asks members that have not answered or still have reservations.
+    /// Queues due audits to members that have not answered or still hold reservations.
     pub(super) fn send_audits(&mut self, now: Millis) {
         let keys: Vec<(u16, Role)> = self.slots.keys().copied().collect();
         for key in keys {
@@ -339,6 +341,7 @@
     }
 }
 
+/// Per-account minimum of two answers, without accounts whose amount is zero.
 fn min_amounts(known: Vec<(AccountId, u64)>, answer: &[(AccountId, u64)]) -> Vec<(AccountId, u64)> {
     let amount = |id: &AccountId| {
         let found = answer.iter().find(|(account, _)| account == id);
--- a/crates/core/src/limit/borrow.rs
+++ b/crates/core/src/limit/borrow.rs
@@ -1,4 +1,4 @@
-//! Borrowing: the side of an instance whose own parts do not suffice.
+//! Borrower side of lending: loan requests of an instance whose own parts do not suffice.
 
 use super::account::{ActiveState, RemoteSlot};
 use super::charge::{ChargeOutcome, ChargeRequest};
@@ -11,31 +11,34 @@
 use crate::time::Millis;
 use std::collections::BTreeMap;
 
-/// Time for an answer from the own region, in milliseconds.
+/// Wait for grants from the home region before a request is tried again, in milliseconds.
 const HOME_ANSWER_WAIT_MS: u64 = 20;
-/// Time for an answer from another region, in milliseconds.
+/// Wait for grants from another region before a request is tried again, in milliseconds.
 const OTHER_REGION_ANSWER_WAIT_MS: u64 = 250;
-/// Time after which an answer from the own region is no longer expected, in milliseconds.
+/// Age at which a loan request to the home region no longer counts as pending, in milliseconds.
 const HOME_ANSWER_TIMEOUT_MS: u64 = 100;
-/// Time after which an answer from another region is no longer expected, in milliseconds.
+/// Age at which a loan request to another region no longer counts as pending, in milliseconds.
 const OTHER_REGION_ANSWER_TIMEOUT_MS: u64 = 400;
-/// Least time left to a request for which another region is asked, in milliseconds.
+/// Minimum time left to a request for borrowing from another region, in milliseconds.
 const MIN_OTHER_REGION_TIME_LEFT_MS: u64 = 200;
-/// Longest time between two tries of a request that waits for refill, in milliseconds.
+/// Maximum retry interval of a request that waits for refill, in milliseconds.
 const MAX_REFILL_RETRY_MS: u64 = 100;
-/// Demand that an instance borrows ahead for, in milliseconds.
+/// Horizon of the expected demand that is borrowed ahead, in milliseconds.
 const BORROW_AHEAD_MS: u64 = 1_500;
-/// An account's demand is concentrated at an instance from one in this many of its rate on.
+/// An account's demand counts as concentrated at an instance if it is at least the account's rate
+/// divided by this.
 const CONCENTRATED_RATE_DIVISOR: u64 = 4;
-/// A part from this share of its burst on is about to lose accrual, in percent.
+/// Fill level from which a part is about to lose accrual, in percent of its share of the burst.
 const NEARLY_FULL_PCT: u64 = 90;
-/// A full part is asked for one in this many of its tokens.
+/// A loan request to a full part is for at most its tokens divided by this.
 const FULL_PART_LOAN_DIVISOR: u64 = 3;
-/// A loan that yields less than this share of what is needed is not worth a message.
+/// A slot is not asked if it would yield less than the needed amount divided by this, since that
+/// is not worth a message.
 const MIN_LOAN_DIVISOR: u64 = 8;
 
 impl Limiter {
-    /// Gathers what a request needs beyond what is available here.
+    /// Requests loans for the `need_micro` that a request needs beyond the locally available
+    /// tokens, or decides that it waits or is refused.
     pub(super) fn borrow_for_request(
         &mut self,
         request: &ChargeRequest<'_>,
@@ -93,7 +96,7 @@
         ChargeOutcome::Borrow { messages, wait_ms }
     }
 
-    /// Borrows for accounts whose demand exceeds what accrues here.
+    /// Requests loans for accounts whose expected demand exceeds the local accrual.
     pub(super) fn borrow_ahead(&mut self, now: Millis) {
         if !self.has_joined(now) {
             return;
@@ -188,7 +191,7 @@
         messages.into_iter().collect()
     }
 
-    /// Takes a lender's answer; returns a report at once when the loan is of no use.
+    /// Applies a lender's grant. A grant that cannot be used is returned by an immediate report.
     pub(super) fn on_grant(
         &mut self,
         from: &Peer,
@@ -228,9 +231,8 @@
         (!is_taken && grant.amount_micro > 0).then_some(unwanted)
     }
 
-    /// Tokens asked for and not answered yet.
-    /// Tokens that are asked for and whose answer is still to be expected. A lender that is gone
-    /// never answers, so others are asked in its place.
+    /// Requested tokens whose grant is still expected, in micro-tokens. A lender that is gone never
+    /// answers, so after a timeout its amount no longer counts and other lenders are asked.
     fn pending_micro(&self, id: &AccountId, now: Millis) -> u64 {
         let account = self.accounts.get(id);
         let active = account.and_then(|account| account.active.as_ref());
@@ -261,7 +263,8 @@
     }
 }
 
-/// Asks for `needed` micro-tokens, of slots that yield at min_micro `least`.
+/// Plans loan requests for `needed_micro` in order of preference, skipping slots that are expected
+/// to yield less than `min_micro`.
 fn plan_requests_in_order(
     active: &mut ActiveState,
     home: &RegionId,
@@ -282,8 +285,9 @@
     planned
 }
 
-/// Asks slots that are about to lose accrual because they are full, while this one is not. With
-/// all parts equally full the account can spend its whole burst, as with a single bucket.
+/// Plans loan requests to slots that are about to lose accrual because they are full, while the
+/// local parts are not. With all parts equally full the account can spend its whole burst, as with
+/// a single bucket.
 fn plan_requests_to_full_parts(
     active: &mut ActiveState,
     mut wanted_micro: u64,
@@ -307,12 +311,13 @@
     level_micro >= cap_micro / 100 * NEARLY_FULL_PCT && cap_micro > 0
 }
 
-/// An ask to be sent.
+/// A loan request that is still to be sent.
 struct PlannedRequest {
     remote: RemoteSlot,
     wanted_micro: u64,
 }
 
+/// Marks the slot as having a request in flight and deducts `wanted_micro` from its estimate.
 fn mark_requested(remote: &mut RemoteSlot, wanted_micro: u64, now: Millis) -> PlannedRequest {
     let left_micro = remote.estimate_micro(now) - wanted_micro;
     remote.note_level(left_micro, now);
@@ -323,7 +328,7 @@
     }
 }
 
-/// Slots of the home region first, then the fullest of the others.
+/// Slots in the order in which they are asked: home region first, fullest first within each group.
 fn by_preference<'a>(
     remotes: &'a mut [RemoteSlot],
     home: &RegionId,
--- a/crates/core/src/limit/charge.rs
+++ b/crates/core/src/limit/charge.rs
@@ -1,81 +1,81 @@
-//! Charges of admitted requests.
+//! Charges of admitted requests, and the outcomes of charging.
 
 use super::message::OutgoingLoanMessage;
 use crate::id::AccountId;
 use crate::slot::Role;
 use crate::time::Millis;
 
-/// An admitted request's charge.
+/// Identifier of an admitted request's charge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChargeId(pub u64);
 
-/// A request that wants to be charged.
+/// Request to charge an account.
 #[derive(Clone, Copy, Debug)]
 pub struct ChargeRequest<'a> {
     /// Account to charge.
     pub account: &'a AccountId,
-    /// Tokens of the prompt; used at once.
+    /// Prompt tokens; used on admission.
     pub prompt_tokens: u64,
-    /// Most tokens that may be generated; reserved until the request is settled.
+    /// Maximum number of generated tokens; reserved until the charge is settled.
     pub max_output_tokens: u64,
-    /// Time until which the request may wait for tokens.
+    /// Deadline of the wait for tokens.
     pub wait_until: Millis,
 }
 
-/// What to do with a request.
+/// Outcome of an attempt to charge a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChargeOutcome {
-    /// Charged: the request may run, and has to be settled when it ends.
+    /// The request is charged and may run. The charge must be settled when the request ends.
     Admitted {
         /// The charge to settle.
         charge: ChargeId,
     },
-    /// Send `messages` (none if asks are under way already) and try again when an answer has
-    /// come, at the latest after `wait_ms`.
+    /// Tokens are being borrowed: send `messages` (empty if loan requests are already in flight)
+    /// and try again when a grant arrives, or after `wait_ms` at the latest.
     Borrow {
-        /// Messages to other owners.
+        /// Loan requests to other owners.
         messages: Vec<OutgoingLoanMessage>,
-        /// Longest time to the next try, in milliseconds.
+        /// Maximum delay of the next attempt, in milliseconds.
         wait_ms: u64,
     },
-    /// Try again after `ms`: enough tokens accrue before the request's time is up.
+    /// Try again after `ms`: enough tokens accrue before the deadline.
     Wait {
-        /// Time to the next try, in milliseconds.
+        /// Delay of the next attempt, in milliseconds.
         ms: u64,
     },
-    /// Not enough tokens accrue in time.
+    /// Not enough tokens accrue before the deadline.
     Refused {
-        /// Time after which a retry may succeed, in milliseconds.
+        /// Delay after which a retry may succeed, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The request exceeds the account's whole burst and can never be admitted.
+    /// The request exceeds the account's burst and can never be admitted.
     TooLarge,
-    /// The document in force names no such account.
+    /// The document in force has no such account.
     UnknownAccount,
 }
 
-/// Where a charge's tokens come from.
+/// Origin of reserved tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReservationOrigin {
-    /// The own part in a role, owned in an epoch.
+    /// A part owned by this instance, by role and epoch of ownership.
     Part { role: Role, epoch: u64 },
-    /// A loan by number.
+    /// A taken loan, by number.
     Loan(u64),
 }
 
-/// A reservation against one origin.
+/// Tokens that a charge reserves at one origin.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Reservation {
     pub(super) origin: ReservationOrigin,
     pub(super) reserved_micro: u64,
 }
 
-/// An admitted request that is not settled yet.
+/// Charge of an admitted request that is not settled yet.
 #[derive(Clone, Debug)]
 pub(super) struct Charge {
     pub(super) account: AccountId,
     pub(super) reservations: Vec<Reservation>,
-    /// Revision of the document at admission.
+    /// Document revision at admission.
     pub(super) revision: u64,
     pub(super) expires: Millis,
 }
--- a/crates/core/src/limit/charging.rs
+++ b/crates/core/src/limit/charging.rs
@@ -10,7 +10,7 @@
 use crate::time::Millis;
 
 impl Limiter {
-    /// Charges a request, or says what to do first.
+    /// Charges a request if enough tokens are available, or returns what is needed first.
     pub fn try_charge(&mut self, request: &ChargeRequest<'_>, now: Millis) -> ChargeOutcome {
         let Some(limits) = self
             .tables
@@ -39,8 +39,8 @@
         outcome
     }
 
-    /// Settles a charge whose request generated `used_output_tokens`. A charge that has ended is
-    /// ignored.
+    /// Settles a charge whose request generated `used_output_tokens`, and releases the rest of the
+    /// reservation. A charge that is already settled or has expired is ignored.
     pub fn settle(&mut self, charge: ChargeId, used_output_tokens: u64, now: Millis) {
         let Some(charge) = self.charges.remove(&charge.0) else {
             return;
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Charges that reached the longest time without being settled since the last call, and are
-    /// counted as fully used. Their requests have to be ended.
+    /// Takes the charges that have expired since the last call: they were not settled within
+    /// [`MAX_CHARGE_DURATION_MS`] and count as fully used. The caller must end their requests.
     pub fn take_expired_charges(&mut self) -> Vec<ChargeId> {
         std::mem::take(&mut self.expired_charges)
     }
 
-    /// What an account could be charged here right now, in micro-tokens.
+    /// Amount that could be charged to an account here right now, in micro-tokens.
     pub fn available_micro(&mut self, account: &AccountId, now: Millis) -> u64 {
         let Some(state) = self.accounts.get_mut(account) else {
             return 0;
@@ -100,7 +100,7 @@
         let account = self
             .accounts
             .get_mut(request.account)
-            .expect("an account with tokens exists");
+            .expect("an account with available tokens has state");
         let numbers = account
             .active
             .iter()
@@ -142,7 +142,7 @@
         }
         assert!(
             used_left == 0 && reserved_left == 0,
-            "a charge without cover"
+            "charge exceeds the available tokens"
         );
         self.next_charge += 1;
         let charge = Charge {
--- a/crates/core/src/limit/lend.rs
+++ b/crates/core/src/limit/lend.rs
@@ -1,4 +1,4 @@
-//! Lending: the owner's side.
+//! Lender side of lending, and dispatch of loan messages.
 
 use super::limiter::Limiter;
 use super::loan::GivenLoan;
@@ -9,10 +9,10 @@
 use crate::slot::Peer;
 use crate::time::Millis;
 
-/// Demand of its own that a lender keeps back from borrowers without a waiting request, in
-/// milliseconds.
+/// Horizon of its own expected demand that a lender withholds from loan requests that are not
+/// urgent, in milliseconds.
 const LENDER_RESERVE_MS: u64 = 500;
-/// Time between two sweeps of loans that were never reported, in milliseconds.
+/// Interval between sweeps for expired loans and idle accounts, in milliseconds.
 const SWEEP_INTERVAL_MS: u64 = 1_000;
 
 impl Limiter {
@@ -52,7 +52,8 @@
         vec![(from.clone(), answer)]
     }
 
-    /// Does what is due with time, and returns messages to send.
+    /// Runs periodic work, such as expiry, borrowing ahead and audits, and returns the messages to
+    /// send.
     pub fn tick(&mut self, now: Millis) -> Vec<OutgoingLoanMessage> {
         self.first_tick.get_or_insert(now);
         self.expire_charges(now);
@@ -148,7 +149,7 @@
         ack
     }
 
-    /// Counts loans as spent whose borrower has not reported in the longest time.
+    /// Counts expired loans, which their borrowers have not fully reported, as spent.
     fn expire_given_loans(&mut self, now: Millis) {
         let expired: Vec<(Peer, u64)> = self
             .given_loans
--- a/crates/core/src/limit/limiter.rs
+++ b/crates/core/src/limit/limiter.rs
@@ -1,4 +1,4 @@
-//! The parts, loans and charges of one instance.
+//! Rate limiter of one instance: its parts, loans and charges.
 
 use super::account::{AccountState, ActiveState, RemoteSlot};
 use super::audit::SlotState;
@@ -14,46 +14,48 @@
 use crate::time::Millis;
 use std::collections::{BTreeMap, HashMap};
 
-/// Sums over all accounts, for metrics and measurements.
+/// Totals over all accounts, for metrics and experiments.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LimiterTotals {
-    /// Slots owned.
+    /// Owned slots.
     pub slots: usize,
-    /// Accounts with at least one part here.
+    /// Accounts with at least one part at this instance.
     pub accounts: usize,
-    /// Charges that are not settled.
+    /// Unsettled charges.
     pub charges: usize,
-    /// Loans taken that are not over.
+    /// Open loans taken from other instances.
     pub loans_taken: usize,
-    /// Loans given that are not over.
+    /// Open loans given to other instances.
     pub loans_given: usize,
 }
 
-/// Levels of a slot handed over, kept for the owner in the next epoch.
+/// Levels of a handed-over slot, kept for the audit by its owner in the next epoch.
 #[derive(Clone, Debug)]
 pub(super) struct HandedOverLevels {
     pub(super) epoch: u64,
     pub(super) levels: Vec<(AccountId, u64)>,
 }
 
-/// The parts, loans and charges of one instance.
+/// Rate limiter of one instance: its parts, loans and charges.
 ///
-/// The thread that decides owns it. It calls [`tick`](Self::tick) about every 50 ms, hands every
-/// message of a peer to [`on_message`](Self::on_message) and sends what both return.
+/// The limiter is owned by the decision thread, which calls [`tick`](Self::tick) about every 50 ms,
+/// passes each message of a peer to [`on_message`](Self::on_message) and sends the messages that
+/// both return.
 #[derive(Debug)]
 pub struct Limiter {
     pub(super) me: Peer,
     pub(super) region: RegionId,
-    /// Tables in force somewhere, in ascending order of revision.
+    /// Limits of all revisions that may be in force at some member, in ascending order of revision.
     pub(super) tables: Vec<LimitTable>,
+    /// Lowest settled revision of all members that are not confirmed gone.
     pub(super) fleet_revision: u64,
     pub(super) accounts: HashMap<AccountId, AccountState>,
     pub(super) slots: BTreeMap<(u16, Role), SlotState>,
     pub(super) owners: HashMap<SlotId, Peer>,
     pub(super) members: Vec<Peer>,
-    /// Lowest epoch of which a loan is accepted, by slot.
+    /// Lowest epoch whose grants are accepted, by slot.
     pub(super) min_epochs: HashMap<SlotId, u64>,
-    /// Levels kept for the next owner of slots handed over.
+    /// Levels of handed-over slots, kept for their next owners.
     pub(super) handed_over: HashMap<(u16, Role), HandedOverLevels>,
     pub(super) given_loans: HashMap<(Peer, u64), GivenLoan>,
     pub(super) taken_loans: BTreeMap<u64, TakenLoan>,
@@ -68,7 +70,7 @@
 }
 
 impl Limiter {
-    /// A limiter of this run of this instance, without a document and without slots.
+    /// Creates a limiter for this run of the instance, without a document and without slots.
     pub fn new(me: Peer, region: RegionId) -> Self {
         Self {
             me,
@@ -94,9 +96,9 @@
         }
     }
 
-    /// Applies a document of a higher revision; ignores any other.
+    /// Applies a document if its revision is higher than that of the current one.
     ///
-    /// A share that grows counts only once the whole fleet has settled, see
+    /// An increased share takes effect only once the whole fleet has settled the revision, see
     /// [`set_fleet_revision`](Self::set_fleet_revision).
     pub fn apply_document(&mut self, revision: u64, document: &Document, now: Millis) {
         if self
@@ -111,7 +113,7 @@
     }
 
     /// Sets the lowest [`settled_revision`](Self::settled_revision) of all members that are not
-    /// confirmed gone. Only a higher one has an effect.
+    /// confirmed gone. A revision that is not higher than the current one has no effect.
     pub fn set_fleet_revision(&mut self, revision: u64, now: Millis) {
         if revision <= self.fleet_revision {
             return;
@@ -123,7 +125,8 @@
         self.refresh_accounts(now);
     }
 
-    /// The highest revision whose shares nothing here exceeds; to be reported to all members.
+    /// Highest revision whose shares are respected by all parts, loans and charges of this
+    /// instance; to be reported to all members.
     pub fn settled_revision(&self) -> u64 {
         let Some(newest) = self.tables.last() else {
             return 0;
@@ -145,7 +148,8 @@
             .fold(newest.revision, u64::min)
     }
 
-    /// A part of the charge's reservation belongs to an ownership that has ended.
+    /// Whether the charge holds a reservation in a part of an epoch that this instance no longer
+    /// owns.
     fn is_orphan(&self, charge: &Charge) -> bool {
         let shard = shard_of(&charge.account);
         charge
@@ -160,14 +164,14 @@
             })
     }
 
-    /// Sets all members that are not confirmed gone, this instance included: those on the live
-    /// list and those heard of. To be called right before [`set_slots`](Self::set_slots) too, since
-    /// new slots wait for the answers of these members.
+    /// Sets the members that are not confirmed gone, including this instance: those on the live
+    /// list and those known from gossip. Must also be called right before
+    /// [`set_slots`](Self::set_slots), since new slots wait for the answers of these members.
     pub fn set_members(&mut self, members: &[Peer], now: Millis) {
         self.change_members(members, now);
     }
 
-    /// Sets the owners of the slots of all regions, as far as they are known.
+    /// Sets the known owners of the slots of all regions.
     pub fn set_owners(&mut self, owners: impl IntoIterator<Item = (SlotId, Peer)>) {
         let owners: HashMap<SlotId, Peer> = owners.into_iter().collect();
         if owners == self.owners {
@@ -181,9 +185,9 @@
         }
     }
 
-    /// Sets the slots that this instance owns. Parts of slots with an unchanged epoch stay as
-    /// they are and may be used again if they were suspended, new ones start empty, and levels of
-    /// slots given away are kept for their next owner.
+    /// Sets the slots that this instance owns. Slots with an unchanged epoch keep their parts and
+    /// are no longer suspended, parts of new slots start empty, and levels of handed-over slots are
+    /// kept for their next owner.
     pub fn set_slots(&mut self, owned: &[OwnedSlot], now: Millis) {
         let wanted: BTreeMap<(u16, Role), u64> = owned
             .iter()
@@ -209,8 +213,9 @@
         self.refresh_accounts(now);
     }
 
-    /// Makes slots unusable that are about to be given away, before the write of the record is
-    /// sent. They stay so until [`set_slots`](Self::set_slots) tells the outcome.
+    /// Suspends slots that are about to be handed over; to be called before the write of the
+    /// ownership record is sent. They stay suspended until [`set_slots`](Self::set_slots) is called
+    /// with the record as read afterwards.
     pub fn suspend(&mut self, slots: &[(u16, Role)], now: Millis) {
         for key in slots {
             if let Some(slot) = self.slots.get_mut(key) {
@@ -220,9 +225,9 @@
         self.refresh_accounts(now);
     }
 
-    /// Makes the own slots unusable after a long pause of this instance, and gives back what is
-    /// borrowed. The returned charges are no longer covered: their requests have to be ended and
-    /// settled by what they have used.
+    /// Invalidates all owned slots after a long pause of this instance, and returns borrowed tokens
+    /// to their lenders. The returned charges are no longer covered: the caller must end their
+    /// requests and settle them with the tokens used so far.
     pub fn invalidate_slots(&mut self) -> Vec<ChargeId> {
         self.are_slots_invalid = true;
         for loan in self.taken_loans.values_mut() {
@@ -235,13 +240,13 @@
         self.charges.keys().copied().map(ChargeId).collect()
     }
 
-    /// Makes the own slots usable again, which the store has confirmed to be `owned`.
+    /// Makes slots usable again after the store has confirmed that this instance owns `owned`.
     pub fn confirm_slots(&mut self, owned: &[OwnedSlot], now: Millis) {
         self.set_slots(owned, now);
         self.are_slots_invalid = false;
     }
 
-    /// Sums over all accounts.
+    /// Totals over all accounts.
     pub fn totals(&self) -> LimiterTotals {
         LimiterTotals {
             slots: self.slots.len(),
@@ -256,7 +261,8 @@
         }
     }
 
-    /// The account's state in use, with the slots that it may borrow from.
+    /// Returns the active state of an account, created if needed, with the slots that it may borrow
+    /// from.
     pub(super) fn activate(&mut self, id: &AccountId, now: Millis) -> Option<&mut ActiveState> {
         let account = self.accounts.get_mut(id)?;
         let active = account.active.get_or_insert_default();
@@ -294,13 +300,13 @@
         Some(active)
     }
 
-    /// Revision of the document that this instance applies; 0 if there is none.
+    /// Revision of the newest applied document; 0 if there is none.
     pub(super) fn revision(&self) -> u64 {
         self.tables.last().map_or(0, |table| table.revision)
     }
 
-    /// Every member has heard of this instance and will ask it when a slot changes its owner. An
-    /// instance borrows nothing before that.
+    /// Whether this instance has been running for [`JOIN_DELAY_MS`], so that every member knows it
+    /// and audits it when a slot changes its owner. An instance does not borrow before that.
     pub fn has_joined(&self, now: Millis) -> bool {
         self.first_tick
             .is_some_and(|first| now.since(first) >= JOIN_DELAY_MS)
@@ -311,12 +317,12 @@
         self.next_loan
     }
 
-    /// The share in force of an own part: the smallest of all revisions that may be in force.
+    /// Effective share of an owned part: the minimum over all revisions that may be in force.
     pub(super) fn effective_share(&self, account: &AccountId, role: Role) -> PartShare {
         let Some(first) = self.tables.first() else {
             return PartShare::default();
         };
-        // Smaller shares of revisions before the first one known may still be in force.
+        // Smaller shares of revisions before the first known one may still be in force.
         if first.revision > self.fleet_revision {
             return PartShare::default();
         }
@@ -327,7 +333,7 @@
             .unwrap_or_default()
     }
 
-    /// Brings accounts and parts in line with the tables and the owned slots.
+    /// Creates, updates and removes accounts and parts to match the limit tables and owned slots.
     fn refresh_accounts(&mut self, now: Millis) {
         let Some(newest) = self.tables.last() else {
             return;
--- a/crates/core/src/limit/loan.rs
+++ b/crates/core/src/limit/loan.rs
@@ -1,4 +1,4 @@
-//! Loans as their borrower and their lender keep them.
+//! Loan bookkeeping of borrowers and lenders.
 
 use super::message::{LoanGrant, LoanReport};
 use super::{FORMER_OWNER_HOLD_MS, LOAN_USABLE_MS, MAX_CLOCK_DRIFT_PPM};
@@ -6,14 +6,14 @@
 use crate::slot::{Peer, Role, SlotId};
 use crate::time::Millis;
 
-/// Time after which an ask without an answer is given up, in milliseconds.
+/// Age at which an unanswered loan request is dropped, in milliseconds.
 pub(super) const LOAN_REQUEST_TIMEOUT_MS: u64 = 1_000;
-/// Time between two reports on the same loan while nothing is final, in milliseconds.
+/// Interval between reports on a loan that is not final yet, in milliseconds.
 const PARTIAL_REPORT_INTERVAL_MS: u64 = 1_000;
-/// Time after which a final report without an acknowledgement is sent again, in milliseconds.
+/// Retry interval of a final report that is not acknowledged, in milliseconds.
 const FINAL_REPORT_RETRY_MS: u64 = 1_000;
 
-/// A loan as the borrower keeps it.
+/// A loan, as recorded by the borrower.
 #[derive(Clone, Debug)]
 pub(super) struct TakenLoan {
     pub(super) account: AccountId,
@@ -21,7 +21,7 @@
     pub(super) lender: Peer,
     pub(super) requested_at: Millis,
     pub(super) wanted_micro: u64,
-    /// Absent until the lender has answered.
+    /// Absent until the lender has granted the loan.
     pub(super) granted: Option<GrantTerms>,
     pub(super) unspent_micro: u64,
     pub(super) reserved_micro: u64,
@@ -32,7 +32,7 @@
     reported_at: Millis,
 }
 
-/// Under what conditions a loan was granted.
+/// Epoch and document revision of the lender when it granted a loan.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct GrantTerms {
     pub(super) epoch: u64,
@@ -64,10 +64,13 @@
         }
     }
 
-    /// Takes the lender's answer, which the caller has checked.
+    /// Credits the lender's grant, which the caller has validated.
     pub(super) fn grant(&mut self, grant: &LoanGrant) {
-        assert!(self.granted.is_none(), "a loan credited twice");
-        assert!(grant.amount_micro <= self.wanted_micro, "a loan too large");
+        assert!(self.granted.is_none(), "loan credited twice");
+        assert!(
+            grant.amount_micro <= self.wanted_micro,
+            "grant exceeds the requested amount"
+        );
         self.unspent_micro = grant.amount_micro;
         self.granted = Some(GrantTerms {
             epoch: grant.epoch,
@@ -75,18 +78,20 @@
         });
     }
 
-    /// Requests may no longer be admitted against the loan.
+    /// Whether requests may no longer be admitted against the loan. The usable time is shortened by
+    /// the maximum clock drift.
     pub(super) fn is_expired(&self, now: Millis) -> bool {
         now.since(self.requested_at)
             >= LOAN_USABLE_MS - LOAN_USABLE_MS * MAX_CLOCK_DRIFT_PPM / 1_000_000
     }
 
-    /// Nothing of the loan can still be used.
+    /// Whether the loan has no unspent or reserved tokens left.
     pub(super) fn is_final(&self) -> bool {
         self.granted.is_some() && self.unspent_micro == 0 && self.reserved_micro == 0
     }
 
-    /// The borrower may forget the loan.
+    /// Whether the borrower may remove the loan: the request timed out, the final report is
+    /// acknowledged, or the lender no longer counts the loan.
     pub(super) fn can_be_removed(&self, now: Millis) -> bool {
         if self.granted.is_none() {
             return now.since(self.requested_at) > LOAN_REQUEST_TIMEOUT_MS;
@@ -95,7 +100,7 @@
         is_acked || now.since(self.requested_at) > FORMER_OWNER_HOLD_MS + LOAN_USABLE_MS
     }
 
-    /// Gives back what is not spent.
+    /// Marks unspent tokens as returned.
     pub(super) fn give_back(&mut self) {
         self.returned_micro += self.unspent_micro;
         self.unspent_micro = 0;
@@ -105,12 +110,12 @@
         self.used_micro + self.returned_micro
     }
 
-    /// Notes what the lender has taken note of.
+    /// Records the cumulative amount that the lender has acknowledged.
     pub(super) fn ack(&mut self, acked_micro: u64) {
         self.acked_micro = self.acked_micro.max(acked_micro.min(self.settled_micro()));
     }
 
-    /// The report to send now, if one is due.
+    /// Returns the report to send now, if one is due.
     pub(super) fn due_report(&mut self, number: u64, now: Millis) -> Option<LoanReport> {
         let settled = self.settled_micro();
         if self.granted.is_none() || self.acked_micro == settled {
@@ -131,7 +136,7 @@
         Some(self.report(number))
     }
 
-    /// What became of the loan so far.
+    /// Cumulative report on the loan.
     pub(super) fn report(&self, number: u64) -> LoanReport {
         LoanReport {
             loan: number,
@@ -141,7 +146,7 @@
     }
 }
 
-/// A loan as the lender keeps it, so that a doubled ask gets the same answer.
+/// A loan, as recorded by the lender, so that a duplicate request gets the same grant.
 #[derive(Clone, Debug)]
 pub(super) struct GivenLoan {
     pub(super) account: AccountId,
@@ -154,13 +159,13 @@
 }
 
 impl GivenLoan {
-    /// What the borrower may still hold.
+    /// Amount that the borrower may still hold, in micro-tokens.
     pub(super) fn outstanding_micro(&self) -> u64 {
         self.amount_micro - self.used_micro - self.returned_micro
     }
 
-    /// Takes a cumulative report; returns what was used and returned beyond what was known, or
-    /// none when the report cannot belong to this loan.
+    /// Merges a cumulative report and returns the newly used and newly returned amounts, or `None`
+    /// if the report exceeds the amount of the loan and so cannot belong to it.
     pub(super) fn merge(&mut self, report: &LoanReport) -> Option<(u64, u64)> {
         let used = self.used_micro.max(report.used_micro);
         let returned = self.returned_micro.max(report.returned_micro);
--- a/crates/core/src/limit/maintenance.rs
+++ b/crates/core/src/limit/maintenance.rs
@@ -1,4 +1,4 @@
-//! What is due with time on the borrower's side: reports, returns and ends.
+//! Periodic work on loans and charges: reports, returns and expiry.
 
 use super::charge::ChargeId;
 use super::limiter::Limiter;
@@ -7,9 +7,9 @@
 use crate::time::Millis;
 use std::collections::BTreeMap;
 
-/// Demand that an instance keeps of what it has borrowed, in milliseconds.
+/// Horizon of the expected demand for which borrowed tokens are retained, in milliseconds.
 const RETAINED_DEMAND_MS: u64 = 3_000;
-/// Age at which an unspent loan beyond the demand is given back, in milliseconds.
+/// Age at which an unspent loan that exceeds the expected demand is returned, in milliseconds.
 const IDLE_LOAN_MS: u64 = 1_500;
 
 impl Limiter {
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Gives back what is not needed, sends due reports and forgets loans that are removable.
+    /// Returns unneeded tokens, queues due reports and removes finished loans.
     pub(super) fn maintain_loans(&mut self, now: Millis) {
         let mut removable = Vec::new();
         let mut spent = Vec::new();
@@ -48,6 +48,8 @@
         }
     }
 
+    /// Returns the unspent tokens of a loan if it has expired, or if it is idle and exceeds the
+    /// expected demand. `excess` caches the remaining excess by account.
     pub(super) fn give_back_idle(
         &mut self,
         number: u64,
@@ -80,7 +82,8 @@
         }
     }
 
-    /// What is borrowed beyond the demand of the next seconds.
+    /// Borrowed tokens beyond the expected demand of the next [`RETAINED_DEMAND_MS`], in
+    /// micro-tokens.
     pub(super) fn excess_micro(&self, id: &AccountId, now: Millis) -> u64 {
         let Some(account) = self.accounts.get(id) else {
             return u64::MAX;
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Takes a loan without unspent tokens off the account's list.
+    /// Removes a loan without unspent tokens from the account's list.
     pub(super) fn unlist_loan(&mut self, number: u64, account: &AccountId) {
         let account = self.accounts.get_mut(account);
         if let Some(active) = account.and_then(|account| account.active.as_mut()) {
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Ends charges that were never settled, as fully used.
+    /// Settles expired charges as fully used.
     pub(super) fn expire_charges(&mut self, now: Millis) {
         while let Some((&number, charge)) = self.charges.iter().next() {
             if charge.expires > now {
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Drops the state in use of accounts without demand and loans.
+    /// Drops the active state of accounts without demand and loans.
     pub(super) fn drop_idle_state(&mut self, now: Millis) {
         for account in self.accounts.values_mut() {
             let is_idle = account.active.as_ref().is_some_and(|active| {
--- a/crates/core/src/limit/message.rs
+++ b/crates/core/src/limit/message.rs
@@ -1,36 +1,37 @@
 //! Messages between lenders and borrowers.
 //!
-//! Every item may be lost, doubled, reordered or late. Asks are answered again from memory,
-//! reports and acknowledgements are cumulative, audit answers only ever shrink.
+//! Every item may be lost, duplicated, reordered or delayed. A duplicate loan request gets the
+//! stored grant, reports and acknowledgements are cumulative, and amounts in audit answers only
+//! decrease.
 
 use crate::id::{AccountId, RegionId};
 use crate::slot::{Peer, Role};
 use serde::{Deserialize, Serialize};
 
-/// A message to send.
+/// A loan message with its receiver.
 pub type OutgoingLoanMessage = (Peer, LoanMessage);
 
-/// Asks the owner of a slot for tokens.
+/// Loan request to the owner of a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanRequest {
-    /// Number of the loan, unique in the borrower's incarnation.
+    /// Number of the loan, unique within the borrower's incarnation.
     pub loan: u64,
-    /// Account to borrow for; it also names the shard.
+    /// Account to borrow for; it also determines the shard.
     pub account: AccountId,
     /// Role of the slot in the lender's region.
     pub role: Role,
-    /// Most that the borrower can use, in micro-tokens.
+    /// Maximum amount that the borrower can use, in micro-tokens.
     pub wanted_micro: u64,
-    /// A request waits for the tokens.
+    /// An inference request is waiting for the tokens.
     pub is_urgent: bool,
 }
 
-/// The lender's answer to an ask; an amount of 0 is a refusal.
+/// Answer to a [`LoanRequest`]; an amount of 0 is a refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanGrant {
     /// Number of the loan.
     pub loan: u64,
-    /// Incarnation of the borrower that asked.
+    /// Incarnation of the borrower that sent the request.
     pub incarnation: u64,
     /// Epoch in which the lender owns the slot.
     pub epoch: u64,
@@ -38,37 +39,38 @@
     pub revision: u64,
     /// Tokens lent, in micro-tokens.
     pub amount_micro: u64,
-    /// What is left in the lender's part, in micro-tokens.
+    /// Lendable amount left in the lender's part, in micro-tokens.
     pub level_micro: u64,
 }
 
-/// What became of a loan so far. Both sums only grow, and together they reach at most the amount.
+/// Cumulative report on a loan. Both amounts only increase, and their sum never exceeds the amount
+/// lent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanReport {
     /// Number of the loan.
     pub loan: u64,
-    /// Tokens used, in micro-tokens.
+    /// Used tokens, in micro-tokens.
     pub used_micro: u64,
-    /// Tokens given back, in micro-tokens.
+    /// Returned tokens, in micro-tokens.
     pub returned_micro: u64,
 }
 
-/// The lender has noted a report.
+/// Acknowledgement of a [`LoanReport`] by the lender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanAck {
     /// Number of the loan.
     pub loan: u64,
     /// Incarnation of the borrower that reported.
     pub incarnation: u64,
-    /// Nothing of the loan is outstanding any more.
+    /// The loan is closed: no amount is outstanding.
     pub is_closed: bool,
-    /// Tokens used as noted, in micro-tokens.
+    /// Used tokens recorded by the lender, in micro-tokens.
     pub used_micro: u64,
-    /// Tokens given back as noted, in micro-tokens.
+    /// Returned tokens recorded by the lender, in micro-tokens.
     pub returned_micro: u64,
 }
 
-/// The new owner of a slot asks what the receiver may still use of earlier owners' tokens.
+/// Query by a slot's new owner: how many tokens of earlier owners the receiver may still spend.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Audit {
     /// Region of the slot.
@@ -81,7 +83,7 @@
     pub epoch: u64,
 }
 
-/// Answer to an [`Audit`]. The sender accepts no more loans of earlier epochs.
+/// Answer to an [`Audit`]. The sender no longer accepts grants of earlier epochs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditAnswer {
     /// Shard of the slot.
@@ -94,23 +96,23 @@
     pub revision: u64,
     /// Reservations of earlier epochs by account, in micro-tokens.
     pub outstanding: Vec<(AccountId, u64)>,
-    /// Levels that the sender, as the former owner, passes on by account, in micro-tokens.
+    /// Levels by account that the sender hands over as the former owner, in micro-tokens.
     pub levels: Vec<(AccountId, u64)>,
 }
 
-/// All items for one receiver, over all accounts.
+/// Batch of all items for one receiver, across accounts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanMessage {
-    /// Asks for tokens.
+    /// Loan requests.
     pub requests: Vec<LoanRequest>,
-    /// Answers to asks.
+    /// Answers to loan requests.
     pub grants: Vec<LoanGrant>,
-    /// Reports on loans taken.
+    /// Reports on taken loans.
     pub reports: Vec<LoanReport>,
     /// Acknowledgements of reports.
     pub acks: Vec<LoanAck>,
-    /// Questions of new owners.
+    /// Audits by new owners of slots.
     pub audits: Vec<Audit>,
-    /// Answers to new owners.
+    /// Answers to audits.
     pub audit_answers: Vec<AuditAnswer>,
 }
--- a/crates/core/src/limit/part.rs
+++ b/crates/core/src/limit/part.rs
@@ -1,36 +1,37 @@
-//! One part of an account's bucket.
+//! Parts of an account's token bucket.
 
 use super::REFILL_PER_MILLE;
 use crate::time::Millis;
 
+/// Units of accrual per micro-token: 1,000 milliseconds a second times 1,000 parts per thousand.
 const ACCRUAL_SCALE: u128 = 1_000_000;
 
-/// A part: what one slot may spend of one account.
+/// Part of an account's token bucket that belongs to one slot.
 #[derive(Clone, Debug, Default)]
 pub(super) struct BucketPart {
     /// Epoch of the slot's ownership.
     pub(super) epoch: u64,
-    /// The slot is being given away: the part may not be used.
+    /// The slot is being handed over: the part must not be used.
     pub(super) is_suspended: bool,
-    /// Tokens that may be charged or lent.
+    /// Tokens that can be charged or lent.
     pub(super) level_micro: u64,
-    /// Output that admitted requests may still generate.
+    /// Output tokens that admitted requests may still generate.
     pub(super) reserved_micro: u64,
-    /// Tokens in the hands of borrowers, as far as they have not reported them.
+    /// Lent tokens that borrowers have not reported as used or returned.
     pub(super) lent_micro: u64,
-    /// Tokens of earlier owners that may still be used somewhere.
+    /// Tokens of earlier owners that other instances may still spend.
     pub(super) held_micro: u64,
     /// The part's share of the burst.
     pub(super) cap_micro: u64,
     /// The part's share of the rate, in micro-tokens a second.
     pub(super) rate_micro_per_s: u64,
-    /// Accrual below one micro-token, in millionths of it.
+    /// Accrued fraction of a micro-token, in millionths.
     remainder: u32,
     updated: Millis,
 }
 
 impl BucketPart {
-    /// An empty part.
+    /// Creates an empty part.
     pub(super) fn new(epoch: u64, now: Millis) -> Self {
         Self {
             epoch,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Adds what has accrued since the last update.
+    /// Adds the tokens accrued since the last update.
     pub(super) fn accrue(&mut self, now: Millis) {
         let elapsed_ms = now.since(self.updated);
         if elapsed_ms == 0 {
@@ -54,19 +55,19 @@
         self.clamp_level();
     }
 
-    /// Tokens that are not in the level but may still be used.
+    /// Tokens that are not in the level but may still be spent.
     pub(super) fn committed_micro(&self) -> u64 {
         self.reserved_micro
             .saturating_add(self.lent_micro)
             .saturating_add(self.held_micro)
     }
 
-    /// The part keeps within its share of the burst.
+    /// Whether the committed tokens are within the part's share of the burst.
     pub(super) fn is_within_share(&self) -> bool {
         self.committed_micro() <= self.cap_micro
     }
 
-    /// Cuts the level to what the share of the burst leaves room for.
+    /// Clamps the level to the room that committed tokens leave in the share of the burst.
     fn clamp_level(&mut self) {
         let room = self.cap_micro.saturating_sub(self.committed_micro());
         if self.level_micro > room {
@@ -75,11 +76,11 @@
         }
         assert!(
             self.level_micro == 0 || self.level_micro + self.committed_micro() <= self.cap_micro,
-            "a part exceeds its share of the burst"
+            "part exceeds its share of the burst"
         );
     }
 
-    /// Sets the part's share of burst and rate.
+    /// Sets the part's shares of the burst and the rate.
     pub(super) fn set_limits(&mut self, cap_micro: u64, rate_micro_per_s: u64, now: Millis) {
         self.accrue(now);
         self.cap_micro = cap_micro;
@@ -87,33 +88,36 @@
         self.clamp_level();
     }
 
-    /// Sets what earlier owners' tokens may still amount to.
+    /// Sets the amount held back for tokens of earlier owners.
     pub(super) fn set_held(&mut self, held_micro: u64, now: Millis) {
         self.accrue(now);
         self.held_micro = held_micro;
         self.clamp_level();
     }
 
-    /// Adds tokens that the former owner passes on.
+    /// Adds tokens that the former owner hands over.
     pub(super) fn add_level(&mut self, amount_micro: u64) {
         self.level_micro = self.level_micro.saturating_add(amount_micro);
         self.clamp_level();
     }
 
-    /// Moves tokens from the level to used and reserved.
+    /// Charges tokens to the level: `used_micro` is spent, `reserved_micro` becomes a reservation.
     pub(super) fn charge(&mut self, used_micro: u64, reserved_micro: u64) {
         let total = used_micro + reserved_micro;
-        assert!(total <= self.level_micro, "a charge exceeds the level");
+        assert!(total <= self.level_micro, "charge exceeds the part's level");
         self.level_micro -= total;
         self.reserved_micro += reserved_micro;
     }
 
-    /// Ends a reservation of which `used_micro` was used.
+    /// Releases a reservation of which `used_micro` was used.
     pub(super) fn settle(&mut self, reserved_micro: u64, used_micro: u64, now: Millis) {
-        assert!(used_micro <= reserved_micro, "more used than reserved");
+        assert!(
+            used_micro <= reserved_micro,
+            "settled more tokens than were reserved"
+        );
         assert!(
             reserved_micro <= self.reserved_micro,
-            "a reservation settled twice"
+            "reservation settled twice"
         );
         self.accrue(now);
         self.reserved_micro -= reserved_micro;
@@ -121,17 +125,23 @@
         self.clamp_level();
     }
 
-    /// Moves tokens from the level to a borrower.
+    /// Lends tokens from the level.
     pub(super) fn lend(&mut self, amount_micro: u64) {
-        assert!(amount_micro <= self.level_micro, "a loan exceeds the level");
+        assert!(
+            amount_micro <= self.level_micro,
+            "loan exceeds the part's level"
+        );
         self.level_micro -= amount_micro;
         self.lent_micro += amount_micro;
     }
 
-    /// Takes a borrower's report into account.
+    /// Applies a borrower's report of used and returned tokens.
     pub(super) fn repay(&mut self, used_micro: u64, returned_micro: u64, now: Millis) {
         let total = used_micro + returned_micro;
-        assert!(total <= self.lent_micro, "more repaid than lent");
+        assert!(
+            total <= self.lent_micro,
+            "reported more tokens than were lent"
+        );
         self.accrue(now);
         self.lent_micro -= total;
         self.level_micro += returned_micro;
--- a/crates/core/src/limit/table.rs
+++ b/crates/core/src/limit/table.rs
@@ -1,11 +1,11 @@
-//! Shares of rate and burst as a function of the configuration document alone.
+//! Shares of rate and burst, computed from the configuration document alone.
 
 use crate::document::{Document, WHOLE_PPM};
 use crate::id::{AccountId, RegionId};
 use crate::slot::Role;
 use std::collections::HashMap;
 
-/// Rate and burst of an account.
+/// Configured rate and burst of an account.
 #[derive(Clone, Debug)]
 pub(super) struct AccountLimits {
     pub(super) rate_tokens_per_s: u64,
@@ -13,7 +13,7 @@
     bound_region: Option<RegionId>,
 }
 
-/// PartShare of one part.
+/// Share of an account's burst and rate that belongs to one part.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct PartShare {
     pub(super) cap_micro: u64,
@@ -21,7 +21,7 @@
 }
 
 impl PartShare {
-    /// The smaller of both, for burst and rate each.
+    /// Minimum of burst and rate, each on its own.
     pub(super) fn min(self, other: Self) -> Self {
         Self {
             cap_micro: self.cap_micro.min(other.cap_micro),
@@ -30,10 +30,11 @@
     }
 }
 
-/// What one revision of the document says about limits.
+/// Limits of all accounts in one revision of the document.
 #[derive(Clone, Debug)]
 pub(super) struct LimitTable {
     pub(super) revision: u64,
+    /// Regions with their weights, in parts per million.
     regions: Vec<(RegionId, u64)>,
     pub(super) accounts: HashMap<AccountId, AccountLimits>,
 }
@@ -70,18 +71,18 @@
         }
     }
 
-    /// Regions in the order of the document.
+    /// Regions in document order.
     pub(super) fn regions(&self) -> impl Iterator<Item = &RegionId> {
         self.regions.iter().map(|(region, _)| region)
     }
 
-    /// The share of the slot of `account` in `region` and `role`.
+    /// Share of `account`'s part in `region` and `role`.
     pub(super) fn share(&self, account: &AccountId, region: &RegionId, role: Role) -> PartShare {
         let Some(limits) = self.accounts.get(account) else {
             return PartShare::default();
         };
         let weight_ppm = self.weight_ppm(limits, region) * role.share_ppm() / u64::from(WHOLE_PPM);
-        // Tokens times parts per million are micro-tokens.
+        // Tokens times parts per million yields micro-tokens.
         PartShare {
             cap_micro: limits.burst_tokens.saturating_mul(weight_ppm),
             rate_micro_per_s: limits.rate_tokens_per_s.saturating_mul(weight_ppm),
--- a/crates/core/tests/limit_random.rs
+++ b/crates/core/tests/limit_random.rs
@@ -1,6 +1,6 @@
-//! Seeded randomised runs: no account exceeds its rate and burst in any window, whatever fails.
+//! Seeded randomised runs with faults: no account exceeds its rate and burst in any time window.
 
-// The measurement of `carobctl` drives the same world; not every part is used here.
+// The `carobctl` experiments use the same simulation; not all of it is used here.
 #[allow(dead_code, unreachable_pub)]
 #[path = "../../ctl/src/experiment/limits/world/mod.rs"]
 mod world;
@@ -16,23 +16,23 @@
 use world::{Setup, World};
 
 const RUN_MS: u64 = 150_000;
-/// Length of a run with a planted fault.
-const PLANT_RUN_MS: u64 = 105_000;
+/// Duration of a run with an injected defect.
+const DEFECT_RUN_MS: u64 = 105_000;
 const FAULTS_UNTIL_MS: u64 = 130_000;
 const REGIONS: usize = 3;
 const NODES: usize = 6;
-/// Seeds of every run in CI; the environment variable `CAROBWHEEL_SEEDS` asks for more.
+/// Number of seeds in CI; the environment variable `CAROBWHEEL_SEEDS` overrides it.
 const CI_SEEDS: u64 = 8;
 
 fn regions() -> Vec<RegionId> {
     ["north", "south", "west"]
-        .map(|id| id.parse().expect("a valid name"))
+        .map(|id| id.parse().expect("a valid identifier"))
         .to_vec()
 }
 
 fn account(id: &str, rate_tokens_per_s: u64, burst_tokens: u64) -> Account {
     Account {
-        id: id.parse().expect("a valid name"),
+        id: id.parse().expect("a valid identifier"),
         rate_tokens_per_s,
         burst_tokens,
         queue_weight: 1,
@@ -78,7 +78,7 @@
         1 => Placement::One(rng.random_range(0..NODES)),
         _ => Placement::Moving { period_ms: 9_000 },
     };
-    let account: AccountId = id.parse().expect("a valid name");
+    let account: AccountId = id.parse().expect("a valid identifier");
     Flow {
         account,
         tokens_per_s,
@@ -156,7 +156,7 @@
     Some(format!("{violation:?}"))
 }
 
-/// A violation found by the reference bucket or by an assertion inside the program.
+/// Returns the violation found by the reference bucket or by an assertion in the code under test.
 fn find_violation(setup: Setup, end_ms: u64) -> Option<String> {
     let result = catch_unwind(AssertUnwindSafe(|| run(setup, end_ms)));
     result.unwrap_or_else(|panic| {
@@ -166,8 +166,8 @@
 }
 
 fn seeds() -> u64 {
-    let asked = std::env::var("CAROBWHEEL_SEEDS").ok();
-    asked
+    let configured = std::env::var("CAROBWHEEL_SEEDS").ok();
+    configured
         .and_then(|seeds| seeds.parse().ok())
         .unwrap_or(CI_SEEDS)
 }
@@ -202,10 +202,10 @@
     );
 }
 
-/// A steady load of small requests at all instances; `on_ms` as in [`Flow`].
+/// Steady load of small requests at all instances; `on_ms` is as in [`Flow`].
 fn steady_flow(id: &str, tokens_per_s: u64, on_ms: u64) -> Flow {
     Flow {
-        account: id.parse().expect("a valid name"),
+        account: id.parse().expect("a valid identifier"),
         tokens_per_s,
         placement: Placement::Spread,
         max_prompt_tokens: 200,
@@ -216,7 +216,7 @@
     }
 }
 
-const KILLS: [(u64, Fault); 5] = [
+const KILLS_AND_RESTARTS: [(u64, Fault); 5] = [
     (0, Fault::Publish(1)),
     (20_000, Fault::Kill(0)),
     (21_000, Fault::Kill(4)),
@@ -239,12 +239,12 @@
     (90_000, Fault::Heal),
 ];
 
-#[test_case(Plant::LoanCreditedTwice, &KILLS[..1], 0; "loan credited twice")]
-#[test_case(Plant::LentForgotten, &KILLS[..1], 0; "lender forgets what it has lent")]
+#[test_case(Plant::LoanCreditedTwice, &KILLS_AND_RESTARTS[..1], 0; "loan credited twice")]
+#[test_case(Plant::LentForgotten, &KILLS_AND_RESTARTS[..1], 0; "lender forgets what it has lent")]
 #[test_case(Plant::PauseRuleOff, &PAUSE_AND_OUTAGE, 50_000; "pause rule off")]
-#[test_case(Plant::FullStart, &KILLS, 0; "new owner starts full")]
+#[test_case(Plant::FullStart, &KILLS_AND_RESTARTS, 0; "new owner starts full")]
 #[test_case(Plant::GrowthAtOnce, &GROWTH_DURING_PARTITION, 0; "share grows at once")]
-fn planted_fault_is_caught(plant: Plant, faults: &[(u64, Fault)], on_ms: u64) {
+fn injected_defect_is_caught(plant: Plant, faults: &[(u64, Fault)], on_ms: u64) {
     let scenario = |plant: Plant| {
         let mut setup = setup(1, plant);
         setup.faults = faults.to_vec();
@@ -254,14 +254,17 @@
             steady_flow("slow", 60, on_ms),
         ];
         if on_ms > 0 {
-            // The load after the break spends a full bucket at once.
+            // The load after the idle period spends a full bucket at once.
             setup.flows[0].tokens_per_s = 40_000;
         }
         setup
     };
-    assert_eq!(find_violation(scenario(Plant::Nothing), PLANT_RUN_MS), None);
+    assert_eq!(
+        find_violation(scenario(Plant::Nothing), DEFECT_RUN_MS),
+        None
+    );
     assert_ne!(
-        find_violation(scenario(plant), PLANT_RUN_MS),
+        find_violation(scenario(plant), DEFECT_RUN_MS),
         None,
         "{plant:?} was not caught"
     );
