--- a/crates/core/src/slot/liveness.rs
+++ b/crates/core/src/slot/liveness.rs
@@ -1,14 +1,15 @@
-//! Signs of life of owners.
+//! Liveness of slot owners.
 
 use super::{OwnerLiveness, OwnershipRecord, Peer};
 use crate::id::InstanceId;
 use crate::time::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// When owners were last heard of, and whether the live list names them.
+/// Tracks when owners were last seen and whether the live list contains them.
 ///
-/// A heartbeat, the live list and a confirmation in the record are signs of life. An owner that
-/// is seen for the first time counts as heard of at that moment.
+/// An owner counts as seen when it sends a heartbeat, appears on the live list, or confirms its
+/// slots in the ownership record. An owner that appears in a record for the first time counts as
+/// seen at that moment.
 #[derive(Clone, Debug, Default)]
 pub struct LivenessTracker {
     last_seen: BTreeMap<Peer, Millis>,
@@ -18,12 +19,12 @@
 }
 
 impl LivenessTracker {
-    /// Notes a heartbeat, or any message that `peer` can only have sent lately.
+    /// Records a heartbeat, or any other message that `peer` must have sent recently.
     pub fn note_heartbeat(&mut self, peer: &Peer, now: Millis) {
         self.last_seen.insert(peer.clone(), now);
     }
 
-    /// Notes the live list whose read began at `read_began`.
+    /// Records the live list from a read that began at `read_began`.
     pub fn note_live_list(&mut self, listed: &[Peer], read_began: Millis, now: Millis) {
         for peer in listed {
             self.last_seen.insert(peer.clone(), now);
@@ -32,7 +33,7 @@
         self.list_read_began = Some(read_began);
     }
 
-    /// Notes the owners of a record and their confirmations.
+    /// Records the owners of an ownership record and their confirmations.
     pub fn note_record(&mut self, record: &OwnershipRecord, now: Millis) {
         for owner in record.peers() {
             let confirmations = record.confirmations.get(&owner.instance);
@@ -49,7 +50,7 @@
         }
     }
 
-    /// What is known of a peer that is not alive.
+    /// Liveness evidence of a peer. A peer that was never seen counts as seen right now.
     pub fn liveness(&self, peer: &Peer, now: Millis) -> OwnerLiveness {
         let Some(last_seen) = self.last_seen.get(peer) else {
             return OwnerLiveness {
--- a/crates/core/src/slot/pause.rs
+++ b/crates/core/src/slot/pause.rs
@@ -1,13 +1,13 @@
-//! The rule that makes an owner harmless that wakes from a long pause.
+//! Detection of long pauses of this process, after which its slots are invalid.
 
 use super::TOLERATED_PAUSE_MS;
 use crate::time::Millis;
 
-/// Watches the time between two ticks of the deciding thread.
+/// Detects pauses from the time between ticks of the decision thread.
 ///
-/// After a gap longer than half the tolerated pause the instance's slots are void: another
-/// instance may have taken them. They stay void until the store has answered a read that began
-/// after the gap.
+/// After a gap longer than half of [`TOLERATED_PAUSE_MS`] the instance's slots are invalid, because
+/// another instance may have claimed them. They stay invalid until the store has answered a read
+/// that began after the gap.
 #[derive(Clone, Debug)]
 pub struct PauseGuard {
     last_tick: Millis,
@@ -15,7 +15,7 @@
 }
 
 impl PauseGuard {
-    /// A guard that starts at `now`, not void.
+    /// Creates a guard whose first tick is at `now`, with valid slots.
     pub fn new(now: Millis) -> Self {
         Self {
             last_tick: now,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Notes a tick; true when the slots have just become void.
+    /// Records a tick. Returns true if the slots have become invalid because of the gap before it.
     pub fn detect_pause(&mut self, now: Millis) -> bool {
         let gap_ms = now.since(self.last_tick);
         self.last_tick = now;
@@ -34,8 +34,8 @@
         true
     }
 
-    /// Notes the answer to a read of the record that began at `read_began`; true when the slots
-    /// of the record are valid from now on.
+    /// Applies the answer to a read of the record that began at `read_began`. Returns true if the
+    /// slots of the record are valid.
     pub fn confirm_read(&mut self, read_began: Millis) -> bool {
         match self.invalid_since {
             Some(since) if read_began < since => false,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Slots may not be used.
+    /// Whether the slots are invalid and must not be used.
     pub fn are_slots_invalid(&self) -> bool {
         self.invalid_since.is_some()
     }
--- a/crates/core/src/slot/plan.rs
+++ b/crates/core/src/slot/plan.rs
@@ -1,57 +1,57 @@
-//! Planning the next record of owners.
+//! Planning of the next ownership record.
 
 use super::{rendezvous_score, Ownership, OwnershipRecord, Peer, Role, SHARDS, TOLERATED_PAUSE_MS};
 use crate::id::InstanceId;
 use std::collections::BTreeSet;
 
-/// What is known of an owner that the live list may no longer name.
+/// Evidence on whether an owner is still alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnerLiveness {
-    /// The live list, read after the last sign of life, no longer names this run.
+    /// The live list, read after the owner was last seen, does not contain this run.
     pub is_unlisted: bool,
-    /// Time since the last sign of life from any source, in milliseconds.
+    /// Time since the owner was last seen by any source, in milliseconds.
     pub silent_ms: u64,
 }
 
 impl OwnerLiveness {
-    /// The owner is gone: its slots may be taken by another instance.
+    /// Whether the owner is gone, so that other instances may claim its slots.
     pub const fn is_gone(self) -> bool {
         self.is_unlisted && self.silent_ms > TOLERATED_PAUSE_MS
     }
 }
 
-/// What an instance knows when it plans.
+/// Inputs for planning at one instance.
 pub struct PlanContext<'a> {
     /// This run of this instance.
     pub me: &'a Peer,
-    /// This instance is about to stop: it hands over everything and claims nothing.
+    /// This instance is about to stop: it hands over all its slots and claims none.
     pub is_leaving: bool,
-    /// Every member that is not confirmed gone answers. As long as one does not, a slot that is
-    /// handed over stays empty, because its new owner waits for that member's answer.
+    /// All members that are not confirmed gone are reachable. Otherwise a slot that is handed over
+    /// would stay empty, because its new owner waits for the audit answer of every such member.
     pub are_all_reachable: bool,
     /// Members of the region that are alive and not leaving, this instance included.
     pub alive: &'a [Peer],
-    /// What is known of an owner that is not alive.
+    /// Liveness of an owner that is not in `alive`.
     pub liveness: &'a dyn Fn(&Peer) -> OwnerLiveness,
 }
 
-/// The next record and what changes with it for this instance.
+/// The next ownership record, with the slots that this instance hands over and claims.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnershipPlan {
-    /// The record to write by compare-and-swap on the record that was read.
+    /// Record to write by compare-and-swap against the record that was read.
     pub next: OwnershipRecord,
-    /// Slots that this instance gives away. They may not be used from the moment the write is
-    /// sent, since its answer may be lost after it took effect.
+    /// Slots that this instance hands over. They must not be used once the write is sent, because
+    /// it may take effect even if its answer is lost.
     pub handed_over: Vec<(u16, Role)>,
-    /// Slots that this instance takes once the write is known to have taken effect.
+    /// Slots that this instance owns once the write is known to have taken effect.
     pub claimed: Vec<(u16, Role)>,
 }
 
-/// Plans the next record from the `record` that was read; none when nothing is to change.
+/// Plans the next record from the `record` that was read; returns `None` if nothing changes.
 ///
-/// An instance claims slots without an owner and slots whose owner is gone, when it is the
-/// preferred one among the members alive. It hands over a slot of its own to the preferred
-/// member, when it leaves or every member answers. It never takes a slot from an owner that may be alive.
+/// An instance claims slots without an owner and slots whose owner is gone, if it is the preferred
+/// owner among the members alive. It hands over a slot of its own to the preferred owner if it is
+/// leaving or all members are reachable. It never claims a slot of an owner that may be alive.
 pub fn plan(record: &OwnershipRecord, context: &PlanContext<'_>) -> Option<OwnershipPlan> {
     let mut plan = OwnershipPlan {
         next: record.clone(),
@@ -70,6 +70,8 @@
     (!is_unchanged).then_some(plan)
 }
 
+/// Members that may own slots: the newest run of each instance alive, without this instance if it
+/// is leaving.
 fn candidates<'a>(context: &PlanContext<'a>) -> Vec<&'a Peer> {
     let mut seen: BTreeSet<&InstanceId> = BTreeSet::new();
     let mut candidates: Vec<&Peer> = context.alive.iter().collect();
@@ -80,7 +82,8 @@
     candidates
 }
 
-/// The preferred owners of the primary and the backup slot of `shard`.
+/// Preferred owners of the primary and the backup slot of `shard`. They differ unless there is only
+/// one candidate.
 fn preferred<'a>(candidates: &[&'a Peer], shard: u16) -> [Option<&'a Peer>; 2] {
     let mut ranked: Vec<&Peer> = candidates.to_vec();
     ranked.sort_by_key(|peer| std::cmp::Reverse((rendezvous_score(&peer.instance, shard), *peer)));
--- a/crates/core/src/slot/reconciler.rs
+++ b/crates/core/src/slot/reconciler.rs
@@ -1,34 +1,35 @@
-//! Reading and writing the record of owners of the own region.
+//! Reads and writes of the home region's ownership record.
 
 use super::{plan, OwnedSlot, OwnershipPlan, OwnershipRecord, PauseGuard, Peer, PlanContext, Role};
 use crate::time::Millis;
 
-/// A compare-and-swap of the record, to be sent as often as needed.
+/// Compare-and-swap of the ownership record. It is safe to send repeatedly.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnershipWrite {
-    /// Revision of the record that the write replaces; 0 if there is none.
+    /// Revision of the record that the write replaces; 0 if there is no record.
     pub base_revision: u64,
     /// The record to write.
     pub next: OwnershipRecord,
-    /// Slots to suspend before the write is sent.
+    /// Slots that must be suspended before the write is sent.
     pub suspended: Vec<(u16, Role)>,
 }
 
-/// What a read of the record means for the limiter.
+/// Effect of a read of the ownership record on the limiter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnershipUpdate {
     /// Nothing has changed.
     Unchanged,
-    /// These slots are owned; hand them to `Limiter::set_slots`.
+    /// The owned slots, to be passed to `Limiter::set_slots`.
     Owned(Vec<OwnedSlot>),
-    /// These slots are owned and valid again after a pause; hand them to `Limiter::confirm`.
+    /// The owned slots, which are valid again after a pause; to be passed to
+    /// `Limiter::confirm_slots`.
     Confirmed(Vec<OwnedSlot>),
 }
 
-/// Keeps the record of owners of the own region in step with the members.
+/// Reconciles the home region's ownership record with the current members.
 ///
-/// A write whose answer is lost may take effect at any later time, so it stays undecided until a
-/// read shows a revision other than the one it was based on.
+/// A write whose answer is lost may take effect at any later time, so it stays pending until a read
+/// returns a revision other than the one it was based on.
 #[derive(Clone, Debug)]
 pub struct OwnershipReconciler {
     me: Peer,
@@ -36,12 +37,12 @@
     record: OwnershipRecord,
     revision: Option<u64>,
     pending_write: Option<OwnershipWrite>,
-    /// The number of confirmations that has to be read before the slots are valid.
+    /// Confirmation count that must be read back before the slots are valid again.
     awaited_confirmation: Option<u64>,
 }
 
 impl OwnershipReconciler {
-    /// A keeper that has read nothing.
+    /// Creates a reconciler that has not read the record yet.
     pub fn new(me: Peer, now: Millis) -> Self {
         Self {
             me,
@@ -53,7 +54,8 @@
         }
     }
 
-    /// Notes a tick of the deciding thread; true when the limiter has to be made void.
+    /// Records a tick of the decision thread. Returns true after a long pause: the caller must then
+    /// call `Limiter::invalidate_slots`.
     pub fn detect_pause(&mut self, now: Millis) -> bool {
         let has_paused = self.pause_guard.detect_pause(now);
         if has_paused {
@@ -62,7 +64,7 @@
         has_paused
     }
 
-    /// Takes the record read at `revision` (0 if there is none) by a read that began at
+    /// Applies the record read at `revision` (0 if there is no record) by a read that began at
     /// `read_began`.
     pub fn on_read(
         &mut self,
@@ -98,8 +100,8 @@
         OwnershipUpdate::Owned(owned)
     }
 
-    /// The write to send now, if any. Its slots have to be suspended first, and the record read
-    /// again after it, whatever its answer.
+    /// Returns the write to send now, if any. Its slots must be suspended before it is sent, and
+    /// the record must be read again afterwards, whatever the answer.
     pub fn next_write(&mut self, context: &PlanContext<'_>) -> Option<OwnershipWrite> {
         if self.pending_write.is_some() {
             return self.pending_write.clone();
@@ -121,17 +123,19 @@
         Some(write)
     }
 
-    /// The record as last read.
+    /// Most recently read record.
     pub fn record(&self) -> &OwnershipRecord {
         &self.record
     }
 
+    /// Whether the record holds the awaited confirmation of this instance.
     fn is_confirmation_stored(&self) -> bool {
         let count = self.record.confirmations.get(&self.me.instance);
         self.awaited_confirmation
             .is_some_and(|awaited| count == Some(&awaited))
     }
 
+    /// Write that confirms the owned slots after a pause.
     fn confirmation_write(&mut self, base_revision: u64) -> Option<OwnershipWrite> {
         if self.record.owned_by(&self.me).is_empty() {
             return None;
--- a/crates/core/tests/limit_slot.rs
+++ b/crates/core/tests/limit_slot.rs
@@ -1,4 +1,4 @@
-//! Planning, reading and confirming the record of owners.
+//! Planning, reading and confirmation of the ownership record, and liveness of slot owners.
 
 use carobwheel_core::slot::{
     plan, LivenessTracker, OwnerLiveness, Ownership, OwnershipReconciler, OwnershipRecord,
@@ -22,23 +22,23 @@
 
 fn run(name: &str, incarnation: u64) -> Peer {
     Peer {
-        instance: name.parse().expect("a valid name"),
+        instance: name.parse().expect("a valid identifier"),
         incarnation,
     }
 }
 
-/// Lets every member in turn plan until nothing changes, and returns the record.
+/// Applies the plans of all members in turn, four times over, and returns the record.
 fn settle(mut record: OwnershipRecord, alive: &[Peer], liveness: OwnerLiveness) -> OwnershipRecord {
     for _ in 0..4 {
         for me in alive {
-            let view = PlanContext {
+            let context = PlanContext {
                 me,
                 is_leaving: false,
                 are_all_reachable: true,
                 alive,
                 liveness: &|_| liveness,
             };
-            if let Some(plan) = plan(&record, &view) {
+            if let Some(plan) = plan(&record, &context) {
                 record = plan.next;
             }
         }
@@ -49,7 +49,7 @@
 fn counts(record: &OwnershipRecord, peers: &[Peer]) -> Vec<(usize, usize)> {
     let count = |peer: &Peer, role| {
         let owners = record.owners(role).values();
-        owners.filter(|of| of.owner == *peer).count()
+        owners.filter(|ownership| ownership.owner == *peer).count()
     };
     peers
         .iter()
@@ -66,9 +66,12 @@
         (record.primary.len(), record.backup.len()),
         (shards, shards)
     );
-    let apart =
+    let are_distinct =
         (0..SHARDS).all(|shard| record.primary[&shard].owner != record.backup[&shard].owner);
-    assert!(apart, "primary and backup of a shard have the same owner");
+    assert!(
+        are_distinct,
+        "primary and backup of a shard have the same owner"
+    );
     insta::assert_compact_debug_snapshot!(counts(&record, &alive), @"[(17, 18), (19, 27), (28, 19)]");
 }
 
@@ -81,7 +84,7 @@
 }
 
 #[test]
-fn a_new_member_is_given_its_slots_with_a_new_epoch() {
+fn a_new_member_receives_its_slots_with_a_new_epoch() {
     let before = settle(OwnershipRecord::default(), &["a", "b"].map(peer), ALIVE);
     let after = settle(before.clone(), &["a", "b", "c"].map(peer), ALIVE);
     for role in Role::ALL {
@@ -96,7 +99,7 @@
 #[test_case(true, TOLERATED_PAUSE_MS + 1 => true; "unlisted and silent")]
 #[test_case(false, TOLERATED_PAUSE_MS + 1 => false; "listed")]
 #[test_case(true, TOLERATED_PAUSE_MS => false; "silent for no longer than the tolerated pause")]
-fn slots_of_an_absent_owner_are_taken(is_unlisted: bool, silent_ms: u64) -> bool {
+fn slots_of_a_gone_owner_are_claimed(is_unlisted: bool, silent_ms: u64) -> bool {
     let before = settle(OwnershipRecord::default(), &["a", "b"].map(peer), ALIVE);
     let liveness = OwnerLiveness {
         is_unlisted,
@@ -107,7 +110,7 @@
 }
 
 #[test]
-fn a_restarted_instance_waits_for_its_past_to_be_gone() {
+fn a_restarted_instance_claims_slots_only_after_its_former_run_is_gone() {
     let before = settle(OwnershipRecord::default(), &["a", "b"].map(peer), ALIVE);
     let alive = [peer("a"), run("b", 2)];
     assert_eq!(settle(before.clone(), &alive, ALIVE), before);
@@ -116,17 +119,17 @@
 }
 
 #[test]
-fn a_leaving_owner_gives_everything_away() {
+fn a_leaving_owner_hands_over_all_slots() {
     let record = settle(OwnershipRecord::default(), &["a", "b"].map(peer), ALIVE);
     let me = peer("a");
-    let view = PlanContext {
+    let context = PlanContext {
         me: &me,
         is_leaving: true,
         are_all_reachable: true,
         alive: &["a", "b"].map(peer),
         liveness: &|_| ALIVE,
     };
-    let plan = plan(&record, &view).expect("a plan");
+    let plan = plan(&record, &context).expect("a plan");
     assert_eq!(plan.handed_over.len(), record.owned_by(&me).len());
     assert!(plan.claimed.is_empty() && plan.next.owned_by(&me).is_empty());
 }
@@ -146,63 +149,64 @@
 }
 
 #[test]
-fn a_write_without_an_answer_stays_undecided_until_the_revision_changes() {
+fn a_write_without_an_answer_stays_pending_until_the_revision_changes() {
     let (me, alive) = (peer("b"), ["a", "b"].map(peer));
-    let view = PlanContext {
+    let context = PlanContext {
         me: &me,
         is_leaving: false,
         are_all_reachable: true,
         alive: &alive,
         liveness: &|_| ALIVE,
     };
-    let mut keeper = OwnershipReconciler::new(me.clone(), Millis(0));
-    keeper.on_read(7, owned_by_b(), Millis(0));
-    let write = keeper.next_write(&view).expect("a write");
+    let mut reconciler = OwnershipReconciler::new(me.clone(), Millis(0));
+    reconciler.on_read(7, owned_by_b(), Millis(0));
+    let write = reconciler.next_write(&context).expect("a write");
     assert!(!write.suspended.is_empty());
-    // The write may still take effect: it is sent again, and nothing is usable before.
+    // The write may still take effect, so it is sent again, and its slots stay suspended until
+    // then.
     assert_eq!(
-        keeper.on_read(7, owned_by_b(), Millis(1)),
+        reconciler.on_read(7, owned_by_b(), Millis(1)),
         OwnershipUpdate::Unchanged
     );
-    assert_eq!(keeper.next_write(&view), Some(write.clone()));
+    assert_eq!(reconciler.next_write(&context), Some(write.clone()));
     let owned = write.next.owned_by(&me);
     assert_eq!(
-        keeper.on_read(8, write.next, Millis(2)),
+        reconciler.on_read(8, write.next, Millis(2)),
         OwnershipUpdate::Owned(owned)
     );
 }
 
 #[test]
-fn slots_are_valid_again_once_the_store_holds_a_confirmation_written_after_the_pause() {
+fn slots_are_valid_again_once_a_confirmation_written_after_the_pause_is_read() {
     let me = peer("b");
     let alive = [me.clone()];
-    let view = PlanContext {
+    let context = PlanContext {
         me: &me,
         is_leaving: false,
         are_all_reachable: true,
         alive: &alive,
         liveness: &|_| ALIVE,
     };
-    let mut keeper = OwnershipReconciler::new(me.clone(), Millis(0));
-    keeper.on_read(7, owned_by_b(), Millis(0));
-    assert!(!keeper.detect_pause(Millis(TOLERATED_PAUSE_MS / 2)));
-    let woken = Millis(TOLERATED_PAUSE_MS * 2);
-    assert!(keeper.detect_pause(woken));
+    let mut reconciler = OwnershipReconciler::new(me.clone(), Millis(0));
+    reconciler.on_read(7, owned_by_b(), Millis(0));
+    assert!(!reconciler.detect_pause(Millis(TOLERATED_PAUSE_MS / 2)));
+    let resumed_at = Millis(TOLERATED_PAUSE_MS * 2);
+    assert!(reconciler.detect_pause(resumed_at));
     assert_eq!(
-        keeper.on_read(7, owned_by_b(), woken.plus(1)),
+        reconciler.on_read(7, owned_by_b(), resumed_at.plus(1)),
         OwnershipUpdate::Unchanged
     );
-    let write = keeper.next_write(&view).expect("a write");
+    let write = reconciler.next_write(&context).expect("a write");
     assert!(write.suspended.is_empty());
     let confirmed = write.next.clone();
     assert_eq!(
-        keeper.on_read(8, confirmed.clone(), woken.plus(2)),
+        reconciler.on_read(8, confirmed.clone(), resumed_at.plus(2)),
         OwnershipUpdate::Confirmed(confirmed.owned_by(&me))
     );
 }
 
 #[test]
-fn an_answer_to_a_read_from_before_the_pause_confirms_nothing() {
+fn a_read_that_began_before_the_pause_confirms_nothing() {
     let mut guard = PauseGuard::new(Millis(0));
     assert!(guard.detect_pause(Millis(40_000)));
     assert!(!guard.confirm_read(Millis(39_999)));
@@ -212,32 +216,33 @@
 }
 
 #[test]
-fn a_confirmation_in_the_record_is_a_sign_of_life() {
+fn a_confirmation_in_the_record_shows_that_an_owner_is_alive() {
     let owner = peer("b");
-    let mut presence = LivenessTracker::default();
+    let mut tracker = LivenessTracker::default();
     let mut record = owned_by_b();
-    presence.note_record(&record, Millis(0));
-    presence.note_live_list(&[], Millis(10), Millis(10));
+    tracker.note_record(&record, Millis(0));
+    tracker.note_live_list(&[], Millis(10), Millis(10));
     let late = Millis(TOLERATED_PAUSE_MS + 1);
-    assert!(presence.liveness(&owner, late).is_gone());
+    assert!(tracker.liveness(&owner, late).is_gone());
     record.confirmations.insert(owner.instance.clone(), 1);
-    presence.note_record(&record, late);
-    presence.note_live_list(&[], late.plus(1), late.plus(1));
-    assert!(!presence.liveness(&owner, late.plus(1)).is_gone());
-    assert!(presence.liveness(&owner, late.plus(late.0)).is_gone());
+    tracker.note_record(&record, late);
+    tracker.note_live_list(&[], late.plus(1), late.plus(1));
+    assert!(!tracker.liveness(&owner, late.plus(1)).is_gone());
+    assert!(tracker.liveness(&owner, late.plus(late.0)).is_gone());
 }
 
 #[test]
-fn an_owner_never_heard_of_is_not_gone() {
-    let mut presence = LivenessTracker::default();
-    presence.note_live_list(&[], Millis(10), Millis(10));
-    let liveness = presence.liveness(&peer("b"), Millis(1_000_000));
+fn an_owner_that_was_never_seen_is_not_gone() {
+    let mut tracker = LivenessTracker::default();
+    tracker.note_live_list(&[], Millis(10), Millis(10));
+    let liveness = tracker.liveness(&peer("b"), Millis(1_000_000));
     assert!(!liveness.is_gone());
 }
 
-/// The new owner of a slot would wait for the member that does not answer.
+/// Guards against an empty slot: its new owner would wait for the audit answer of the unreachable
+/// member.
 #[test]
-fn nothing_is_handed_over_while_a_member_does_not_answer_unless_the_owner_leaves() {
+fn slots_are_not_handed_over_while_a_member_is_unreachable_unless_the_owner_leaves() {
     let old = peer("a");
     let record = settle(
         OwnershipRecord::default(),
@@ -246,14 +251,14 @@
     );
     let alive = [old.clone(), peer("b")];
     let planned = |are_all_reachable, is_leaving| {
-        let view = PlanContext {
+        let context = PlanContext {
             me: &old,
             is_leaving,
             are_all_reachable,
             alive: &alive,
             liveness: &|_| ALIVE,
         };
-        plan(&record, &view).map_or(0, |plan| plan.handed_over.len())
+        plan(&record, &context).map_or(0, |plan| plan.handed_over.len())
     };
     assert_eq!(planned(false, false), 0);
     assert!(planned(true, false) > 0);
