--- a/crates/core/src/admit/mod.rs
+++ b/crates/core/src/admit/mod.rs
@@ -1,9 +1,10 @@
 //! Admission: bounded queues, fairness and deadlines.
 //!
-//! [`AdmissionQueues`] holds the requests that have no place yet, in one bounded queue for each account and
-//! class. Urgent classes go first; within a class, deficit round robin in tokens gives each account
-//! its share by weight, however much the others send. A request that cannot meet its deadline is
-//! refused when it arrives, not when it is too late.
+//! [`AdmissionQueues`] holds the requests that are not placed at an upstream yet, in one bounded
+//! queue for each account and class. More urgent classes are served first. Within a class, deficit
+//! round robin in tokens gives each account its share by weight, regardless of the load of other
+//! accounts. A request that is predicted to miss its deadline is refused on arrival instead of
+//! expiring in the queue.
 
 mod queue;
 mod queues;
--- a/crates/core/src/admit/queue.rs
+++ b/crates/core/src/admit/queue.rs
@@ -1,23 +1,23 @@
-//! The queue of one account and class.
+//! Queue of one account and class.
 
 use crate::id::AccountId;
 use crate::time::Millis;
 use std::collections::VecDeque;
 
-/// A request that waits.
+/// A request in an admission queue.
 #[derive(Clone, Debug)]
 pub struct QueuedRequest<T> {
-    /// Account that the request runs for; absent on open routes, which share one queue.
+    /// Account that the request is charged to. Absent on open routes, which share one queue.
     pub account: Option<AccountId>,
-    /// The account's weight in the fair queue (1 or more).
+    /// Weight of the account in the round robin; at least 1.
     pub weight: u32,
     /// Priority of the class; 0 is the most urgent.
     pub priority: u8,
-    /// Prompt and output tokens that the request costs.
+    /// Cost of the request, in prompt and output tokens.
     pub cost_tokens: u64,
-    /// Time from which it may no longer be placed.
+    /// Time from which the request must no longer be placed.
     pub deadline: Millis,
-    /// The request itself.
+    /// The caller's representation of the request.
     pub item: T,
 }
 
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(super) struct AccountQueue<T> {
     pub(super) entries: VecDeque<QueuedRequest<T>>,
-    /// Tokens that the account may place before the next round.
+    /// Tokens that the account may place without a further round.
     pub(super) deficit_tokens: u64,
     pub(super) weight: u32,
 }
@@ -47,14 +47,14 @@
         Some(self.entries.front()?.cost_tokens)
     }
 
-    /// Rounds until the deficit covers the first request.
+    /// Number of rounds until the deficit covers the first request.
     pub(super) fn rounds_needed(&self, quantum_tokens: u64) -> u64 {
         let head_tokens = self.head_tokens().unwrap_or(0);
         let missing_tokens = head_tokens.saturating_sub(self.deficit_tokens);
         missing_tokens.div_ceil(quantum_tokens * u64::from(self.weight))
     }
 
-    /// Keeps the deficit below the first request's cost and one round's share.
+    /// Caps the deficit at the first request's cost plus one round's share.
     pub(super) fn clamp_deficit(&mut self, quantum_tokens: u64) {
         let max_tokens = self.max_deficit_tokens(quantum_tokens);
         self.deficit_tokens = self.deficit_tokens.min(max_tokens);
--- a/crates/core/src/admit/queues.rs
+++ b/crates/core/src/admit/queues.rs
@@ -1,4 +1,4 @@
-//! The queues of one instance.
+//! Admission queues of one instance.
 
 use super::queue::QueuedRequest;
 use super::round_robin::ClassQueues;
@@ -7,16 +7,16 @@
 use crate::time::Millis;
 use std::collections::BTreeMap;
 
-/// A request that leaves its queue.
+/// A request that has left its queue, with the reason.
 #[derive(Debug)]
 pub enum Dequeued<T, P> {
-    /// It has found a place.
+    /// The request has been placed.
     Placed(QueuedRequest<T>, P),
-    /// It may no longer run, because its key was withdrawn.
+    /// The request must not run, because its key was withdrawn.
     Withdrawn(QueuedRequest<T>),
 }
 
-/// The queues of one instance, by class and account. Owned by the deciding thread.
+/// Admission queues of one instance, by class and account. Owned by the decision thread.
 #[derive(Debug)]
 pub struct AdmissionQueues<T> {
     settings: AdmissionSettings,
@@ -26,7 +26,7 @@
 }
 
 impl<T> AdmissionQueues<T> {
-    /// Empty queues.
+    /// Creates empty queues.
     pub fn new(settings: AdmissionSettings) -> Self {
         Self {
             settings,
@@ -36,12 +36,13 @@
         }
     }
 
-    /// Queues a request. `slot_wait_ms` is the predicted time until the next slot is free, as
-    /// [`crate::route::Refusal::Full`] gives it.
+    /// Adds a request to its queue. `slot_wait_ms` is the predicted time until the next upstream
+    /// slot is free, from [`crate::route::Refusal::Full`].
     ///
     /// # Errors
     ///
-    /// Gives the request back if its queue is full or if it would wait past its deadline.
+    /// Returns the request if its queue or the total is full, or if it would wait past its
+    /// deadline.
     pub fn enqueue(
         &mut self,
         entry: QueuedRequest<T>,
@@ -67,11 +68,11 @@
     pub(super) fn assert_bounded(&self, queued: usize) {
         assert!(
             queued <= self.settings.max_queue_requests && self.len <= self.settings.max_requests,
-            "a queue exceeds its bound"
+            "admission queue exceeds its bound"
         );
     }
 
-    /// Time that `entry` would wait: a slot for each request that goes before it.
+    /// Predicted wait of `entry`: one slot wait for itself and for each request placed before it.
     fn predicted_wait_ms(&self, entry: &QueuedRequest<T>, slot_wait_ms: u64) -> u64 {
         let class = self.classes.get(&entry.priority);
         let ahead = class.map_or(0, |class| {
@@ -80,12 +81,12 @@
         slot_wait_ms.saturating_mul(ahead + 1)
     }
 
-    /// The next request that leaves its queue: one that finds a place, or one that is no longer
-    /// allowed. None if no request that is due can be placed. To be called until it gives none
-    /// whenever work ends or an upstream comes back, after [`AdmissionQueues::expire`].
+    /// Removes and returns the next request that is placed or no longer allowed, or `None` if no
+    /// eligible request can be placed. Whenever a request ends or an upstream becomes available,
+    /// the caller must call [`AdmissionQueues::expire`] and then this until it returns `None`.
     ///
-    /// `is_still_allowed` is asked of a request right before its placement, `try_place` gives its
-    /// place or none.
+    /// `is_still_allowed` is called right before an attempt to place a request. `try_place` returns
+    /// the placement of a request, if there is one.
     pub fn dequeue<P>(
         &mut self,
         mut is_still_allowed: impl FnMut(&QueuedRequest<T>) -> bool,
@@ -108,7 +109,7 @@
         None
     }
 
-    /// Takes out the requests whose deadline has passed.
+    /// Removes and returns the requests whose deadline has passed.
     pub fn expire(&mut self, now: Millis) -> Vec<QueuedRequest<T>> {
         let quantum_tokens = self.settings.quantum_tokens;
         let classes = self.classes.values_mut();
@@ -119,7 +120,7 @@
         expired
     }
 
-    /// Takes out the requests that match, such as one whose caller has left.
+    /// Removes and returns the requests that match, such as one whose caller has disconnected.
     pub fn remove_where(
         &mut self,
         mut matches: impl FnMut(&QueuedRequest<T>) -> bool,
@@ -133,7 +134,7 @@
         removed
     }
 
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.len
     }
@@ -143,20 +144,20 @@
         self.len == 0
     }
 
-    /// Whether requests of this priority or a more urgent one wait. A new request then has to be
-    /// queued even if it could be placed, or it would overtake them.
+    /// Whether requests of this priority or a more urgent one are waiting. A new request must then
+    /// be queued even if it could be placed, or it would overtake them.
     pub fn has_waiting(&self, priority: u8) -> bool {
         let classes = self.classes.range(..=priority);
         classes.into_iter().any(|(_, class)| !class.is_empty())
     }
 
-    /// Requests of one account and class waiting.
+    /// Number of waiting requests of one account and class.
     pub fn queue_len(&self, account: Option<&AccountId>, priority: u8) -> usize {
         let class = self.classes.get(&priority);
         class.map_or(0, |class| class.queue_len(&account.cloned()))
     }
 
-    /// Tokens of one account and class waiting.
+    /// Total cost of the waiting requests of one account and class, in tokens.
     pub fn waiting_tokens(&self, account: Option<&AccountId>, priority: u8) -> u64 {
         let class = self.classes.get(&priority);
         class.map_or(0, |class| class.waiting_tokens(&account.cloned()))
--- a/crates/core/src/admit/round_robin.rs
+++ b/crates/core/src/admit/round_robin.rs
@@ -6,20 +6,22 @@
 use crate::time::Millis;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
-/// Accounts whose first request may fail to find a place in one pick, which bounds its work.
+/// Maximum number of accounts whose first request may fail to be placed in one call of
+/// [`ClassQueues::dequeue`]; bounds the work of the call.
 const MAX_BLOCKED_ACCOUNTS: usize = 32;
 
 type AccountKey = Option<AccountId>;
 
-/// The queues of one class.
+/// Account queues of one class, served by deficit round robin.
 ///
-/// Every account with waiting requests has a deficit, the tokens that it may place. When no deficit
-/// covers a first request, all grow by as many rounds as the nearest one needs. A deficit stays
-/// below the cost of the first request and one round's share, so two accounts that wait all the
-/// time never drift further apart than that.
+/// Every account with waiting requests has a deficit: the tokens that it may place. If no deficit
+/// covers a first request, all deficits grow by the number of rounds that the account closest to
+/// placement needs. A deficit is capped at the cost of the first request plus one round's share,
+/// which bounds how far the service of two constantly waiting accounts can diverge.
 #[derive(Debug)]
 pub(super) struct ClassQueues<T> {
     pub(super) queues: BTreeMap<AccountKey, AccountQueue<T>>,
+    /// Accounts with waiting requests, in the order of service.
     rotation: VecDeque<AccountKey>,
 }
 
@@ -62,8 +64,8 @@
             .map_or(0, AccountQueue::waiting_tokens)
     }
 
-    /// Requests placed before a further one of `account`: its own, and what others place meanwhile
-    /// by their weights, but no more than are waiting.
+    /// Number of requests placed before a new one of `account`: its own waiting requests, and those
+    /// that the other accounts place meanwhile by their weights, limited to the waiting ones.
     pub(super) fn requests_ahead(&self, account: &AccountKey, weight: u32) -> u64 {
         let weight = u64::from(weight.max(1));
         let own = self.queue_len(account) as u64;
@@ -75,10 +77,10 @@
         own + others.map(|(_, queue)| share(queue)).sum::<u64>()
     }
 
-    /// The next request that is withdrawn or finds a place.
+    /// Removes and returns the next request that is placed or no longer allowed.
     ///
-    /// Rounds are given to all accounts, those without a place too, and only once a request is
-    /// placed: a pick in vain changes no account's share.
+    /// Rounds are granted to all accounts, including those whose request could not be placed, and
+    /// only once a request is placed: a call without a placement changes no deficit.
     pub(super) fn dequeue<P>(
         &mut self,
         quantum_tokens: u64,
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Rounds that the nearest of the accounts that are not blocked needs.
+    /// Minimum number of rounds needed by an account that is not blocked.
     fn next_rounds(&self, quantum_tokens: u64, blocked: &HashSet<AccountKey>) -> Option<u64> {
         let queues = self.queues.iter();
         queues
@@ -125,7 +127,7 @@
             .min()
     }
 
-    /// Gives every account its share of `rounds` rounds.
+    /// Adds every account's share of `rounds` rounds to its deficit.
     fn add_rounds(&mut self, quantum_tokens: u64, rounds: u64) {
         for queue in self.queues.values_mut() {
             queue.assert_bounded(quantum_tokens);
@@ -134,6 +136,7 @@
         }
     }
 
+    /// Deducts the cost of an account's first request from its deficit.
     pub(super) fn deduct_head_cost(&mut self, key: &AccountKey, quantum_tokens: u64) {
         let Some(queue) = self.queues.get_mut(key) else {
             return;
@@ -142,7 +145,7 @@
         let cost_tokens = queue.head_tokens().unwrap_or(0);
         assert!(
             queue.deficit_tokens >= cost_tokens,
-            "placed more tokens than the account's share"
+            "placed request exceeds the account's deficit"
         );
         queue.deficit_tokens -= cost_tokens;
     }
@@ -154,8 +157,8 @@
         entry
     }
 
-    /// Restores the bounds of an account's queue after its first requests went: an empty queue
-    /// saves up nothing.
+    /// Restores the bounds of an account's queue after requests were removed. An empty queue is
+    /// dropped with its deficit.
     fn restore_bounds(&mut self, key: &AccountKey, quantum_tokens: u64) {
         let Some(queue) = self.queues.get_mut(key) else {
             return;
@@ -168,7 +171,7 @@
         queue.clamp_deficit(quantum_tokens);
     }
 
-    /// Takes out all requests that match, in order of accounts and arrival.
+    /// Removes and returns all requests that match, in order of account and arrival.
     pub(super) fn remove_where(
         &mut self,
         quantum_tokens: u64,
@@ -192,7 +195,7 @@
         removed
     }
 
-    /// Takes out all requests whose deadline has passed.
+    /// Removes and returns all requests whose deadline has passed.
     pub(super) fn expire(&mut self, quantum_tokens: u64, now: Millis) -> Vec<QueuedRequest<T>> {
         self.remove_where(quantum_tokens, &mut |entry| entry.deadline <= now)
     }
--- a/crates/core/src/admit/settings.rs
+++ b/crates/core/src/admit/settings.rs
@@ -1,17 +1,18 @@
-//! Bounds of the queues, and refusals.
+//! Settings of the admission queues, and refusals.
 
 use std::fmt;
 
-/// Bounds of the queues of one instance.
+/// Settings of the admission queues of one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionSettings {
-    /// Requests waiting in one queue at most.
+    /// Maximum number of waiting requests per account and class.
     pub max_queue_requests: usize,
-    /// Requests waiting in all queues at most.
+    /// Maximum number of waiting requests in all queues.
     pub max_requests: usize,
-    /// Tokens that an account of weight 1 may have placed in one round.
+    /// Tokens that an account of weight 1 may place per round.
     pub quantum_tokens: u64,
-    /// One in so many dequeue_count begins with the least urgent class.
+    /// Interval, in dequeued requests, at which the least urgent class is tried first, so that it
+    /// is not starved.
     pub reverse_every: u64,
 }
 
@@ -26,15 +27,15 @@
     }
 }
 
-/// Why a request was not queued. It has not run.
+/// Reason why a request was not queued. The request has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EnqueueError {
     /// The queue of the account and class is full.
     QueueFull {
-        /// Predicted time until it has room, in milliseconds.
+        /// Predicted time until the queue has room, in milliseconds.
         wait_ms: u64,
     },
-    /// The predicted wait is longer than the time left.
+    /// The predicted wait exceeds the time left until the deadline.
     WouldExpire {
         /// Predicted wait, in milliseconds.
         wait_ms: u64,
@@ -42,7 +43,7 @@
 }
 
 impl EnqueueError {
-    /// Time after which another try may succeed, in milliseconds.
+    /// Delay after which a retry may succeed, in milliseconds.
     pub fn retry_after_ms(&self) -> u64 {
         let (Self::QueueFull { wait_ms } | Self::WouldExpire { wait_ms }) = self;
         *wait_ms
--- a/crates/core/src/admit/tests.rs
+++ b/crates/core/src/admit/tests.rs
@@ -1,4 +1,4 @@
-//! Planted faults: each assertion of the module stops a program that breaks its promise.
+//! Fault injection: the assertions of the module catch violated bounds.
 
 use super::{AdmissionQueues, AdmissionSettings, QueuedRequest};
 use crate::time::Millis;
@@ -14,7 +14,7 @@
             deadline: Millis(1_000),
             item,
         };
-        admit.enqueue(entry, 0, Millis(0)).expect("room");
+        admit.enqueue(entry, 0, Millis(0)).expect("queue has room");
     }
     admit
 }
@@ -26,15 +26,15 @@
 
 #[test]
 #[should_panic(expected = "exceeds")]
-fn an_account_that_saves_up_more_than_a_round_is_noticed() {
+fn deficit_beyond_its_bound_is_caught() {
     let mut admit = admit();
     set_deficit(&mut admit, 1_000_000);
     admit.dequeue(|_| true, |_| Some(()));
 }
 
 #[test]
-#[should_panic(expected = "placed more tokens than the account's share")]
-fn a_request_that_is_placed_without_its_share_is_noticed() {
+#[should_panic(expected = "placed request exceeds the account's deficit")]
+fn placement_beyond_the_deficit_is_caught() {
     let mut admit = admit();
     set_deficit(&mut admit, 4_999);
     let class = admit.classes.get_mut(&0).expect("a class");
@@ -42,8 +42,8 @@
 }
 
 #[test]
-#[should_panic(expected = "a queue exceeds its bound")]
-fn a_queue_beyond_its_bound_is_noticed() {
+#[should_panic(expected = "admission queue exceeds its bound")]
+fn queue_beyond_its_bound_is_caught() {
     let mut admit = admit();
     admit.len = AdmissionSettings::default().max_requests + 1;
     admit.assert_bounded(1);
--- a/crates/core/tests/admit_random.rs
+++ b/crates/core/tests/admit_random.rs
@@ -1,4 +1,4 @@
-//! Seeded runs of the queues: fairness, bounds, deadlines, withdrawn keys.
+//! Seeded tests of the admission queues: fairness, bounds, deadlines and withdrawn keys.
 
 use carobwheel_core::admit::{
     AdmissionQueues, AdmissionSettings, Dequeued, EnqueueError, QueuedRequest,
@@ -10,11 +10,13 @@
 use std::collections::HashMap;
 use test_case::test_case;
 
-const QUANTUM: u64 = 1_024;
-const MAX_COST: u64 = 12_000;
+const QUANTUM_TOKENS: u64 = 1_024;
+const MAX_COST_TOKENS: u64 = 12_000;
 
 fn account(index: usize) -> AccountId {
-    format!("account-{index}").parse().expect("a name")
+    format!("account-{index}")
+        .parse()
+        .expect("a valid identifier")
 }
 
 fn entry(index: usize, weight: u32, cost_tokens: u64, priority: u8) -> QueuedRequest<usize> {
@@ -28,17 +30,17 @@
     }
 }
 
-fn is_placed<P>(next: Option<Dequeued<usize, P>>) -> Option<QueuedRequest<usize>> {
+fn placed_request<P>(next: Option<Dequeued<usize, P>>) -> Option<QueuedRequest<usize>> {
     match next {
         Some(Dequeued::Placed(entry, _)) => Some(entry),
         Some(Dequeued::Withdrawn(_)) | None => None,
     }
 }
 
-/// Accounts that wait all the time get tokens by their weights, up to the bound of deficit round
-/// robin: a round's share and one request of each.
-#[test_case(0.0; "every request finds a place")]
-#[test_case(0.4; "places are scarce")]
+/// Accounts that always have waiting requests get tokens in proportion to their weights, up to the
+/// bound of deficit round robin: one round's share and one request of each.
+#[test_case(0.0; "every request is placed")]
+#[test_case(0.4; "upstream slots are scarce")]
 fn accounts_get_their_share(refusal_share: f64) {
     let weights = [1, 1, 2, 5];
     for seed in 0..20 {
@@ -48,14 +50,14 @@
         for _ in 0..2_000 {
             for (index, weight) in weights.iter().enumerate() {
                 while admit.queue_len(Some(&account(index)), 0) < 4 {
-                    let cost = rng.random_range(1..=MAX_COST);
+                    let cost = rng.random_range(1..=MAX_COST_TOKENS);
                     let entry = entry(index, *weight, cost, 0);
-                    admit.enqueue(entry, 0, Millis(0)).expect("room");
+                    admit.enqueue(entry, 0, Millis(0)).expect("queue has room");
                 }
             }
-            let is_free = !rng.random_bool(refusal_share);
-            let next = admit.dequeue(|_| true, |_| is_free.then_some(()));
-            if let Some(entry) = is_placed(next) {
+            let has_free_slot = !rng.random_bool(refusal_share);
+            let next = admit.dequeue(|_| true, |_| has_free_slot.then_some(()));
+            if let Some(entry) = placed_request(next) {
                 placed[entry.item] += entry.cost_tokens;
             }
         }
@@ -66,24 +68,24 @@
             .collect();
         let most = shares.iter().copied().fold(0.0, f64::max);
         let least = shares.iter().copied().fold(f64::MAX, f64::min);
-        let bound = (2 * (QUANTUM + MAX_COST)) as f64;
+        let bound = (2 * (QUANTUM_TOKENS + MAX_COST_TOKENS)) as f64;
         assert!(most - least <= bound, "seed {seed}: {shares:?}");
     }
 }
 
 #[test]
-fn a_greedy_account_delays_no_other() {
+fn a_heavy_account_does_not_delay_others() {
     let mut admit = AdmissionQueues::new(AdmissionSettings::default());
     for _ in 0..200 {
         admit
             .enqueue(entry(0, 1, 1_000, 0), 0, Millis(0))
-            .expect("room");
+            .expect("queue has room");
     }
     admit
         .enqueue(entry(1, 1, 1_000, 0), 0, Millis(0))
-        .expect("room");
+        .expect("queue has room");
     let order: Vec<_> = (0..3)
-        .filter_map(|_| is_placed(admit.dequeue(|_| true, |_| Some(()))))
+        .filter_map(|_| placed_request(admit.dequeue(|_| true, |_| Some(()))))
         .map(|entry| entry.item)
         .collect();
     assert!(order.contains(&1), "{order:?}");
@@ -95,13 +97,13 @@
     for _ in 0..100 {
         admit
             .enqueue(entry(0, 1, 10_000, 1), 0, Millis(0))
-            .expect("room");
+            .expect("queue has room");
         admit
             .enqueue(entry(1, 1, 100, 0), 0, Millis(0))
-            .expect("room");
+            .expect("queue has room");
     }
     let order: Vec<_> = (0..16)
-        .filter_map(|_| is_placed(admit.dequeue(|_| true, |_| Some(()))))
+        .filter_map(|_| placed_request(admit.dequeue(|_| true, |_| Some(()))))
         .map(|entry| entry.priority)
         .collect();
     assert_eq!(order.iter().filter(|priority| **priority == 1).count(), 2);
@@ -113,14 +115,14 @@
     let mut admit = AdmissionQueues::new(AdmissionSettings::default());
     admit
         .enqueue(entry(7, 1, 10, 0), 0, Millis(0))
-        .expect("room");
+        .expect("queue has room");
     let next = admit.dequeue(|_| false, |_| -> Option<()> { panic!("placed") });
     assert!(matches!(next, Some(Dequeued::Withdrawn(entry)) if entry.item == 7));
     assert!(admit.is_empty());
 }
 
 #[test]
-fn refusals_are_early_and_give_the_request_back() {
+fn enqueue_errors_are_early_and_return_the_request() {
     let settings = AdmissionSettings {
         max_queue_requests: 3,
         ..AdmissionSettings::default()
@@ -134,12 +136,12 @@
         admit.enqueue(soon(0), 100, Millis(0)).expect("in time");
         assert_eq!(admit.len(), item + 1);
     }
-    let (back, full) = admit.enqueue(soon(0), 100, Millis(0)).expect_err("full");
+    let (returned, full) = admit.enqueue(soon(0), 100, Millis(0)).expect_err("full");
     assert_eq!(
-        (back.item, full),
+        (returned.item, full),
         (0, EnqueueError::QueueFull { wait_ms: 400 })
     );
-    // Another account waits for its turn only, and yet too long at 200 ms for each slot.
+    // Another account waits for only one request of the first, but too long at 200 ms per slot.
     let (_, late) = admit.enqueue(soon(1), 200, Millis(0)).expect_err("late");
     assert_eq!(late, EnqueueError::WouldExpire { wait_ms: 400 });
     admit.enqueue(soon(1), 100, Millis(0)).expect("in time");
@@ -148,10 +150,10 @@
     assert!(admit.is_empty());
 }
 
-/// Random arrivals, placements, expiries and removals lose or double no request and keep to the
-/// bounds.
+/// Random arrivals, placements, expiries and removals neither lose nor duplicate a request, and the
+/// queues stay within their bounds.
 #[test]
-fn every_request_leaves_once() {
+fn every_request_leaves_its_queue_once() {
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
         let settings = AdmissionSettings {
@@ -160,9 +162,12 @@
             ..AdmissionSettings::default()
         };
         let mut admit = AdmissionQueues::new(settings);
-        let mut inside: HashMap<usize, ()> = HashMap::new();
-        let leave = |inside: &mut HashMap<usize, ()>, item| {
-            assert!(inside.remove(&item).is_some(), "left twice: {item}");
+        let mut queued: HashMap<usize, ()> = HashMap::new();
+        let leave = |queued: &mut HashMap<usize, ()>, item| {
+            assert!(
+                queued.remove(&item).is_some(),
+                "request {item} left its queue twice"
+            );
         };
         for item in 0..3_000 {
             let now = Millis(item as u64 * 10);
@@ -172,39 +177,39 @@
                 ..entry(
                     rng.random_range(0..8),
                     rng.random_range(1..4),
-                    rng.random_range(0..MAX_COST),
+                    rng.random_range(0..MAX_COST_TOKENS),
                     rng.random_range(0..3),
                 )
             };
             if admit.enqueue(new, rng.random_range(0..100), now).is_ok() {
-                inside.insert(item, ());
+                queued.insert(item, ());
             }
             for gone in admit.expire(now) {
                 assert!(gone.deadline <= now);
-                leave(&mut inside, gone.item);
+                leave(&mut queued, gone.item);
             }
             if rng.random_bool(0.1) {
                 let chosen = rng.random_range(0..=item);
                 for gone in admit.remove_where(|entry| entry.item == chosen) {
-                    leave(&mut inside, gone.item);
+                    leave(&mut queued, gone.item);
                 }
             }
             for _ in 0..rng.random_range(0..3) {
                 let is_allowed = rng.random_bool(0.9);
-                let is_free = rng.random_bool(0.6);
-                match admit.dequeue(|_| is_allowed, |_| is_free.then_some(())) {
+                let has_free_slot = rng.random_bool(0.6);
+                match admit.dequeue(|_| is_allowed, |_| has_free_slot.then_some(())) {
                     Some(Dequeued::Placed(entry, ())) => {
-                        assert!(is_allowed && is_free && entry.deadline > now);
-                        leave(&mut inside, entry.item);
+                        assert!(is_allowed && has_free_slot && entry.deadline > now);
+                        leave(&mut queued, entry.item);
                     }
                     Some(Dequeued::Withdrawn(entry)) => {
                         assert!(!is_allowed);
-                        leave(&mut inside, entry.item);
+                        leave(&mut queued, entry.item);
                     }
                     None => {}
                 }
             }
-            assert_eq!(admit.len(), inside.len());
+            assert_eq!(admit.len(), queued.len());
             assert!(admit.len() <= 40);
         }
     }
