--- a/crates/core/src/id/mod.rs
+++ b/crates/core/src/id/mod.rs
@@ -1,15 +1,15 @@
 //! Typed identifiers.
 //!
-//! Each identifier is a short shared string. Cloning one copies a pointer, and the type keeps an
-//! account from being passed where a region is meant.
+//! Each identifier is a short shared string. Cloning one copies a pointer, and distinct types
+//! prevent an account identifier from being passed as a region identifier.
 
 use serde::{Deserialize, Serialize};
 use std::{borrow::Borrow, fmt, str::FromStr, sync::Arc};
 
-/// Longest identifier, in bytes.
+/// Maximum length of an identifier, in bytes.
 pub const MAX_ID_BYTES: usize = 64;
 
-/// Why a string is not an identifier.
+/// Error for a string that is not a valid identifier; holds the start of the string.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IdError(pub String);
 
@@ -84,50 +84,50 @@
 }
 
 id_type!(
-    /// A client account: the tenant that rates and keys belong to.
+    /// Identifier of a client account: the tenant to which rate limits and keys belong.
     AccountId
 );
 id_type!(
-    /// A latency class of requests, such as short questions.
+    /// Identifier of a latency class of requests, such as short interactive prompts.
     ClassId
 );
 id_type!(
-    /// A data centre inside a region.
+    /// Identifier of a data centre within a region.
     DataCentreId
 );
 id_type!(
-    /// One process of the gateway.
+    /// Identifier of an instance: one process of the gateway.
     InstanceId
 );
 id_type!(
-    /// A caller's key, by the name that operators use; never the key itself.
+    /// Identifier of a caller's key, as used by operators; never the key itself.
     KeyId
 );
 id_type!(
-    /// A model that callers ask for by name.
+    /// Identifier of a model, as named in requests.
     ModelId
 );
 id_type!(
-    /// A region.
+    /// Identifier of a region.
     RegionId
 );
 id_type!(
-    /// One request, as reported to callers in `x-request-id`.
+    /// Identifier of a request, as reported to callers in `x-request-id`.
     RequestId
 );
 id_type!(
-    /// A rollout of a model version.
+    /// Identifier of a model version rollout.
     RolloutId
 );
 id_type!(
-    /// A plain service that stands beside the model engines.
+    /// Identifier of a plain service, which is not a model engine.
     ServiceId
 );
 id_type!(
-    /// One upstream: a model engine or one copy of a plain service.
+    /// Identifier of an upstream: a model engine or one replica of a plain service.
     UpstreamId
 );
 id_type!(
-    /// A version of a model.
+    /// Identifier of a model version.
     VersionId
 );
--- a/crates/core/src/identity/mod.rs
+++ b/crates/core/src/identity/mod.rs
@@ -1,57 +1,57 @@
-//! Callers' keys and the client accounts that they identify.
+//! Identification of client accounts by callers' API keys.
 //!
-//! A [`KeyTable`] is built from a document and replaced whole with the next one. It holds digests
-//! only. A lookup hashes what the caller presented and compares digests, so its duration says
-//! nothing about how many characters of a guessed key are right.
+//! A [`KeyTable`] is built from a configuration document and replaced as a whole by the next one.
+//! It holds only digests. A lookup hashes the presented key and compares digests, so its duration
+//! does not reveal how many characters of a guessed key are correct.
 
 use crate::document::Document;
 use crate::id::{AccountId, KeyId};
 use sha2::{Digest, Sha256};
 use std::{collections::HashMap, fmt};
 
-/// Longest key that is looked at, in bytes.
+/// Maximum length of a key, in bytes.
 pub const MAX_KEY_BYTES: usize = 512;
 
 /// SHA-256 digest of a key.
 pub type KeyDigest = [u8; 32];
 
-/// The digest under which a key stands in the document.
+/// Digest that represents a key in the document.
 pub fn digest(key: &str) -> KeyDigest {
     Sha256::digest(key.as_bytes()).into()
 }
 
-/// The holder of a valid key.
+/// Account and key that a caller has been identified with.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Credential {
-    /// Client account that the request runs for.
+    /// Client account of the key.
     pub account: AccountId,
-    /// Name of the key.
+    /// Identifier of the key.
     pub key: KeyId,
-    /// Digest of the key, for checking it again against a later document.
+    /// Digest of the key, for validation against later documents.
     pub digest: KeyDigest,
 }
 
-/// What a presented key says about the caller.
+/// Result of looking up the key that a caller presented.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Identity {
     /// No key was presented.
     Anonymous,
     /// The key belongs to a client account.
     Known(Credential),
-    /// The key is in no account: mistyped, never issued, or withdrawn.
+    /// The key belongs to no account: mistyped, never issued, or withdrawn.
     Unknown,
-    /// What was presented cannot be a key: it is empty or longer than [`MAX_KEY_BYTES`].
+    /// The presented key is empty or longer than [`MAX_KEY_BYTES`].
     Malformed,
 }
 
-/// Why a caller is turned away.
+/// Reason why a caller is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdentityRefusal {
-    /// The route needs a key and none was presented (401).
+    /// The route requires a key and none was presented (401).
     Missing,
-    /// The key is in no account (401).
+    /// The key belongs to no account (401).
     Unknown,
-    /// What was presented cannot be a key (401).
+    /// The presented key is malformed (401).
     Malformed,
 }
 
@@ -67,22 +67,23 @@
 
 impl std::error::Error for IdentityRefusal {}
 
-/// Who a request runs for.
+/// Caller of an admitted request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Caller {
-    /// A request of an open route without a key; charged to no account.
+    /// Caller without a key on an open route; not charged to any account.
     Open,
-    /// A request of a client account.
+    /// Caller of a client account.
     Account(Credential),
 }
 
 impl Identity {
-    /// Admits the caller to a route, which is `open` if it needs no key.
+    /// Admits the caller to a route, which is `open` if it requires no key.
     ///
     /// # Errors
     ///
-    /// A wrong key is refused on open routes too, so that a caller never runs without the account
-    /// that it believes to be charged.
+    /// Fails if the route requires a key and none was presented, or if the key is unknown or
+    /// malformed. A wrong key is refused on open routes too, so that a request never runs uncharged
+    /// although its caller expects it to be charged to an account.
     pub fn admit(self, open: bool) -> Result<Caller, IdentityRefusal> {
         match self {
             Self::Known(credential) => Ok(Caller::Account(credential)),
@@ -94,14 +95,14 @@
     }
 }
 
-/// Client accounts by the digests of their keys.
+/// Client accounts and key identifiers by key digest.
 #[derive(Clone, Debug, Default)]
 pub struct KeyTable {
     holders: HashMap<KeyDigest, (AccountId, KeyId)>,
 }
 
 impl KeyTable {
-    /// The table of all keys of `document`.
+    /// Creates the table of all keys in `document`.
     pub fn new(document: &Document) -> Self {
         let mut holders = HashMap::with_capacity(document.accounts.len());
         for account in &document.accounts {
@@ -114,7 +115,7 @@
         Self { holders }
     }
 
-    /// Looks up the key that a caller presented, without any scheme such as `Bearer`.
+    /// Looks up a presented key, which must not include a scheme such as `Bearer`.
     pub fn identify(&self, presented: Option<&str>) -> Identity {
         let Some(key) = presented else {
             return Identity::Anonymous;
@@ -133,9 +134,10 @@
         }
     }
 
-    /// Whether the key of a caller identified earlier still belongs to the same account.
+    /// Whether the key of a previously identified caller still belongs to the same account.
     ///
-    /// Queued requests and open connections are checked with the newest table before they go on.
+    /// Queued requests and open connections are checked against the newest table before they
+    /// proceed.
     pub fn is_valid(&self, caller: &Caller) -> bool {
         let Caller::Account(credential) = caller else {
             return true;
@@ -150,7 +152,7 @@
         self.holders.len()
     }
 
-    /// Whether the table holds no key.
+    /// Whether the table has no keys.
     pub fn is_empty(&self) -> bool {
         self.holders.is_empty()
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of the carobwheel gateway.
+//! Decision logic of the carobwheel gateway.
 //!
-//! Nothing in this crate performs I/O, starts a thread or reads a clock of its own accord: time
-//! arrives as an argument, and messages and effects are values. The same code therefore runs in
-//! the daemon, in seeded randomised runs and in measurements.
+//! Nothing in this crate performs I/O, starts a thread or reads a clock by itself: time is passed
+//! in as an argument, and messages and effects are returned as values. The same code therefore runs
+//! in the daemon, in seeded randomised tests and in experiments.
 
 pub mod admit;
 pub mod document;
--- a/crates/core/src/time/mod.rs
+++ b/crates/core/src/time/mod.rs
@@ -1,8 +1,8 @@
-//! Time in milliseconds.
+//! Points in time, in milliseconds.
 //!
-//! [`Millis`] is a point on an instance's monotonic clock, [`UnixMillis`] a point in civil time
-//! that operators and other instances share. Keeping them apart stops one from being compared
-//! with the other. Durations are plain `u64` values whose names end in `_ms`.
+//! [`Millis`] is a point on an instance's monotonic clock. [`UnixMillis`] is a point in civil time,
+//! which operators and other instances share. The separate types prevent comparing one with the
+//! other. Durations are plain `u64` values whose names end in `_ms`.
 
 use serde::{Deserialize, Serialize};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -12,12 +12,12 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The point `duration_ms` later, saturating at the end of time.
+    /// Point in time `duration_ms` later, saturating at `u64::MAX`.
     pub const fn plus(self, duration_ms: u64) -> Self {
         Self(self.0.saturating_add(duration_ms))
     }
 
-    /// Milliseconds from `earlier` to `self`, or 0 when `earlier` is not earlier.
+    /// Milliseconds from `earlier` to `self`, or 0 if `earlier` is not before `self`.
     pub const fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
@@ -30,7 +30,7 @@
 #[serde(transparent)]
 pub struct UnixMillis(pub u64);
 
-/// The clock of one process.
+/// Clock of one process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -45,12 +45,12 @@
 }
 
 impl Clock {
-    /// The current monotonic time.
+    /// Current monotonic time.
     pub fn now(&self) -> Millis {
         Millis(u64::try_from(self.start.elapsed().as_millis()).unwrap_or(u64::MAX))
     }
 
-    /// The current civil time; 0 if the system clock stands before the Unix epoch.
+    /// Current civil time; 0 if the system clock is before the Unix epoch.
     pub fn unix_now(&self) -> UnixMillis {
         let elapsed = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/crates/core/tests/identity_table.rs
+++ b/crates/core/tests/identity_table.rs
@@ -1,4 +1,4 @@
-//! Callers' keys: who is identified, who is turned away, and withdrawal.
+//! Callers' keys: identification, refusal and withdrawal.
 
 use carobwheel_core::document::{Account, Document, Key, Objective, Policy, SCHEMA};
 use carobwheel_core::identity::{digest, Caller, Identity, IdentityRefusal, KeyTable};
@@ -94,7 +94,7 @@
 
 #[test]
 #[should_panic(expected = "a key identifies one account")]
-fn a_key_of_two_accounts_is_a_broken_invariant() {
+fn a_key_of_two_accounts_violates_an_invariant() {
     KeyTable::new(&document(vec![
         account("customs", &["secret-a"]),
         account("parish", &["secret-a"]),
