--- a/crates/core/src/admit/queues.rs
+++ b/crates/core/src/admit/queues.rs
@@ -1,61 +1,62 @@
-//! The queues of one instance.
+//! Admission queues of one instance.
 
-use super::queue::Entry;
-use super::round::Round;
-use super::{AdmitSettings, Rejected};
+use super::queue::QueuedRequest;
+use super::round_robin::ClassQueues;
+use super::{AdmissionSettings, EnqueueError};
 use crate::id::AccountId;
 use crate::time::Millis;
 use std::collections::BTreeMap;
 
-/// A request that leaves its queue.
+/// A request that has left its queue, with the reason.
 #[derive(Debug)]
-pub enum Next<T, P> {
-    /// It has found a place.
-    Placed(Entry<T>, P),
-    /// It may no longer run, because its key was withdrawn.
-    Withdrawn(Entry<T>),
+pub enum Dequeued<T, P> {
+    /// The request has been placed.
+    Placed(QueuedRequest<T>, P),
+    /// The request must not run, because its key was withdrawn.
+    Withdrawn(QueuedRequest<T>),
 }
 
-/// The queues of one instance, by class and account. Owned by the deciding thread.
+/// Admission queues of one instance, by class and account. Owned by the decision thread.
 #[derive(Debug)]
-pub struct Admit<T> {
-    settings: AdmitSettings,
-    pub(super) classes: BTreeMap<u8, Round<T>>,
+pub struct AdmissionQueues<T> {
+    settings: AdmissionSettings,
+    pub(super) classes: BTreeMap<u8, ClassQueues<T>>,
     pub(super) len: usize,
-    picks: u64,
+    dequeue_count: u64,
 }
 
-impl<T> Admit<T> {
-    /// Empty queues.
-    pub fn new(settings: AdmitSettings) -> Self {
+impl<T> AdmissionQueues<T> {
+    /// Creates empty queues.
+    pub fn new(settings: AdmissionSettings) -> Self {
         Self {
             settings,
             classes: BTreeMap::new(),
             len: 0,
-            picks: 0,
+            dequeue_count: 0,
         }
     }
 
-    /// Queues a request. `slot_wait_ms` is the predicted time until the next slot is free, as
-    /// [`crate::route::Refusal::Full`] gives it.
+    /// Adds a request to its queue. `slot_wait_ms` is the predicted time until the next upstream
+    /// slot is free, from [`crate::route::Refusal::Full`].
     ///
     /// # Errors
     ///
-    /// Gives the request back if its queue is full or if it would wait past its deadline.
+    /// Returns the request if its queue or the total is full, or if it would wait past its
+    /// deadline.
     pub fn enqueue(
         &mut self,
-        entry: Entry<T>,
+        entry: QueuedRequest<T>,
         slot_wait_ms: u64,
         now: Millis,
-    ) -> Result<(), (Entry<T>, Rejected)> {
+    ) -> Result<(), (QueuedRequest<T>, EnqueueError)> {
         let wait_ms = self.predicted_wait_ms(&entry, slot_wait_ms);
         let queued = self.queue_len(entry.account.as_ref(), entry.priority);
         let is_full = queued >= self.settings.max_queue_requests;
         if is_full || self.len >= self.settings.max_requests {
-            return Err((entry, Rejected::QueueFull { wait_ms }));
+            return Err((entry, EnqueueError::QueueFull { wait_ms }));
         }
         if wait_ms > entry.deadline.since(now) {
-            return Err((entry, Rejected::WouldExpire { wait_ms }));
+            return Err((entry, EnqueueError::WouldExpire { wait_ms }));
         }
         let class = self.classes.entry(entry.priority).or_default();
         class.push(entry, self.settings.quantum_tokens);
@@ -67,12 +68,12 @@
     pub(super) fn assert_bounded(&self, queued: usize) {
         assert!(
             queued <= self.settings.max_queue_requests && self.len <= self.settings.max_requests,
-            "a queue exceeds its bound"
+            "admission queue exceeds its bound"
         );
     }
 
-    /// Time that `entry` would wait: a slot for each request that goes before it.
-    fn predicted_wait_ms(&self, entry: &Entry<T>, slot_wait_ms: u64) -> u64 {
+    /// Predicted wait of `entry`: one slot wait for itself and for each request placed before it.
+    fn predicted_wait_ms(&self, entry: &QueuedRequest<T>, slot_wait_ms: u64) -> u64 {
         let class = self.classes.get(&entry.priority);
         let ahead = class.map_or(0, |class| {
             class.requests_ahead(&entry.account, entry.weight)
@@ -80,36 +81,36 @@
         slot_wait_ms.saturating_mul(ahead + 1)
     }
 
-    /// The next request that leaves its queue: one that finds a place, or one that is no longer
-    /// allowed. None if no request that is due can be placed. To be called until it gives none
-    /// whenever work ends or an upstream comes back, after [`Admit::expire`].
+    /// Removes and returns the next request that is placed or no longer allowed, or `None` if no
+    /// eligible request can be placed. Whenever a request ends or an upstream becomes available,
+    /// the caller must call [`AdmissionQueues::expire`] and then this until it returns `None`.
     ///
-    /// `is_still_allowed` is asked of a request right before its placement, `can_place` gives its
-    /// place or none.
-    pub fn next<P>(
+    /// `is_still_allowed` is called right before an attempt to place a request. `try_place` returns
+    /// the placement of a request, if there is one.
+    pub fn dequeue<P>(
         &mut self,
-        mut is_still_allowed: impl FnMut(&Entry<T>) -> bool,
-        mut can_place: impl FnMut(&Entry<T>) -> Option<P>,
-    ) -> Option<Next<T, P>> {
+        mut is_still_allowed: impl FnMut(&QueuedRequest<T>) -> bool,
+        mut try_place: impl FnMut(&QueuedRequest<T>) -> Option<P>,
+    ) -> Option<Dequeued<T, P>> {
         let quantum_tokens = self.settings.quantum_tokens;
         let mut priorities: Vec<u8> = self.classes.keys().copied().collect();
-        if self.picks % self.settings.reverse_every == self.settings.reverse_every - 1 {
+        if self.dequeue_count % self.settings.reverse_every == self.settings.reverse_every - 1 {
             priorities.reverse();
         }
         for priority in priorities {
             let class = self.classes.get_mut(&priority)?;
-            let next = class.next(quantum_tokens, &mut is_still_allowed, &mut can_place);
+            let next = class.dequeue(quantum_tokens, &mut is_still_allowed, &mut try_place);
             if let Some(next) = next {
                 self.len -= 1;
-                self.picks += 1;
+                self.dequeue_count += 1;
                 return Some(next);
             }
         }
         None
     }
 
-    /// Takes out the requests whose deadline has passed.
-    pub fn expire(&mut self, now: Millis) -> Vec<Entry<T>> {
+    /// Removes and returns the requests whose deadline has passed.
+    pub fn expire(&mut self, now: Millis) -> Vec<QueuedRequest<T>> {
         let quantum_tokens = self.settings.quantum_tokens;
         let classes = self.classes.values_mut();
         let expired: Vec<_> = classes
@@ -119,18 +120,21 @@
         expired
     }
 
-    /// Takes out the requests that match, such as one whose caller has left.
-    pub fn take(&mut self, mut matches: impl FnMut(&Entry<T>) -> bool) -> Vec<Entry<T>> {
+    /// Removes and returns the requests that match, such as one whose caller has disconnected.
+    pub fn remove_where(
+        &mut self,
+        mut matches: impl FnMut(&QueuedRequest<T>) -> bool,
+    ) -> Vec<QueuedRequest<T>> {
         let quantum_tokens = self.settings.quantum_tokens;
         let classes = self.classes.values_mut();
-        let taken: Vec<_> = classes
-            .flat_map(|class| class.take(quantum_tokens, &mut matches))
+        let removed: Vec<_> = classes
+            .flat_map(|class| class.remove_where(quantum_tokens, &mut matches))
             .collect();
-        self.len -= taken.len();
-        taken
+        self.len -= removed.len();
+        removed
     }
 
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.len
     }
@@ -140,20 +144,20 @@
         self.len == 0
     }
 
-    /// Whether requests of this priority or a more urgent one wait. A new request then has to be
-    /// queued even if it could be placed, or it would overtake them.
+    /// Whether requests of this priority or a more urgent one are waiting. A new request must then
+    /// be queued even if it could be placed, or it would overtake them.
     pub fn has_waiting(&self, priority: u8) -> bool {
         let classes = self.classes.range(..=priority);
         classes.into_iter().any(|(_, class)| !class.is_empty())
     }
 
-    /// Requests of one account and class waiting.
+    /// Number of waiting requests of one account and class.
     pub fn queue_len(&self, account: Option<&AccountId>, priority: u8) -> usize {
         let class = self.classes.get(&priority);
         class.map_or(0, |class| class.queue_len(&account.cloned()))
     }
 
-    /// Tokens of one account and class waiting.
+    /// Total cost of the waiting requests of one account and class, in tokens.
     pub fn waiting_tokens(&self, account: Option<&AccountId>, priority: u8) -> u64 {
         let class = self.classes.get(&priority);
         class.map_or(0, |class| class.waiting_tokens(&account.cloned()))
--- a/crates/core/src/admit/settings.rs
+++ b/crates/core/src/admit/settings.rs
@@ -1,21 +1,22 @@
-//! Bounds of the queues, and refusals.
+//! Settings of the admission queues, and refusals.
 
 use std::fmt;
 
-/// Bounds of the queues of one instance.
+/// Settings of the admission queues of one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AdmitSettings {
-    /// Requests waiting in one queue at most.
+pub struct AdmissionSettings {
+    /// Maximum number of waiting requests per account and class.
     pub max_queue_requests: usize,
-    /// Requests waiting in all queues at most.
+    /// Maximum number of waiting requests in all queues.
     pub max_requests: usize,
-    /// Tokens that an account of weight 1 may have placed in one round.
+    /// Tokens that an account of weight 1 may place per round.
     pub quantum_tokens: u64,
-    /// One in so many picks begins with the least urgent class.
+    /// Interval, in dequeued requests, at which the least urgent class is tried first, so that it
+    /// is not starved.
     pub reverse_every: u64,
 }
 
-impl Default for AdmitSettings {
+impl Default for AdmissionSettings {
     fn default() -> Self {
         Self {
             max_queue_requests: 256,
@@ -26,30 +27,30 @@
     }
 }
 
-/// Why a request was not queued. It has not run.
+/// Reason why a request was not queued. The request has not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rejected {
+pub enum EnqueueError {
     /// The queue of the account and class is full.
     QueueFull {
-        /// Predicted time until it has room, in milliseconds.
+        /// Predicted time until the queue has room, in milliseconds.
         wait_ms: u64,
     },
-    /// The predicted wait is longer than the time left.
+    /// The predicted wait exceeds the time left until the deadline.
     WouldExpire {
         /// Predicted wait, in milliseconds.
         wait_ms: u64,
     },
 }
 
-impl Rejected {
-    /// Time after which another try may succeed, in milliseconds.
+impl EnqueueError {
+    /// Delay after which a retry may succeed, in milliseconds.
     pub fn retry_after_ms(&self) -> u64 {
         let (Self::QueueFull { wait_ms } | Self::WouldExpire { wait_ms }) = self;
         *wait_ms
     }
 }
 
-impl fmt::Display for Rejected {
+impl fmt::Display for EnqueueError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::QueueFull { wait_ms } => {
@@ -62,4 +63,4 @@
     }
 }
 
-impl std::error::Error for Rejected {}
+impl std::error::Error for EnqueueError {}
--- a/crates/core/src/limit/audit.rs
+++ b/crates/core/src/limit/audit.rs
@@ -1,45 +1,46 @@
-//! Change of a slot's owner: what may still be used of the former owners' tokens.
+//! Audits after a slot has changed its owner: tokens of former owners that may still be spent.
 //!
 //! A new owner starts every part empty and holds back the part's whole share of the burst. It
-//! asks every member that is not confirmed gone what that member may still use of earlier
-//! epochs. Once all have answered it holds back the sum of the answers, which only shrink.
+//! asks every member that is not confirmed gone how many tokens of earlier epochs that member may
+//! still spend. Once all have answered, it holds back the sum of the answers, which only decrease.
 
-use super::charge::{Charge, Origin, Source};
-use super::limiter::{Limiter, Passed};
-use super::loan::Lent;
+use super::charge::{Charge, Reservation, ReservationOrigin};
+use super::limiter::{HandedOverLevels, Limiter};
+use super::loan::GivenLoan;
 use super::message::{Audit, AuditAnswer};
-use super::HOLD_LIFE_MS;
+use super::FORMER_OWNER_HOLD_MS;
 use crate::id::AccountId;
 use crate::slot::{shard_of, Peer, Role, SlotId};
 use crate::time::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time after which a member that has not answered is asked again, in milliseconds.
+/// Interval between audits of members that have not answered yet, in milliseconds.
 const AUDIT_RETRY_MS: u64 = 500;
-/// Time after which a member with reservations is asked again, in milliseconds.
+/// Interval between audits of members that still hold reservations, in milliseconds.
 const AUDIT_REFRESH_MS: u64 = 3_000;
 
-/// A slot that this instance owns.
+/// State of a slot that this instance owns.
 #[derive(Clone, Debug)]
-pub(super) struct Slot {
+pub(super) struct SlotState {
     pub(super) epoch: u64,
-    /// The slot is being given away: its parts may not be used.
+    /// The slot is being handed over: its parts must not be used.
     pub(super) is_suspended: bool,
-    added: Millis,
-    /// Members that have not answered.
-    waiting: BTreeSet<Peer>,
-    /// Reservations of earlier epochs as answered.
+    added_at: Millis,
+    /// Members that have not answered the audit.
+    unanswered: BTreeSet<Peer>,
+    /// Reservations of earlier epochs, as last reported by each member.
     outstanding: BTreeMap<Peer, Vec<(AccountId, u64)>>,
-    /// Levels that the former owner passes on, until all members have answered.
-    passed_on: Vec<(AccountId, u64)>,
-    asked: Option<Millis>,
-    /// Highest revision of the document that a member has answered with.
-    least_revision: u64,
+    /// Levels handed over by the former owner; credited once all members have answered.
+    inherited_levels: Vec<(AccountId, u64)>,
+    last_audit: Option<Millis>,
+    /// Highest document revision that any member has reported. The slot's parts are fully held
+    /// back until this instance applies it.
+    required_revision: u64,
 }
 
-impl Slot {
-    /// What an account's part holds back for tokens of earlier owners, in micro-tokens, when this
-    /// instance applies `revision`.
+impl SlotState {
+    /// Amount that an account's part holds back for tokens of earlier owners, in micro-tokens, when
+    /// this instance applies `revision`.
     pub(super) fn held_micro(
         &self,
         account: &AccountId,
@@ -47,13 +48,13 @@
         revision: u64,
         now: Millis,
     ) -> u64 {
-        if self.least_revision > revision {
+        if self.required_revision > revision {
             return cap_micro;
         }
-        if self.is_held_over(now) {
+        if self.is_hold_expired(now) {
             return 0;
         }
-        if !self.waiting.is_empty() {
+        if !self.unanswered.is_empty() {
             return cap_micro;
         }
         self.outstanding
@@ -64,51 +65,52 @@
             .sum()
     }
 
-    fn is_held_over(&self, now: Millis) -> bool {
-        now.since(self.added) > HOLD_LIFE_MS
+    fn is_hold_expired(&self, now: Millis) -> bool {
+        now.since(self.added_at) > FORMER_OWNER_HOLD_MS
     }
 
-    /// Every member has said what it may still use.
-    pub(super) fn is_answered(&self) -> bool {
-        self.waiting.is_empty()
+    /// Whether every member has answered the audit.
+    pub(super) fn has_all_answers(&self) -> bool {
+        self.unanswered.is_empty()
     }
 
-    fn is_clear(&self) -> bool {
-        self.waiting.is_empty() && self.outstanding.is_empty()
+    fn is_audit_complete(&self) -> bool {
+        self.unanswered.is_empty() && self.outstanding.is_empty()
     }
 
-    fn is_due(&self, now: Millis) -> bool {
-        let retry_ms = if self.waiting.is_empty() {
+    fn is_audit_due(&self, now: Millis) -> bool {
+        let retry_ms = if self.unanswered.is_empty() {
             AUDIT_REFRESH_MS
         } else {
             AUDIT_RETRY_MS
         };
-        self.asked.is_none_or(|asked| now.since(asked) >= retry_ms)
+        self.last_audit
+            .is_none_or(|last_audit| now.since(last_audit) >= retry_ms)
     }
 
-    fn asked_members(&self) -> impl Iterator<Item = &Peer> {
-        let is_waiting = !self.waiting.is_empty();
+    fn members_to_audit(&self) -> impl Iterator<Item = &Peer> {
+        let is_waiting = !self.unanswered.is_empty();
         let answered = self.outstanding.keys().filter(move |_| !is_waiting);
-        self.waiting.iter().chain(answered)
+        self.unanswered.iter().chain(answered)
     }
 }
 
 impl Limiter {
     pub(super) fn add_slot(&mut self, key: (u16, Role), epoch: u64, now: Millis) {
-        let mut waiting: BTreeSet<Peer> = self.members.iter().cloned().collect();
-        waiting.insert(self.me.clone());
+        let mut unanswered: BTreeSet<Peer> = self.members.iter().cloned().collect();
+        unanswered.insert(self.me.clone());
         if epoch == 1 {
-            waiting.clear();
+            unanswered.clear();
         }
-        let slot = Slot {
+        let slot = SlotState {
             epoch,
             is_suspended: false,
-            added: now,
-            waiting,
+            added_at: now,
+            unanswered,
             outstanding: BTreeMap::new(),
-            passed_on: Vec::new(),
-            asked: None,
-            least_revision: 0,
+            inherited_levels: Vec::new(),
+            last_audit: None,
+            required_revision: 0,
         };
         self.slots.insert(key, slot);
     }
@@ -127,17 +129,19 @@
                 continue;
             };
             part.accrue(now);
-            if part.level_micro > 0 && !self.is_void {
+            if part.level_micro > 0 && !self.are_slots_invalid {
                 levels.push((id.clone(), part.level_micro));
             }
         }
         let epoch = slot.epoch;
-        self.passed.insert(key, Passed { epoch, levels });
-        let is_of_slot = |lent: &Lent| lent.role == role && shard_of(&lent.account) == shard;
-        self.lent.retain(|_, lent| !is_of_slot(lent));
+        self.handed_over
+            .insert(key, HandedOverLevels { epoch, levels });
+        let is_of_slot = |lent: &GivenLoan| lent.role == role && shard_of(&lent.account) == shard;
+        self.given_loans.retain(|_, lent| !is_of_slot(lent));
     }
 
-    /// Answers the new owner of a slot.
+    /// Answers the audit of a slot's new owner. This instance drops the slot if it owned it in an
+    /// earlier epoch, and returns unspent loans of earlier epochs.
     pub(super) fn on_audit(&mut self, audit: &Audit, now: Millis) -> AuditAnswer {
         let slot = SlotId {
             region: audit.region.clone(),
@@ -154,9 +158,9 @@
         {
             self.drop_slot(key, now);
         }
-        let least = self.least_epochs.entry(slot.clone()).or_default();
-        *least = audit.epoch.max(*least);
-        for loan in self.loans.values_mut() {
+        let min_epoch = self.min_epochs.entry(slot.clone()).or_default();
+        *min_epoch = audit.epoch.max(*min_epoch);
+        for loan in self.taken_loans.values_mut() {
             let is_earlier = loan
                 .granted
                 .is_some_and(|granted| granted.epoch < audit.epoch);
@@ -164,7 +168,7 @@
                 loan.give_back();
             }
         }
-        let levels = match self.passed.get(&key) {
+        let levels = match self.handed_over.get(&key) {
             Some(passed) if is_home && passed.epoch + 1 == audit.epoch => passed.levels.clone(),
             _ => Vec::new(),
         };
@@ -178,8 +182,8 @@
         }
     }
 
-    /// Takes the answer of a member to an audit of an own slot.
-    pub(super) fn on_answer(&mut self, from: &Peer, answer: &AuditAnswer, now: Millis) {
+    /// Applies a member's answer to an audit of a slot that this instance owns.
+    pub(super) fn on_audit_answer(&mut self, from: &Peer, answer: &AuditAnswer, now: Millis) {
         let key = (answer.shard, answer.role);
         let Some(slot) = self.slots.get_mut(&key) else {
             return;
@@ -187,33 +191,33 @@
         if slot.epoch != answer.epoch {
             return;
         }
-        slot.least_revision = slot.least_revision.max(answer.revision);
-        let is_first = slot.waiting.remove(from);
+        slot.required_revision = slot.required_revision.max(answer.revision);
+        let is_first = slot.unanswered.remove(from);
         let is_known = slot.outstanding.contains_key(from);
         if !is_first && !is_known {
             return;
         }
-        // Answers only shrink, so the smaller of two is right whatever their order.
-        let smaller = match slot.outstanding.remove(from) {
-            Some(known) => smaller(known, &answer.outstanding),
+        // Amounts only decrease, so the minimum of two answers is correct in any order of arrival.
+        let remaining = match slot.outstanding.remove(from) {
+            Some(known) => min_amounts(known, &answer.outstanding),
             None => answer.outstanding.clone(),
         };
-        if !smaller.is_empty() {
-            slot.outstanding.insert(from.clone(), smaller);
+        if !remaining.is_empty() {
+            slot.outstanding.insert(from.clone(), remaining);
         }
         if is_first && !answer.levels.is_empty() {
-            slot.passed_on = answer.levels.clone();
+            slot.inherited_levels = answer.levels.clone();
         }
         self.refresh_held(key, now);
     }
 
-    /// What this instance may still use of `slot`'s epochs before `epoch`, by account.
+    /// Reservations of this instance against epochs of `slot` before `epoch`, by account.
     fn outstanding(&self, slot: &SlotId, epoch: u64) -> Vec<(AccountId, u64)> {
         let mut sums: BTreeMap<&AccountId, u64> = BTreeMap::new();
         for charge in self.charges.values() {
-            for source in &charge.sources {
-                if self.is_of_earlier(charge, source, slot, epoch) {
-                    *sums.entry(&charge.account).or_default() += source.reserved_micro;
+            for reservation in &charge.reservations {
+                if self.is_from_earlier_epoch(charge, reservation, slot, epoch) {
+                    *sums.entry(&charge.account).or_default() += reservation.reserved_micro;
                 }
             }
         }
@@ -222,28 +226,38 @@
             .collect()
     }
 
-    fn is_of_earlier(&self, charge: &Charge, source: &Source, slot: &SlotId, epoch: u64) -> bool {
-        match source.origin {
-            Origin::Part { role, epoch: at } => {
+    fn is_from_earlier_epoch(
+        &self,
+        charge: &Charge,
+        reservation: &Reservation,
+        slot: &SlotId,
+        epoch: u64,
+    ) -> bool {
+        match reservation.origin {
+            ReservationOrigin::Part {
+                role,
+                epoch: owned_epoch,
+            } => {
                 slot.region == self.region
                     && slot.role == role
                     && slot.shard == shard_of(&charge.account)
-                    && at < epoch
+                    && owned_epoch < epoch
             }
-            Origin::Loan(number) => self.loans.get(&number).is_some_and(|loan| {
+            ReservationOrigin::Loan(number) => self.taken_loans.get(&number).is_some_and(|loan| {
                 loan.slot == *slot && loan.granted.is_some_and(|granted| granted.epoch < epoch)
             }),
         }
     }
 
-    /// Brings the parts of a slot in line with the answers to its audit.
+    /// Updates the held-back amounts of a slot's parts from the audit answers, and credits
+    /// inherited levels once all members have answered.
     fn refresh_held(&mut self, key: (u16, Role), now: Millis) {
         let revision = self.revision();
         let Some(slot) = self.slots.get_mut(&key) else {
             return;
         };
-        let passed_on = if slot.waiting.is_empty() {
-            std::mem::take(&mut slot.passed_on)
+        let inherited_levels = if slot.unanswered.is_empty() {
+            std::mem::take(&mut slot.inherited_levels)
         } else {
             Vec::new()
         };
@@ -255,15 +269,14 @@
                 continue;
             };
             part.set_held(slot.held_micro(id, part.cap_micro, revision, now), now);
-            let passed = passed_on.iter().find(|(of, _)| of == id);
-            if let Some((_, level_micro)) = passed {
+            let inherited = inherited_levels.iter().find(|(account, _)| account == id);
+            if let Some((_, level_micro)) = inherited {
                 part.add_level(*level_micro);
             }
         }
     }
 
-    /// Asks members of whom this instance hears only now as well, and waits no longer for those
-    /// that are gone.
+    /// Replaces the member list: audits wait for new members too, and no longer for removed ones.
     pub(super) fn change_members(&mut self, members: &[Peer], now: Millis) {
         let before: BTreeSet<Peer> = std::mem::take(&mut self.members).into_iter().collect();
         let after: BTreeSet<Peer> = members.iter().chain([&self.me]).cloned().collect();
@@ -272,10 +285,10 @@
             return;
         }
         for slot in self.slots.values_mut() {
-            slot.waiting.retain(|peer| after.contains(peer));
+            slot.unanswered.retain(|peer| after.contains(peer));
             slot.outstanding.retain(|peer, _| after.contains(peer));
-            if slot.epoch > 1 && !slot.is_held_over(now) {
-                slot.waiting.extend(after.difference(&before).cloned());
+            if slot.epoch > 1 && !slot.is_hold_expired(now) {
+                slot.unanswered.extend(after.difference(&before).cloned());
             }
         }
         let keys: Vec<(u16, Role)> = self.slots.keys().copied().collect();
@@ -284,7 +297,7 @@
         }
     }
 
-    /// Asks members that have not answered or still have reservations.
+    /// Queues due audits to members that have not answered or still hold reservations.
     pub(super) fn send_audits(&mut self, now: Millis) {
         let keys: Vec<(u16, Role)> = self.slots.keys().copied().collect();
         for key in keys {
@@ -296,30 +309,30 @@
         let Some(slot) = self.slots.get_mut(&key) else {
             return;
         };
-        if slot.is_clear() {
+        if slot.is_audit_complete() {
             return;
         }
-        if slot.is_held_over(now) {
-            slot.waiting.clear();
+        if slot.is_hold_expired(now) {
+            slot.unanswered.clear();
             slot.outstanding.clear();
             self.refresh_held(key, now);
             return;
         }
-        if !slot.is_due(now) {
+        if !slot.is_audit_due(now) {
             return;
         }
-        slot.asked = Some(now);
+        slot.last_audit = Some(now);
         let audit = Audit {
             region: self.region.clone(),
             shard: key.0,
             role: key.1,
             epoch: slot.epoch,
         };
-        let asked: Vec<Peer> = slot.asked_members().cloned().collect();
-        for peer in asked {
+        let targets: Vec<Peer> = slot.members_to_audit().cloned().collect();
+        for peer in targets {
             if peer == self.me {
                 let answer = self.on_audit(&audit, now);
-                self.on_answer(&peer, &answer, now);
+                self.on_audit_answer(&peer, &answer, now);
                 continue;
             }
             let message = self.outbox.entry(peer).or_default();
@@ -328,9 +341,10 @@
     }
 }
 
-fn smaller(known: Vec<(AccountId, u64)>, answer: &[(AccountId, u64)]) -> Vec<(AccountId, u64)> {
+/// Per-account minimum of two answers, without accounts whose amount is zero.
+fn min_amounts(known: Vec<(AccountId, u64)>, answer: &[(AccountId, u64)]) -> Vec<(AccountId, u64)> {
     let amount = |id: &AccountId| {
-        let found = answer.iter().find(|(of, _)| of == id);
+        let found = answer.iter().find(|(account, _)| account == id);
         found.map_or(0, |(_, amount)| *amount)
     };
     known
--- a/crates/core/src/limit/charging.rs
+++ b/crates/core/src/limit/charging.rs
@@ -1,68 +1,70 @@
 //! Charging requests and settling them.
 
-use super::charge::{Charge, ChargeId, ChargeRequest, Origin, Outcome, Source};
+use super::charge::{
+    Charge, ChargeId, ChargeOutcome, ChargeRequest, Reservation, ReservationOrigin,
+};
 use super::limiter::Limiter;
-use super::{CHARGE_LIFE_MS, MICRO_PER_TOKEN};
+use super::{MAX_CHARGE_DURATION_MS, MICRO_PER_TOKEN};
 use crate::id::AccountId;
 use crate::slot::Role;
 use crate::time::Millis;
 
 impl Limiter {
-    /// Charges a request, or says what to do first.
-    pub fn try_charge(&mut self, request: &ChargeRequest<'_>, now: Millis) -> Outcome {
+    /// Charges a request if enough tokens are available, or returns what is needed first.
+    pub fn try_charge(&mut self, request: &ChargeRequest<'_>, now: Millis) -> ChargeOutcome {
         let Some(limits) = self
             .tables
             .last()
             .and_then(|table| table.accounts.get(request.account))
         else {
-            return Outcome::UnknownAccount;
+            return ChargeOutcome::UnknownAccount;
         };
         let total_tokens = request
             .prompt_tokens
             .saturating_add(request.max_output_tokens);
         if total_tokens > limits.burst_tokens {
-            return Outcome::TooLarge;
+            return ChargeOutcome::TooLarge;
         }
         let total_micro = total_tokens.saturating_mul(MICRO_PER_TOKEN);
         let available = self.available_micro(request.account, now);
         if available >= total_micro {
             let charge = self.admit(request, now);
             self.note_demand(request.account, total_micro, now);
-            return Outcome::Admitted { charge };
+            return ChargeOutcome::Admitted { charge };
         }
-        let outcome = self.gather(request, total_micro - available, now);
-        if matches!(outcome, Outcome::Refused { .. }) {
+        let outcome = self.borrow_for_request(request, total_micro - available, now);
+        if matches!(outcome, ChargeOutcome::Refused { .. }) {
             self.note_demand(request.account, total_micro, now);
         }
         outcome
     }
 
-    /// Settles a charge whose request generated `used_output_tokens`. A charge that has ended is
-    /// ignored.
+    /// Settles a charge whose request generated `used_output_tokens`, and releases the rest of the
+    /// reservation. A charge that is already settled or has expired is ignored.
     pub fn settle(&mut self, charge: ChargeId, used_output_tokens: u64, now: Millis) {
         let Some(charge) = self.charges.remove(&charge.0) else {
             return;
         };
         let mut used_left = used_output_tokens.saturating_mul(MICRO_PER_TOKEN);
-        for source in &charge.sources {
-            let used = used_left.min(source.reserved_micro);
+        for reservation in &charge.reservations {
+            let used = used_left.min(reservation.reserved_micro);
             used_left -= used;
-            self.settle_source(&charge.account, *source, used, now);
+            self.settle_reservation(&charge.account, *reservation, used, now);
         }
     }
 
-    /// Charges that reached the longest time without being settled since the last call, and are
-    /// counted as fully used. Their requests have to be ended.
-    pub fn take_ended(&mut self) -> Vec<ChargeId> {
-        std::mem::take(&mut self.ended)
+    /// Takes the charges that have expired since the last call: they were not settled within
+    /// [`MAX_CHARGE_DURATION_MS`] and count as fully used. The caller must end their requests.
+    pub fn take_expired_charges(&mut self) -> Vec<ChargeId> {
+        std::mem::take(&mut self.expired_charges)
     }
 
-    /// What an account could be charged here right now, in micro-tokens.
+    /// Amount that could be charged to an account here right now, in micro-tokens.
     pub fn available_micro(&mut self, account: &AccountId, now: Millis) -> u64 {
         let Some(state) = self.accounts.get_mut(account) else {
             return 0;
         };
-        let own = if self.is_void {
+        let own = if self.are_slots_invalid {
             0
         } else {
             state.level_micro(now)
@@ -70,8 +72,8 @@
         let borrowed: u64 = state
             .active
             .iter()
-            .flat_map(|active| &active.loans)
-            .filter_map(|number| self.loans.get(number))
+            .flat_map(|active| &active.loan_numbers)
+            .filter_map(|number| self.taken_loans.get(number))
             .filter(|loan| !loan.is_expired(now))
             .map(|loan| loan.unspent_micro)
             .sum();
@@ -87,7 +89,7 @@
     pub(super) fn admit(&mut self, request: &ChargeRequest<'_>, now: Millis) -> ChargeId {
         let mut used_left = request.prompt_tokens * MICRO_PER_TOKEN;
         let mut reserved_left = request.max_output_tokens * MICRO_PER_TOKEN;
-        let mut sources = Vec::new();
+        let mut reservations = Vec::new();
         let mut split = |available: u64| {
             let used = used_left.min(available);
             let reserved = reserved_left.min(available - used);
@@ -98,10 +100,13 @@
         let account = self
             .accounts
             .get_mut(request.account)
-            .expect("an account with tokens exists");
-        let numbers = account.active.iter().flat_map(|active| &active.loans);
+            .expect("an account with available tokens has state");
+        let numbers = account
+            .active
+            .iter()
+            .flat_map(|active| &active.loan_numbers);
         for number in numbers {
-            let Some(loan) = self.loans.get_mut(number) else {
+            let Some(loan) = self.taken_loans.get_mut(number) else {
                 continue;
             };
             if loan.is_expired(now) || loan.unspent_micro == 0 {
@@ -112,8 +117,8 @@
             loan.used_micro += used;
             loan.reserved_micro += reserved;
             if reserved > 0 {
-                let origin = Origin::Loan(*number);
-                sources.push(Source {
+                let origin = ReservationOrigin::Loan(*number);
+                reservations.push(Reservation {
                     origin,
                     reserved_micro: reserved,
                 });
@@ -121,15 +126,15 @@
         }
         for (part, role) in account.parts.iter_mut().zip(Role::ALL) {
             let Some(part) = part else { continue };
-            if self.is_void || part.is_suspended {
+            if self.are_slots_invalid || part.is_suspended {
                 continue;
             }
             let (used, reserved) = split(part.level_micro);
             part.charge(used, reserved);
             if reserved > 0 {
                 let epoch = part.epoch;
-                let origin = Origin::Part { role, epoch };
-                sources.push(Source {
+                let origin = ReservationOrigin::Part { role, epoch };
+                reservations.push(Reservation {
                     origin,
                     reserved_micro: reserved,
                 });
@@ -137,37 +142,37 @@
         }
         assert!(
             used_left == 0 && reserved_left == 0,
-            "a charge without cover"
+            "charge exceeds the available tokens"
         );
         self.next_charge += 1;
         let charge = Charge {
             account: request.account.clone(),
-            sources,
+            reservations,
             revision: self.revision(),
-            ends: now.plus(CHARGE_LIFE_MS),
+            expires: now.plus(MAX_CHARGE_DURATION_MS),
         };
         self.charges.insert(self.next_charge, charge);
         ChargeId(self.next_charge)
     }
 
-    pub(super) fn settle_source(
+    pub(super) fn settle_reservation(
         &mut self,
         account: &AccountId,
-        source: Source,
+        reservation: Reservation,
         used_micro: u64,
         now: Millis,
     ) {
-        let reserved = source.reserved_micro;
-        match source.origin {
-            Origin::Loan(number) => {
-                let Some(loan) = self.loans.get_mut(&number) else {
+        let reserved = reservation.reserved_micro;
+        match reservation.origin {
+            ReservationOrigin::Loan(number) => {
+                let Some(loan) = self.taken_loans.get_mut(&number) else {
                     return;
                 };
                 loan.reserved_micro -= reserved;
                 loan.used_micro += used_micro;
                 loan.returned_micro += reserved - used_micro;
             }
-            Origin::Part { role, epoch } => {
+            ReservationOrigin::Part { role, epoch } => {
                 let Some(account) = self.accounts.get_mut(account) else {
                     return;
                 };
--- a/crates/core/src/limit/limiter.rs
+++ b/crates/core/src/limit/limiter.rs
@@ -1,66 +1,68 @@
-//! The parts, loans and charges of one instance.
+//! Rate limiter of one instance: its parts, loans and charges.
 
-use super::account::{Account, Active, Remote};
-use super::audit::Slot;
-use super::charge::{Charge, ChargeId, Origin};
-use super::loan::{Lent, Loan};
+use super::account::{AccountState, ActiveState, RemoteSlot};
+use super::audit::SlotState;
+use super::charge::{Charge, ChargeId, ReservationOrigin};
+use super::loan::{GivenLoan, TakenLoan};
 use super::message::LoanMessage;
-use super::part::Part;
-use super::table::{Share, Table};
-use super::JOIN_MS;
+use super::part::BucketPart;
+use super::table::{LimitTable, PartShare};
+use super::JOIN_DELAY_MS;
 use crate::document::Document;
 use crate::id::{AccountId, RegionId};
 use crate::slot::{shard_of, OwnedSlot, Peer, Role, SlotId};
 use crate::time::Millis;
 use std::collections::{BTreeMap, HashMap};
 
-/// Sums over all accounts, for metrics and measurements.
+/// Totals over all accounts, for metrics and experiments.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Totals {
-    /// Slots owned.
+pub struct LimiterTotals {
+    /// Owned slots.
     pub slots: usize,
-    /// Accounts with at least one part here.
+    /// Accounts with at least one part at this instance.
     pub accounts: usize,
-    /// Charges that are not settled.
+    /// Unsettled charges.
     pub charges: usize,
-    /// Loans taken that are not over.
+    /// Open loans taken from other instances.
     pub loans_taken: usize,
-    /// Loans given that are not over.
+    /// Open loans given to other instances.
     pub loans_given: usize,
 }
 
-/// Levels of a slot handed over, kept for the owner in the next epoch.
+/// Levels of a handed-over slot, kept for the audit by its owner in the next epoch.
 #[derive(Clone, Debug)]
-pub(super) struct Passed {
+pub(super) struct HandedOverLevels {
     pub(super) epoch: u64,
     pub(super) levels: Vec<(AccountId, u64)>,
 }
 
-/// The parts, loans and charges of one instance.
+/// Rate limiter of one instance: its parts, loans and charges.
 ///
-/// The thread that decides owns it. It calls [`tick`](Self::tick) about every 50 ms, hands every
-/// message of a peer to [`on_message`](Self::on_message) and sends what both return.
+/// The limiter is owned by the decision thread, which calls [`tick`](Self::tick) about every 50 ms,
+/// passes each message of a peer to [`on_message`](Self::on_message) and sends the messages that
+/// both return.
 #[derive(Debug)]
 pub struct Limiter {
     pub(super) me: Peer,
     pub(super) region: RegionId,
-    /// Tables in force somewhere, in ascending order of revision.
-    pub(super) tables: Vec<Table>,
+    /// Limits of all revisions that may be in force at some member, in ascending order of revision.
+    pub(super) tables: Vec<LimitTable>,
+    /// Lowest settled revision of all members that are not confirmed gone.
     pub(super) fleet_revision: u64,
-    pub(super) accounts: HashMap<AccountId, Account>,
-    pub(super) slots: BTreeMap<(u16, Role), Slot>,
+    pub(super) accounts: HashMap<AccountId, AccountState>,
+    pub(super) slots: BTreeMap<(u16, Role), SlotState>,
     pub(super) owners: HashMap<SlotId, Peer>,
     pub(super) members: Vec<Peer>,
-    /// Lowest epoch of which a loan is accepted, by slot.
-    pub(super) least_epochs: HashMap<SlotId, u64>,
-    /// Levels kept for the next owner of slots handed over.
-    pub(super) passed: HashMap<(u16, Role), Passed>,
-    pub(super) lent: HashMap<(Peer, u64), Lent>,
-    pub(super) loans: BTreeMap<u64, Loan>,
+    /// Lowest epoch whose grants are accepted, by slot.
+    pub(super) min_epochs: HashMap<SlotId, u64>,
+    /// Levels of handed-over slots, kept for their next owners.
+    pub(super) handed_over: HashMap<(u16, Role), HandedOverLevels>,
+    pub(super) given_loans: HashMap<(Peer, u64), GivenLoan>,
+    pub(super) taken_loans: BTreeMap<u64, TakenLoan>,
     pub(super) charges: BTreeMap<u64, Charge>,
-    pub(super) ended: Vec<ChargeId>,
+    pub(super) expired_charges: Vec<ChargeId>,
     pub(super) outbox: BTreeMap<Peer, LoanMessage>,
-    pub(super) is_void: bool,
+    pub(super) are_slots_invalid: bool,
     pub(super) last_sweep: Millis,
     pub(super) first_tick: Option<Millis>,
     next_loan: u64,
@@ -68,7 +70,7 @@
 }
 
 impl Limiter {
-    /// A limiter of this run of this instance, without a document and without slots.
+    /// Creates a limiter for this run of the instance, without a document and without slots.
     pub fn new(me: Peer, region: RegionId) -> Self {
         Self {
             me,
@@ -79,14 +81,14 @@
             slots: BTreeMap::new(),
             owners: HashMap::new(),
             members: Vec::new(),
-            least_epochs: HashMap::new(),
-            passed: HashMap::new(),
-            lent: HashMap::new(),
-            loans: BTreeMap::new(),
+            min_epochs: HashMap::new(),
+            handed_over: HashMap::new(),
+            given_loans: HashMap::new(),
+            taken_loans: BTreeMap::new(),
             charges: BTreeMap::new(),
-            ended: Vec::new(),
+            expired_charges: Vec::new(),
             outbox: BTreeMap::new(),
-            is_void: false,
+            are_slots_invalid: false,
             last_sweep: Millis::default(),
             first_tick: None,
             next_loan: 0,
@@ -94,9 +96,9 @@
         }
     }
 
-    /// Applies a document of a higher revision; ignores any other.
+    /// Applies a document if its revision is higher than that of the current one.
     ///
-    /// A share that grows counts only once the whole fleet has settled, see
+    /// An increased share takes effect only once the whole fleet has settled the revision, see
     /// [`set_fleet_revision`](Self::set_fleet_revision).
     pub fn apply_document(&mut self, revision: u64, document: &Document, now: Millis) {
         if self
@@ -106,12 +108,12 @@
         {
             return;
         }
-        self.tables.push(Table::new(revision, document));
+        self.tables.push(LimitTable::new(revision, document));
         self.refresh_accounts(now);
     }
 
     /// Sets the lowest [`settled_revision`](Self::settled_revision) of all members that are not
-    /// confirmed gone. Only a higher one has an effect.
+    /// confirmed gone. A revision that is not higher than the current one has no effect.
     pub fn set_fleet_revision(&mut self, revision: u64, now: Millis) {
         if revision <= self.fleet_revision {
             return;
@@ -123,46 +125,53 @@
         self.refresh_accounts(now);
     }
 
-    /// The highest revision whose shares nothing here exceeds; to be reported to all members.
+    /// Highest revision whose shares are respected by all parts, loans and charges of this
+    /// instance; to be reported to all members.
     pub fn settled_revision(&self) -> u64 {
         let Some(newest) = self.tables.last() else {
             return 0;
         };
         let mut parts = self.accounts.values().flat_map(|account| &account.parts);
-        let is_within = parts.all(|part| part.as_ref().is_none_or(Part::is_settled));
-        if !is_within || !self.slots.values().all(Slot::is_answered) {
+        let is_within = parts.all(|part| part.as_ref().is_none_or(BucketPart::is_within_share));
+        if !is_within || !self.slots.values().all(SlotState::has_all_answers) {
             return self.fleet_revision.min(newest.revision);
         }
-        let loans = self.loans.values().filter(|loan| !loan.is_final());
-        let lent = loans.filter_map(|loan| loan.granted.map(|granted| granted.revision));
+        let loans = self.taken_loans.values().filter(|loan| !loan.is_final());
+        let loan_revisions = loans.filter_map(|loan| loan.granted.map(|granted| granted.revision));
         let orphans = self
             .charges
             .values()
             .filter(|charge| self.is_orphan(charge));
-        let charged = orphans.map(|charge| charge.revision);
-        lent.chain(charged).fold(newest.revision, u64::min)
+        let charge_revisions = orphans.map(|charge| charge.revision);
+        loan_revisions
+            .chain(charge_revisions)
+            .fold(newest.revision, u64::min)
     }
 
-    /// A part of the charge's reservation belongs to an ownership that has ended.
+    /// Whether the charge holds a reservation in a part of an epoch that this instance no longer
+    /// owns.
     fn is_orphan(&self, charge: &Charge) -> bool {
         let shard = shard_of(&charge.account);
-        charge.sources.iter().any(|source| match source.origin {
-            Origin::Loan(_) => false,
-            Origin::Part { role, epoch } => {
-                let slot = self.slots.get(&(shard, role));
-                slot.is_none_or(|slot| slot.epoch != epoch)
-            }
-        })
+        charge
+            .reservations
+            .iter()
+            .any(|reservation| match reservation.origin {
+                ReservationOrigin::Loan(_) => false,
+                ReservationOrigin::Part { role, epoch } => {
+                    let slot = self.slots.get(&(shard, role));
+                    slot.is_none_or(|slot| slot.epoch != epoch)
+                }
+            })
     }
 
-    /// Sets all members that are not confirmed gone, this instance included: those on the live
-    /// list and those heard of. To be called right before [`set_slots`](Self::set_slots) too, since
-    /// new slots wait for the answers of these members.
+    /// Sets the members that are not confirmed gone, including this instance: those on the live
+    /// list and those known from gossip. Must also be called right before
+    /// [`set_slots`](Self::set_slots), since new slots wait for the answers of these members.
     pub fn set_members(&mut self, members: &[Peer], now: Millis) {
         self.change_members(members, now);
     }
 
-    /// Sets the owners of the slots of all regions, as far as they are known.
+    /// Sets the known owners of the slots of all regions.
     pub fn set_owners(&mut self, owners: impl IntoIterator<Item = (SlotId, Peer)>) {
         let owners: HashMap<SlotId, Peer> = owners.into_iter().collect();
         if owners == self.owners {
@@ -176,9 +185,9 @@
         }
     }
 
-    /// Sets the slots that this instance owns. Parts of slots with an unchanged epoch stay as
-    /// they are and may be used again if they were suspended, new ones start empty, and levels of
-    /// slots given away are kept for their next owner.
+    /// Sets the slots that this instance owns. Slots with an unchanged epoch keep their parts and
+    /// are no longer suspended, parts of new slots start empty, and levels of handed-over slots are
+    /// kept for their next owner.
     pub fn set_slots(&mut self, owned: &[OwnedSlot], now: Millis) {
         let wanted: BTreeMap<(u16, Role), u64> = owned
             .iter()
@@ -204,8 +213,9 @@
         self.refresh_accounts(now);
     }
 
-    /// Makes slots unusable that are about to be given away, before the write of the record is
-    /// sent. They stay so until [`set_slots`](Self::set_slots) tells the outcome.
+    /// Suspends slots that are about to be handed over; to be called before the write of the
+    /// ownership record is sent. They stay suspended until [`set_slots`](Self::set_slots) is called
+    /// with the record as read afterwards.
     pub fn suspend(&mut self, slots: &[(u16, Role)], now: Millis) {
         for key in slots {
             if let Some(slot) = self.slots.get_mut(key) {
@@ -215,30 +225,30 @@
         self.refresh_accounts(now);
     }
 
-    /// Makes the own slots unusable after a long pause of this instance, and gives back what is
-    /// borrowed. The returned charges are no longer covered: their requests have to be ended and
-    /// settled by what they have used.
-    pub fn void(&mut self) -> Vec<ChargeId> {
-        self.is_void = true;
-        for loan in self.loans.values_mut() {
+    /// Invalidates all owned slots after a long pause of this instance, and returns borrowed tokens
+    /// to their lenders. The returned charges are no longer covered: the caller must end their
+    /// requests and settle them with the tokens used so far.
+    pub fn invalidate_slots(&mut self) -> Vec<ChargeId> {
+        self.are_slots_invalid = true;
+        for loan in self.taken_loans.values_mut() {
             loan.give_back();
         }
-        self.loans.retain(|_, loan| loan.granted.is_some());
+        self.taken_loans.retain(|_, loan| loan.granted.is_some());
         for account in self.accounts.values_mut() {
             account.active = None;
         }
         self.charges.keys().copied().map(ChargeId).collect()
     }
 
-    /// Makes the own slots usable again, which the store has confirmed to be `owned`.
-    pub fn confirm(&mut self, owned: &[OwnedSlot], now: Millis) {
+    /// Makes slots usable again after the store has confirmed that this instance owns `owned`.
+    pub fn confirm_slots(&mut self, owned: &[OwnedSlot], now: Millis) {
         self.set_slots(owned, now);
-        self.is_void = false;
+        self.are_slots_invalid = false;
     }
 
-    /// Sums over all accounts.
-    pub fn totals(&self) -> Totals {
-        Totals {
+    /// Totals over all accounts.
+    pub fn totals(&self) -> LimiterTotals {
+        LimiterTotals {
             slots: self.slots.len(),
             accounts: self
                 .accounts
@@ -246,13 +256,14 @@
                 .filter(|account| account.parts.iter().any(Option::is_some))
                 .count(),
             charges: self.charges.len(),
-            loans_taken: self.loans.len(),
-            loans_given: self.lent.len(),
+            loans_taken: self.taken_loans.len(),
+            loans_given: self.given_loans.len(),
         }
     }
 
-    /// The account's state in use, with the slots that it may borrow from.
-    pub(super) fn activate(&mut self, id: &AccountId, now: Millis) -> Option<&mut Active> {
+    /// Returns the active state of an account, created if needed, with the slots that it may borrow
+    /// from.
+    pub(super) fn activate(&mut self, id: &AccountId, now: Millis) -> Option<&mut ActiveState> {
         let account = self.accounts.get_mut(id)?;
         let active = account.active.get_or_insert_default();
         if active.remotes.is_empty() {
@@ -271,13 +282,13 @@
                     if share.cap_micro == 0 || *owner == self.me {
                         continue;
                     }
-                    active.remotes.push(Remote {
+                    active.remotes.push(RemoteSlot {
                         slot,
                         owner: owner.clone(),
                         share,
                         level_micro: share.cap_micro,
                         updated: now,
-                        is_asked: false,
+                        is_request_pending: false,
                     });
                 }
             }
@@ -289,16 +300,16 @@
         Some(active)
     }
 
-    /// Revision of the document that this instance applies; 0 if there is none.
+    /// Revision of the newest applied document; 0 if there is none.
     pub(super) fn revision(&self) -> u64 {
         self.tables.last().map_or(0, |table| table.revision)
     }
 
-    /// Every member has heard of this instance and will ask it when a slot changes its owner. An
-    /// instance borrows nothing before that.
+    /// Whether this instance has been running for [`JOIN_DELAY_MS`], so that every member knows it
+    /// and audits it when a slot changes its owner. An instance does not borrow before that.
     pub fn has_joined(&self, now: Millis) -> bool {
         self.first_tick
-            .is_some_and(|first| now.since(first) >= JOIN_MS)
+            .is_some_and(|first| now.since(first) >= JOIN_DELAY_MS)
     }
 
     pub(super) fn next_loan(&mut self) -> u64 {
@@ -306,30 +317,30 @@
         self.next_loan
     }
 
-    /// The share in force of an own part: the smallest of all revisions that may be in force.
-    pub(super) fn share(&self, account: &AccountId, role: Role) -> Share {
+    /// Effective share of an owned part: the minimum over all revisions that may be in force.
+    pub(super) fn effective_share(&self, account: &AccountId, role: Role) -> PartShare {
         let Some(first) = self.tables.first() else {
-            return Share::default();
+            return PartShare::default();
         };
-        // Smaller shares of revisions before the first one known may still be in force.
+        // Smaller shares of revisions before the first known one may still be in force.
         if first.revision > self.fleet_revision {
-            return Share::default();
+            return PartShare::default();
         }
         self.tables
             .iter()
             .map(|table| table.share(account, &self.region, role))
-            .reduce(Share::min)
+            .reduce(PartShare::min)
             .unwrap_or_default()
     }
 
-    /// Brings accounts and parts in line with the tables and the owned slots.
+    /// Creates, updates and removes accounts and parts to match the limit tables and owned slots.
     fn refresh_accounts(&mut self, now: Millis) {
         let Some(newest) = self.tables.last() else {
             return;
         };
         for id in newest.accounts.keys() {
             if !self.accounts.contains_key(id) {
-                let account = Account::new(shard_of(id));
+                let account = AccountState::new(shard_of(id));
                 self.accounts.insert(id.clone(), account);
             }
         }
@@ -339,17 +350,17 @@
             if let Some(active) = &mut account.active {
                 active.remotes.clear();
             }
-            for (at, role) in Role::ALL.into_iter().enumerate() {
+            for (index, role) in Role::ALL.into_iter().enumerate() {
                 let slot = self.slots.get(&(account.shard, role));
-                account.parts[at] = match (account.parts[at].take(), slot) {
+                account.parts[index] = match (account.parts[index].take(), slot) {
                     (_, None) => None,
                     (Some(part), Some(slot)) if part.epoch == slot.epoch => Some(part),
-                    (_, Some(slot)) => Some(Part::new(slot.epoch, now)),
+                    (_, Some(slot)) => Some(BucketPart::new(slot.epoch, now)),
                 };
-                let Some(part) = &mut account.parts[at] else {
+                let Some(part) = &mut account.parts[index] else {
                     continue;
                 };
-                let share = self.share(id, role);
+                let share = self.effective_share(id, role);
                 part.set_limits(share.cap_micro, share.rate_micro_per_s, now);
                 if let Some(slot) = slot {
                     part.is_suspended = slot.is_suspended;
--- a/crates/core/src/limit/loan.rs
+++ b/crates/core/src/limit/loan.rs
@@ -1,28 +1,28 @@
-//! Loans as their borrower and their lender keep them.
+//! Loan bookkeeping of borrowers and lenders.
 
 use super::message::{LoanGrant, LoanReport};
-use super::{DRIFT_PPM, HOLD_LIFE_MS, LOAN_LIFE_MS};
+use super::{FORMER_OWNER_HOLD_MS, LOAN_USABLE_MS, MAX_CLOCK_DRIFT_PPM};
 use crate::id::AccountId;
 use crate::slot::{Peer, Role, SlotId};
 use crate::time::Millis;
 
-/// Time after which an ask without an answer is given up, in milliseconds.
-pub(super) const ASK_TIMEOUT_MS: u64 = 1_000;
-/// Time between two reports on the same loan while nothing is final, in milliseconds.
-const PARTIAL_REPORT_MS: u64 = 1_000;
-/// Time after which a final report without an acknowledgement is sent again, in milliseconds.
-const REPORT_RETRY_MS: u64 = 1_000;
+/// Age at which an unanswered loan request is dropped, in milliseconds.
+pub(super) const LOAN_REQUEST_TIMEOUT_MS: u64 = 1_000;
+/// Interval between reports on a loan that is not final yet, in milliseconds.
+const PARTIAL_REPORT_INTERVAL_MS: u64 = 1_000;
+/// Retry interval of a final report that is not acknowledged, in milliseconds.
+const FINAL_REPORT_RETRY_MS: u64 = 1_000;
 
-/// A loan as the borrower keeps it.
+/// A loan, as recorded by the borrower.
 #[derive(Clone, Debug)]
-pub(super) struct Loan {
+pub(super) struct TakenLoan {
     pub(super) account: AccountId,
     pub(super) slot: SlotId,
     pub(super) lender: Peer,
-    pub(super) asked: Millis,
+    pub(super) requested_at: Millis,
     pub(super) wanted_micro: u64,
-    /// Absent until the lender has answered.
-    pub(super) granted: Option<Granted>,
+    /// Absent until the lender has granted the loan.
+    pub(super) granted: Option<GrantTerms>,
     pub(super) unspent_micro: u64,
     pub(super) reserved_micro: u64,
     pub(super) used_micro: u64,
@@ -32,26 +32,26 @@
     reported_at: Millis,
 }
 
-/// Under what conditions a loan was granted.
+/// Epoch and document revision of the lender when it granted a loan.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Granted {
+pub(super) struct GrantTerms {
     pub(super) epoch: u64,
     pub(super) revision: u64,
 }
 
-impl Loan {
+impl TakenLoan {
     pub(super) fn new(
         account: AccountId,
         slot: SlotId,
         lender: Peer,
         wanted_micro: u64,
-        asked: Millis,
+        requested_at: Millis,
     ) -> Self {
         Self {
             account,
             slot,
             lender,
-            asked,
+            requested_at,
             wanted_micro,
             granted: None,
             unspent_micro: 0,
@@ -60,41 +60,47 @@
             returned_micro: 0,
             acked_micro: 0,
             reported_micro: 0,
-            reported_at: asked,
+            reported_at: requested_at,
         }
     }
 
-    /// Takes the lender's answer, which the caller has checked.
+    /// Credits the lender's grant, which the caller has validated.
     pub(super) fn grant(&mut self, grant: &LoanGrant) {
-        assert!(self.granted.is_none(), "a loan credited twice");
-        assert!(grant.amount_micro <= self.wanted_micro, "a loan too large");
+        assert!(self.granted.is_none(), "loan credited twice");
+        assert!(
+            grant.amount_micro <= self.wanted_micro,
+            "grant exceeds the requested amount"
+        );
         self.unspent_micro = grant.amount_micro;
-        self.granted = Some(Granted {
+        self.granted = Some(GrantTerms {
             epoch: grant.epoch,
             revision: grant.revision,
         });
     }
 
-    /// Requests may no longer be admitted against the loan.
+    /// Whether requests may no longer be admitted against the loan. The usable time is shortened by
+    /// the maximum clock drift.
     pub(super) fn is_expired(&self, now: Millis) -> bool {
-        now.since(self.asked) >= LOAN_LIFE_MS - LOAN_LIFE_MS * DRIFT_PPM / 1_000_000
+        now.since(self.requested_at)
+            >= LOAN_USABLE_MS - LOAN_USABLE_MS * MAX_CLOCK_DRIFT_PPM / 1_000_000
     }
 
-    /// Nothing of the loan can still be used.
+    /// Whether the loan has no unspent or reserved tokens left.
     pub(super) fn is_final(&self) -> bool {
         self.granted.is_some() && self.unspent_micro == 0 && self.reserved_micro == 0
     }
 
-    /// The borrower may forget the loan.
-    pub(super) fn is_over(&self, now: Millis) -> bool {
+    /// Whether the borrower may remove the loan: the request timed out, the final report is
+    /// acknowledged, or the lender no longer counts the loan.
+    pub(super) fn can_be_removed(&self, now: Millis) -> bool {
         if self.granted.is_none() {
-            return now.since(self.asked) > ASK_TIMEOUT_MS;
+            return now.since(self.requested_at) > LOAN_REQUEST_TIMEOUT_MS;
         }
         let is_acked = self.is_final() && self.acked_micro == self.settled_micro();
-        is_acked || now.since(self.asked) > HOLD_LIFE_MS + LOAN_LIFE_MS
+        is_acked || now.since(self.requested_at) > FORMER_OWNER_HOLD_MS + LOAN_USABLE_MS
     }
 
-    /// Gives back what is not spent.
+    /// Marks unspent tokens as returned.
     pub(super) fn give_back(&mut self) {
         self.returned_micro += self.unspent_micro;
         self.unspent_micro = 0;
@@ -104,12 +110,12 @@
         self.used_micro + self.returned_micro
     }
 
-    /// Notes what the lender has taken note of.
+    /// Records the cumulative amount that the lender has acknowledged.
     pub(super) fn ack(&mut self, acked_micro: u64) {
         self.acked_micro = self.acked_micro.max(acked_micro.min(self.settled_micro()));
     }
 
-    /// The report to send now, if one is due.
+    /// Returns the report to send now, if one is due.
     pub(super) fn due_report(&mut self, number: u64, now: Millis) -> Option<LoanReport> {
         let settled = self.settled_micro();
         if self.granted.is_none() || self.acked_micro == settled {
@@ -119,8 +125,8 @@
         let is_new = self.reported_micro != settled;
         let is_due = match (self.is_final(), is_new) {
             (true, true) => true,
-            (true, false) => age_ms >= REPORT_RETRY_MS,
-            (false, _) => age_ms >= PARTIAL_REPORT_MS,
+            (true, false) => age_ms >= FINAL_REPORT_RETRY_MS,
+            (false, _) => age_ms >= PARTIAL_REPORT_INTERVAL_MS,
         };
         if !is_due {
             return None;
@@ -130,7 +136,7 @@
         Some(self.report(number))
     }
 
-    /// What became of the loan so far.
+    /// Cumulative report on the loan.
     pub(super) fn report(&self, number: u64) -> LoanReport {
         LoanReport {
             loan: number,
@@ -140,9 +146,9 @@
     }
 }
 
-/// A loan as the lender keeps it, so that a doubled ask gets the same answer.
+/// A loan, as recorded by the lender, so that a duplicate request gets the same grant.
 #[derive(Clone, Debug)]
-pub(super) struct Lent {
+pub(super) struct GivenLoan {
     pub(super) account: AccountId,
     pub(super) role: Role,
     pub(super) epoch: u64,
@@ -152,23 +158,23 @@
     pub(super) expires: Millis,
 }
 
-impl Lent {
-    /// What the borrower may still hold.
+impl GivenLoan {
+    /// Amount that the borrower may still hold, in micro-tokens.
     pub(super) fn outstanding_micro(&self) -> u64 {
         self.amount_micro - self.used_micro - self.returned_micro
     }
 
-    /// Takes a cumulative report; returns what was used and returned beyond what was known, or
-    /// none when the report cannot belong to this loan.
+    /// Merges a cumulative report and returns the newly used and newly returned amounts, or `None`
+    /// if the report exceeds the amount of the loan and so cannot belong to it.
     pub(super) fn merge(&mut self, report: &LoanReport) -> Option<(u64, u64)> {
         let used = self.used_micro.max(report.used_micro);
         let returned = self.returned_micro.max(report.returned_micro);
         if used.checked_add(returned)? > self.amount_micro {
             return None;
         }
-        let news = (used - self.used_micro, returned - self.returned_micro);
+        let newly_settled = (used - self.used_micro, returned - self.returned_micro);
         self.used_micro = used;
         self.returned_micro = returned;
-        Some(news)
+        Some(newly_settled)
     }
 }
--- a/crates/core/src/limit/table.rs
+++ b/crates/core/src/limit/table.rs
@@ -1,11 +1,11 @@
-//! Shares of rate and burst as a function of the configuration document alone.
+//! Shares of rate and burst, computed from the configuration document alone.
 
 use crate::document::{Document, WHOLE_PPM};
 use crate::id::{AccountId, RegionId};
 use crate::slot::Role;
 use std::collections::HashMap;
 
-/// Rate and burst of an account.
+/// Configured rate and burst of an account.
 #[derive(Clone, Debug)]
 pub(super) struct AccountLimits {
     pub(super) rate_tokens_per_s: u64,
@@ -13,15 +13,15 @@
     bound_region: Option<RegionId>,
 }
 
-/// Share of one part.
+/// Share of an account's burst and rate that belongs to one part.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Share {
+pub(super) struct PartShare {
     pub(super) cap_micro: u64,
     pub(super) rate_micro_per_s: u64,
 }
 
-impl Share {
-    /// The smaller of both, for burst and rate each.
+impl PartShare {
+    /// Minimum of burst and rate, each on its own.
     pub(super) fn min(self, other: Self) -> Self {
         Self {
             cap_micro: self.cap_micro.min(other.cap_micro),
@@ -30,15 +30,16 @@
     }
 }
 
-/// What one revision of the document says about limits.
+/// Limits of all accounts in one revision of the document.
 #[derive(Clone, Debug)]
-pub(super) struct Table {
+pub(super) struct LimitTable {
     pub(super) revision: u64,
+    /// Regions with their weights, in parts per million.
     regions: Vec<(RegionId, u64)>,
     pub(super) accounts: HashMap<AccountId, AccountLimits>,
 }
 
-impl Table {
+impl LimitTable {
     pub(super) fn new(revision: u64, document: &Document) -> Self {
         let total: u64 = document
             .regions
@@ -70,19 +71,19 @@
         }
     }
 
-    /// Regions in the order of the document.
+    /// Regions in document order.
     pub(super) fn regions(&self) -> impl Iterator<Item = &RegionId> {
         self.regions.iter().map(|(region, _)| region)
     }
 
-    /// The share of the slot of `account` in `region` and `role`.
-    pub(super) fn share(&self, account: &AccountId, region: &RegionId, role: Role) -> Share {
+    /// Share of `account`'s part in `region` and `role`.
+    pub(super) fn share(&self, account: &AccountId, region: &RegionId, role: Role) -> PartShare {
         let Some(limits) = self.accounts.get(account) else {
-            return Share::default();
+            return PartShare::default();
         };
         let weight_ppm = self.weight_ppm(limits, region) * role.share_ppm() / u64::from(WHOLE_PPM);
-        // Tokens times parts per million are micro-tokens.
-        Share {
+        // Tokens times parts per million yields micro-tokens.
+        PartShare {
             cap_micro: limits.burst_tokens.saturating_mul(weight_ppm),
             rate_micro_per_s: limits.rate_tokens_per_s.saturating_mul(weight_ppm),
         }
--- a/crates/core/src/slot/pause.rs
+++ b/crates/core/src/slot/pause.rs
@@ -1,53 +1,53 @@
-//! The rule that makes an owner harmless that wakes from a long pause.
+//! Detection of long pauses of this process, after which its slots are invalid.
 
 use super::TOLERATED_PAUSE_MS;
 use crate::time::Millis;
 
-/// Watches the time between two ticks of the deciding thread.
+/// Detects pauses from the time between ticks of the decision thread.
 ///
-/// After a gap longer than half the tolerated pause the instance's slots are void: another
-/// instance may have taken them. They stay void until the store has answered a read that began
-/// after the gap.
+/// After a gap longer than half of [`TOLERATED_PAUSE_MS`] the instance's slots are invalid, because
+/// another instance may have claimed them. They stay invalid until the store has answered a read
+/// that began after the gap.
 #[derive(Clone, Debug)]
 pub struct PauseGuard {
     last_tick: Millis,
-    void_since: Option<Millis>,
+    invalid_since: Option<Millis>,
 }
 
 impl PauseGuard {
-    /// A guard that starts at `now`, not void.
+    /// Creates a guard whose first tick is at `now`, with valid slots.
     pub fn new(now: Millis) -> Self {
         Self {
             last_tick: now,
-            void_since: None,
+            invalid_since: None,
         }
     }
 
-    /// Notes a tick; true when the slots have just become void.
-    pub fn has_paused(&mut self, now: Millis) -> bool {
+    /// Records a tick. Returns true if the slots have become invalid because of the gap before it.
+    pub fn detect_pause(&mut self, now: Millis) -> bool {
         let gap_ms = now.since(self.last_tick);
         self.last_tick = now;
         if gap_ms <= TOLERATED_PAUSE_MS / 2 {
             return false;
         }
-        self.void_since = Some(now);
+        self.invalid_since = Some(now);
         true
     }
 
-    /// Notes the answer to a read of the record that began at `read_began`; true when the slots
-    /// of the record are valid from now on.
-    pub fn has_confirmed(&mut self, read_began: Millis) -> bool {
-        match self.void_since {
+    /// Applies the answer to a read of the record that began at `read_began`. Returns true if the
+    /// slots of the record are valid.
+    pub fn confirm_read(&mut self, read_began: Millis) -> bool {
+        match self.invalid_since {
             Some(since) if read_began < since => false,
             _ => {
-                self.void_since = None;
+                self.invalid_since = None;
                 true
             }
         }
     }
 
-    /// Slots may not be used.
-    pub fn is_void(&self) -> bool {
-        self.void_since.is_some()
+    /// Whether the slots are invalid and must not be used.
+    pub fn are_slots_invalid(&self) -> bool {
+        self.invalid_since.is_some()
     }
 }
