--- a/crates/gateway/tests/promise_keys.rs
+++ b/crates/gateway/tests/promise_keys.rs
@@ -171,7 +171,7 @@
     let reply = caller.chat(&north.url, "before", false).await.unwrap();
     assert_eq!(reply.status, 200, "{reply:?}");
     // Nothing outside the region answers any more.
-    fleet.store_proxies["north"].set_both(carobwheel_standin::proxy::Way::partitioned());
+    fleet.store_proxies["north"].set_both(carobwheel_standin::proxy::Impairment::partitioned());
     for region in ["central", "south"] {
         fleet.engines[region].set_refusing(true);
         fleet.engines[region].cut();
--- a/crates/gateway/tests/promise_outage.rs
+++ b/crates/gateway/tests/promise_outage.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use carobwheel_standin::{engine::EngineOptions, proxy::Way, store::Availability};
+use carobwheel_standin::{engine::EngineOptions, proxy::Impairment, store::Availability};
 use futures::future::join_all;
 use serde_json::json;
 use std::time::{Duration, Instant};
@@ -21,7 +21,7 @@
     let south = fleet.instance("south").url.clone();
     let reply = caller.chat(&south, "before", false).await.unwrap();
     assert_eq!(reply.status, 200, "{reply:?}");
-    fleet.store_proxies["south"].set_both(Way::partitioned());
+    fleet.store_proxies["south"].set_both(Impairment::partitioned());
     fleet.document.entry("accounts", "insurers")["keys"] = json!([]);
     fleet.publish();
     eventually("the key is refused", SECONDS, || async {
@@ -76,7 +76,7 @@
     let caller = Caller::of("insurers");
     let reply = caller.chat(north, "to north", false).await.unwrap();
     assert_eq!(reply.status, 200, "{reply:?}");
-    fleet.store_proxies["south"].set_both(Way::partitioned());
+    fleet.store_proxies["south"].set_both(Impairment::partitioned());
     fleet.start_instance("south", "south-9").await;
     let south = &fleet.instance("south").url;
     let reply = caller.chat(south, "to south", false).await.unwrap();
--- a/crates/gateway/tests/promise_partition.rs
+++ b/crates/gateway/tests/promise_partition.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use carobwheel_standin::{engine::EngineOptions, proxy::Way};
+use carobwheel_standin::{engine::EngineOptions, proxy::Impairment};
 use support::{eventually, expected_answer, Caller, Fleet, FleetOptions, PATIENCE, REGIONS};
 
 const TOKENS: u64 = 30;
@@ -41,7 +41,7 @@
     forwards_work(&fleet).await;
     let served_at_home = fleet.engines["south"].counts().requests;
     for link in fleet.links.values() {
-        link.set_both(Way::partitioned());
+        link.set_both(Impairment::partitioned());
     }
     for region in REGIONS {
         let url = &fleet.instance(region).url;
@@ -69,7 +69,7 @@
     assert_eq!(fleet.engines["north"].count_containing("cut off"), 0);
     assert_eq!(fleet.engines["central"].count_containing("cut off"), 0);
     for link in fleet.links.values() {
-        link.set_both(Way::delayed(DELAY_MS));
+        link.set_both(Impairment::delayed(DELAY_MS));
     }
     forwards_work(&fleet).await;
 }
--- a/crates/gateway/tests/soak_support/faults.rs
+++ b/crates/gateway/tests/soak_support/faults.rs
@@ -7,7 +7,9 @@
     watch::Watch,
 };
 use crate::support::{Instance, REGIONS, SECONDS};
-use carobwheel_standin::{engine::Fault, proxy::Way, service::ServiceFault, store::Availability};
+use carobwheel_standin::{
+    engine::Fault, proxy::Impairment, service::ServiceFault, store::Availability,
+};
 use futures::FutureExt as _;
 use rand::{rngs::StdRng, seq::SliceRandom, Rng, SeedableRng};
 use serde_json::json;
@@ -248,7 +250,7 @@
         let (store, proxies) = (&stage.fleet.store, &stage.fleet.store_proxies);
         let must_be_up = Instant::now() < self.store_up_until;
         match step {
-            Step::StoreDown if must_be_up => proxies[region].set_both(Way::partitioned()),
+            Step::StoreDown if must_be_up => proxies[region].set_both(Impairment::partitioned()),
             Step::StoreDown => {
                 use Availability::{Hanging, Refusing, Unavailable};
                 let kinds = [Hanging, Refusing, Unavailable];
@@ -260,7 +262,7 @@
             Step::StoreConnectionsFrozen => proxies[region].freeze_existing(),
             _ => {
                 heal_proxies(stage);
-                proxies[region].set_both(Way::partitioned());
+                proxies[region].set_both(Impairment::partitioned());
             }
         }
     }
--- a/crates/gateway/tests/store_client.rs
+++ b/crates/gateway/tests/store_client.rs
@@ -6,7 +6,7 @@
 
 use carobwheel_gateway::store::{LeaseState, StoreError, WriteOutcome};
 use carobwheel_standin::{
-    proxy::{Direction, Way},
+    proxy::{Direction, Impairment},
     store::{Availability, StoreOptions},
 };
 use std::time::Duration;
@@ -137,7 +137,9 @@
     let bench = bench();
     let first = revision_of(&bench.client.create(KEY, b"1", 0).await);
     // The answer is held back on its way while another writer builds on the value.
-    bench.proxy.set(Direction::ToCaller, Way::partitioned());
+    bench
+        .proxy
+        .set(Direction::ToCaller, Impairment::partitioned());
     let write = bench.client.compare_and_swap(KEY, first, b"2");
     let overwrite = async {
         let rival = client(bench.store.url(), "s1.1");
@@ -173,7 +175,9 @@
 #[tokio::test]
 async fn write_is_unknown_when_no_attempt_is_answered() {
     let bench = bench();
-    bench.proxy.set(Direction::ToCaller, Way::partitioned());
+    bench
+        .proxy
+        .set(Direction::ToCaller, Impairment::partitioned());
     let outcome = within(bench.client.create(KEY, b"1", 0)).await;
     let cause = StoreError::Timeout(ATTEMPT_MS);
     assert_eq!(outcome, WriteOutcome::Unknown { cause });
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -15,7 +15,7 @@
 use carobwheel_standin::{
     engine::{self, Engine, EngineOptions},
     livelist::{self, LiveList, LiveListOptions},
-    proxy::{self, Proxy, ProxyOptions, Way},
+    proxy::{self, Impairment, Proxy, ProxyOptions},
     service::{self, Service, ServiceOptions},
     store::{self, Store, StoreOptions},
     tls::Authority,
@@ -254,7 +254,7 @@
 fn start_link(peer_address: &str, delay_ms: u64) -> Proxy {
     let options = ProxyOptions::new(peer_address.parse().unwrap());
     let proxy = proxy::start_udp(options).unwrap();
-    proxy.set_both(Way::delayed(delay_ms));
+    proxy.set_both(Impairment::delayed(delay_ms));
     proxy
 }
 
--- a/crates/standin/src/proxy/mod.rs
+++ b/crates/standin/src/proxy/mod.rs
@@ -8,7 +8,7 @@
 mod tcp;
 mod udp;
 
-pub use switches::{Direction, Way};
+pub use switches::{Direction, Impairment};
 
 use std::{
     io,
@@ -125,24 +125,24 @@
 
     /// Sets both directions for everything that passes, except for sources with settings of their
     /// own.
-    pub fn set_both(&self, way: Way) {
+    pub fn set_both(&self, way: Impairment) {
         self.set(Direction::ToUpstream, way);
         self.set(Direction::ToCaller, way);
     }
 
     /// Sets one direction for everything that passes, except for sources with settings of their
     /// own.
-    pub fn set(&self, direction: Direction, way: Way) {
+    pub fn set(&self, direction: Direction, way: Impairment) {
         self.control.set(None, direction, way);
     }
 
     /// Sets one direction for what callers at the address `source` send and get.
-    pub fn set_for(&self, source: IpAddr, direction: Direction, way: Way) {
+    pub fn set_for(&self, source: IpAddr, direction: Direction, way: Impairment) {
         self.control.set(Some(source), direction, way);
     }
 
     /// Sets both directions for what callers at the address `source` send and get.
-    pub fn set_both_for(&self, source: IpAddr, way: Way) {
+    pub fn set_both_for(&self, source: IpAddr, way: Impairment) {
         self.set_for(source, Direction::ToUpstream, way);
         self.set_for(source, Direction::ToCaller, way);
     }
--- a/crates/standin/src/proxy/switches.rs
+++ b/crates/standin/src/proxy/switches.rs
@@ -26,7 +26,7 @@
 
 /// How one direction behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Way {
+pub struct Impairment {
     /// Delay, in milliseconds.
     pub delay_ms: u64,
     /// Further random delay of each datagram, which changes their order, in milliseconds.
@@ -41,7 +41,7 @@
     pub bytes_per_s: u64,
 }
 
-impl Way {
+impl Impairment {
     /// A direction with a delay.
     pub fn delayed(delay_ms: u64) -> Self {
         Self {
@@ -70,12 +70,12 @@
 /// Both directions.
 #[derive(Clone, Copy, Debug, Default)]
 struct Ways {
-    to_upstream: Way,
-    to_caller: Way,
+    to_upstream: Impairment,
+    to_caller: Impairment,
 }
 
 impl Ways {
-    fn get_mut(&mut self, direction: Direction) -> &mut Way {
+    fn get_mut(&mut self, direction: Direction) -> &mut Impairment {
         match direction {
             Direction::ToUpstream => &mut self.to_upstream,
             Direction::ToCaller => &mut self.to_caller,
@@ -122,7 +122,7 @@
         }
     }
 
-    pub(super) fn set(&self, source: Option<IpAddr>, direction: Direction, way: Way) {
+    pub(super) fn set(&self, source: Option<IpAddr>, direction: Direction, way: Impairment) {
         self.switches.send_modify(|switches| {
             let ways = match source {
                 Some(source) => switches.by_source.entry(source).or_default(),
@@ -150,7 +150,7 @@
         SwitchWatch(self.switches.subscribe())
     }
 
-    pub(super) fn way(&self, source: IpAddr, direction: Direction) -> Way {
+    pub(super) fn way(&self, source: IpAddr, direction: Direction) -> Impairment {
         let switches = self.switches.borrow();
         let mut ways = *switches.by_source.get(&source).unwrap_or(&switches.general);
         *ways.get_mut(direction)
--- a/crates/standin/tests/proxy.rs
+++ b/crates/standin/tests/proxy.rs
@@ -5,7 +5,7 @@
 #[allow(dead_code)]
 mod support;
 
-use carobwheel_standin::proxy::{self, Direction, Proxy, ProxyOptions, Way};
+use carobwheel_standin::proxy::{self, Direction, Impairment, Proxy, ProxyOptions};
 use std::{
     io::ErrorKind,
     net::{Ipv4Addr, SocketAddr},
@@ -82,7 +82,7 @@
 #[tokio::test]
 async fn tcp_delay_adds_up_over_both_directions() {
     let proxy = tcp_proxy().await;
-    proxy.set_both(Way::delayed(40));
+    proxy.set_both(Impairment::delayed(40));
     let mut stream = TcpStream::connect(proxy.addr()).await.unwrap();
     let start = Instant::now();
     echo(&mut stream).await.unwrap();
@@ -94,7 +94,7 @@
 #[tokio::test]
 async fn tcp_partition_holds_bytes_back_until_healed(direction: Direction) {
     let proxy = tcp_proxy().await;
-    proxy.set(direction, Way::partitioned());
+    proxy.set(direction, Impairment::partitioned());
     let mut stream = TcpStream::connect(proxy.addr()).await.unwrap();
     stream.write_all(b"x").await.unwrap();
     let mut buffer = [0; 1];
@@ -149,7 +149,7 @@
 async fn source_with_its_own_switches_is_partitioned_alone() {
     let proxy = tcp_proxy().await;
     let south = Ipv4Addr::new(127, 0, 2, 1);
-    proxy.set_both_for(south.into(), Way::partitioned());
+    proxy.set_both_for(south.into(), Impairment::partitioned());
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind((south, 0).into()).unwrap();
     let mut from_south = socket.connect(proxy.addr()).await.unwrap();
@@ -190,26 +190,26 @@
 #[tokio::test]
 async fn datagrams_are_lost_doubled_and_reordered() {
     let proxy = udp_proxy(3).await;
-    proxy.set(Direction::ToUpstream, Way::lossy(300_000));
+    proxy.set(Direction::ToUpstream, Impairment::lossy(300_000));
     let with_loss = volley(&proxy, 200, 100).await.len();
     assert!(with_loss < 180, "{with_loss} of 200 came back");
     proxy.set(
         Direction::ToUpstream,
-        Way {
+        Impairment {
             duplicate_ppm: 1_000_000,
-            ..Way::default()
+            ..Impairment::default()
         },
     );
     assert_eq!(volley(&proxy, 50, 100).await.len(), 100);
     proxy.set(
         Direction::ToUpstream,
-        Way {
+        Impairment {
             jitter_ms: 40,
-            ..Way::default()
+            ..Impairment::default()
         },
     );
     assert!(!volley(&proxy, 50, 50).await.is_sorted());
-    proxy.set(Direction::ToCaller, Way::partitioned());
+    proxy.set(Direction::ToCaller, Impairment::partitioned());
     assert!(volley(&proxy, 10, 0).await.is_empty());
 }
 
