--- a/crates/ctl/src/experiment/routing/deployment.rs
+++ b/crates/ctl/src/experiment/routing/deployment.rs
@@ -6,7 +6,7 @@
 };
 use carobwheel_core::id::{DataCentreId, InstanceId, RegionId};
 use carobwheel_core::route::Delays;
-use carobwheel_standin::batch::EngineSettings;
+use carobwheel_standin::batch::BatchSettings;
 use std::ops::Range;
 
 /// Data centres, and so instances, of a region.
@@ -43,7 +43,7 @@
 pub(super) struct Deployment {
     pub(super) document: Document,
     pub(super) instances: Vec<InstanceSpec>,
-    pub(super) engine: EngineSettings,
+    pub(super) engine: BatchSettings,
     pub(super) delays: Delays,
     /// Share of the requests of each account, in the document's order.
     pub(super) account_shares: Vec<f64>,
@@ -177,9 +177,9 @@
 }
 
 fn build(sizes: Sizes) -> Deployment {
-    let engine = EngineSettings {
+    let engine = BatchSettings {
         cache_blocks: 768,
-        ..EngineSettings::default()
+        ..BatchSettings::default()
     };
     let regions: Vec<_> = sizes.regions.iter().map(|name| region(name)).collect();
     let document = Document {
@@ -236,7 +236,7 @@
     }
 }
 
-fn upstreams(regions: &[Region], engines: &[usize], engine: &EngineSettings) -> Vec<Upstream> {
+fn upstreams(regions: &[Region], engines: &[usize], engine: &BatchSettings) -> Vec<Upstream> {
     let of_region = |(region, count): (&Region, &usize)| {
         let upstream = |index: usize| Upstream {
             id: format!("{}-engine-{index}", region.id)
--- a/crates/ctl/src/experiment/routing/event.rs
+++ b/crates/ctl/src/experiment/routing/event.rs
@@ -1,7 +1,7 @@
 //! Events in order of time.
 
 use carobwheel_core::route::LoadDigest;
-use carobwheel_standin::batch::{JobId, Token};
+use carobwheel_standin::batch::{BatchRequestId, Token};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
@@ -11,13 +11,16 @@
     /// A request comes in.
     Arrive(usize),
     /// A request reaches its engine.
-    Submit { engine: usize, job: JobId },
+    Submit { engine: usize, job: BatchRequestId },
     /// An engine ends a step; the number tells steps before a crash from those after it.
     StepEnd { engine: usize, life: u64 },
     /// Tokens reach an instance.
     Deliver { instance: usize, tokens: Vec<Token> },
     /// An attempt fails: not run if the connection never came about.
-    Fail { job: JobId, is_not_run: bool },
+    Fail {
+        job: BatchRequestId,
+        is_not_run: bool,
+    },
     /// A failed request is tried again.
     Retry(usize),
     /// A request's deadline has come.
--- a/crates/ctl/src/experiment/routing/live.rs
+++ b/crates/ctl/src/experiment/routing/live.rs
@@ -3,7 +3,7 @@
 use carobwheel_core::id::{RequestId, UpstreamId};
 use carobwheel_core::retry::ResumePoint;
 use carobwheel_core::route::{FlightId, Hops};
-use carobwheel_standin::batch::JobId;
+use carobwheel_standin::batch::BatchRequestId;
 
 /// Attempts that a job's name has room for.
 const ATTEMPTS: u64 = 16;
@@ -62,11 +62,11 @@
 }
 
 /// The job of a request's attempt.
-pub(super) fn job_of(request: usize, attempt: u32) -> JobId {
-    JobId(request as u64 * ATTEMPTS + u64::from(attempt))
+pub(super) fn job_of(request: usize, attempt: u32) -> BatchRequestId {
+    BatchRequestId(request as u64 * ATTEMPTS + u64::from(attempt))
 }
 
 /// The request and attempt of a job.
-pub(super) fn request_of(job: JobId) -> (usize, u32) {
+pub(super) fn request_of(job: BatchRequestId) -> (usize, u32) {
     ((job.0 / ATTEMPTS) as usize, (job.0 % ATTEMPTS) as u32)
 }
--- a/crates/ctl/src/experiment/routing/world/attempt.rs
+++ b/crates/ctl/src/experiment/routing/world/attempt.rs
@@ -5,7 +5,7 @@
 use crate::experiment::routing::instance::Instance;
 use crate::experiment::routing::live::{job_of, request_of, Stage};
 use carobwheel_core::retry::{Decision, Failure, Relay};
-use carobwheel_standin::batch::{Job, JobId, Token};
+use carobwheel_standin::batch::{BatchRequest, BatchRequestId, Token};
 
 impl World<'_> {
     /// Sends an attempt to an engine.
@@ -23,7 +23,7 @@
         self.events.push(at_us, Event::Submit { engine, job });
     }
 
-    pub(super) fn submit(&mut self, engine: usize, job: JobId) {
+    pub(super) fn submit(&mut self, engine: usize, job: BatchRequestId) {
         let (request, attempt) = request_of(job);
         let live = &self.live[request];
         let arrival = &self.arrivals[request];
@@ -35,7 +35,7 @@
             return;
         }
         let class = &self.deployment.document.classes[arrival.class];
-        self.engines[engine].batch.submit(Job {
+        self.engines[engine].batch.submit(BatchRequest {
             id: job,
             prompt_tokens: arrival.prompt_tokens,
             prefix_hashes: arrival.prefix_hashes.clone(),
@@ -61,7 +61,7 @@
         let tokens = self.engines[engine].batch.end_step(self.now_us);
         let mut by_instance = vec![Vec::new(); self.instances.len()];
         for token in tokens {
-            let (request, _) = request_of(token.job);
+            let (request, _) = request_of(token.request_id);
             by_instance[self.arrivals[request].instance].push(token);
         }
         for (instance, tokens) in by_instance.into_iter().enumerate() {
@@ -90,7 +90,7 @@
 
     /// Relays one token; true if it was the last of its answer.
     pub(super) fn token(&mut self, token: &Token) -> bool {
-        let (request, attempt) = request_of(token.job);
+        let (request, attempt) = request_of(token.request_id);
         let arrival = &self.arrivals[request];
         let now = self.now();
         let live = &mut self.live[request];
@@ -169,13 +169,13 @@
         self.refuse(request);
     }
 
-    pub(super) fn fail_later(&mut self, engine: usize, job: JobId, is_not_run: bool) {
+    pub(super) fn fail_later(&mut self, engine: usize, job: BatchRequestId, is_not_run: bool) {
         let (request, _) = request_of(job);
         let at_us = self.now_us + self.back_us(self.arrivals[request].instance, engine);
         self.events.push(at_us, Event::Fail { job, is_not_run });
     }
 
-    pub(super) fn fail(&mut self, job: JobId, is_not_run: bool) {
+    pub(super) fn fail(&mut self, job: BatchRequestId, is_not_run: bool) {
         let (request, attempt) = request_of(job);
         let now = self.now();
         let arrival = &self.arrivals[request];
--- a/crates/standin/src/batch/cache.rs
+++ b/crates/standin/src/batch/cache.rs
@@ -64,8 +64,8 @@
     }
 
     /// Takes the events that are at least `lag_us` old. Each event whose number is a multiple of
-    /// `gap_every` is lost; 0 loses none.
-    pub fn take_events(&mut self, now_us: u64, lag_us: u64, gap_every: u64) -> Vec<CacheEvent> {
+    /// `drop_every` is lost; 0 loses none.
+    pub fn take_events(&mut self, now_us: u64, lag_us: u64, drop_every: u64) -> Vec<CacheEvent> {
         let mut taken = Vec::new();
         let mut number = 0;
         while let Some((at_us, event)) = self.events.front().copied() {
@@ -74,7 +74,7 @@
             }
             self.events.pop_front();
             number += 1;
-            if gap_every == 0 || number % gap_every != 0 {
+            if drop_every == 0 || number % drop_every != 0 {
                 taken.push(event);
             }
         }
--- a/crates/standin/src/batch/engine.rs
+++ b/crates/standin/src/batch/engine.rs
@@ -1,13 +1,13 @@
 //! The engine: queue, batch and steps.
 
 use super::job::Running;
-use super::{Job, JobId, LaggedReport, LoadHistory, PrefixCache, Token};
+use super::{BatchRequest, BatchRequestId, LoadHistory, LoadSample, PrefixCache, Token};
 use carobwheel_core::route::PREFIX_BLOCK_TOKENS;
 use std::collections::VecDeque;
 
 /// Sizes and speeds of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct EngineSettings {
+pub struct BatchSettings {
     /// Requests in the batch at most.
     pub slots: usize,
     /// Prompt tokens read in a second.
@@ -25,10 +25,10 @@
     /// Age of the load that reports show, in microseconds.
     pub report_lag_us: u64,
     /// Factor on the duration of every step; a slow version has more than 1.
-    pub slowness: f64,
+    pub slowdown_factor: f64,
 }
 
-impl Default for EngineSettings {
+impl Default for BatchSettings {
     fn default() -> Self {
         Self {
             slots: 32,
@@ -39,7 +39,7 @@
             idle_chunk_tokens: 2_048,
             cache_blocks: 2_048,
             report_lag_us: 1_000_000,
-            slowness: 1.0,
+            slowdown_factor: 1.0,
         }
     }
 }
@@ -47,9 +47,9 @@
 /// A model engine with continuous batching.
 #[derive(Clone, Debug)]
 pub struct BatchEngine {
-    settings: EngineSettings,
+    settings: BatchSettings,
     cache: PrefixCache,
-    waiting: VecDeque<Job>,
+    waiting: VecDeque<BatchRequest>,
     batch: Vec<Running>,
     is_stepping: bool,
     history: LoadHistory,
@@ -61,7 +61,7 @@
 
 impl BatchEngine {
     /// An idle engine with an empty cache.
-    pub fn new(settings: EngineSettings) -> Self {
+    pub fn new(settings: BatchSettings) -> Self {
         Self {
             cache: PrefixCache::new(settings.cache_blocks),
             settings,
@@ -77,7 +77,7 @@
     }
 
     /// Queues a request behind those of the same or a more urgent priority.
-    pub fn submit(&mut self, job: Job) {
+    pub fn submit(&mut self, job: BatchRequest) {
         let place = self
             .waiting
             .partition_point(|other| other.priority <= job.priority);
@@ -85,7 +85,7 @@
     }
 
     /// Drops a request wherever it is; false if the engine does not hold it.
-    pub fn cancel(&mut self, id: JobId) -> bool {
+    pub fn cancel(&mut self, id: BatchRequestId) -> bool {
         let before = self.waiting.len() + self.batch.len();
         self.waiting.retain(|job| job.id != id);
         self.batch.retain(|running| running.job.id != id);
@@ -93,7 +93,7 @@
     }
 
     /// Drops all requests and the cache, as a crash does, and gives their names.
-    pub fn crash(&mut self) -> Vec<JobId> {
+    pub fn crash(&mut self) -> Vec<BatchRequestId> {
         let waiting = self.waiting.drain(..).map(|job| job.id);
         let running = self.batch.drain(..).map(|running| running.job.id);
         let ids = running.chain(waiting).collect();
@@ -115,7 +115,8 @@
         let read_tokens = self.plan_reading(decoding);
         let read_us = read_tokens * 1_000_000 / self.settings.prefill_tokens_per_s;
         let batch_us = decoding * self.settings.step_per_request_us;
-        let step_us = (self.settings.step_us + batch_us + read_us) as f64 * self.settings.slowness;
+        let step_us =
+            (self.settings.step_us + batch_us + read_us) as f64 * self.settings.slowdown_factor;
         let step_us = step_us as u64;
         self.busy_us += step_us;
         self.is_stepping = true;
@@ -142,7 +143,7 @@
             let position = running.made_tokens;
             running.made_tokens += 1;
             tokens.push(Token {
-                job: running.job.id,
+                request_id: running.job.id,
                 position,
                 is_last: running.made_tokens >= running.job.output_tokens,
             });
@@ -150,7 +151,7 @@
         self.batch
             .retain(|running| running.made_tokens < running.job.output_tokens);
         self.output_tokens += tokens.len() as u64;
-        self.history.push(LaggedReport {
+        self.history.push(LoadSample {
             measured_at_us: now_us,
             requests: self.requests() as u64,
             prompt_tokens: self.unread_tokens(),
@@ -203,8 +204,8 @@
     }
 
     /// Changes the factor on the duration of every further step.
-    pub fn set_slowness(&mut self, slowness: f64) {
-        self.settings.slowness = slowness;
+    pub fn set_slowdown_factor(&mut self, slowdown_factor: f64) {
+        self.settings.slowdown_factor = slowdown_factor;
     }
 
     /// The cache, for its events.
@@ -213,7 +214,7 @@
     }
 
     /// The load as the engine reports it, with its lag.
-    pub fn report(&self, now_us: u64) -> LaggedReport {
+    pub fn report(&self, now_us: u64) -> LoadSample {
         self.history.report(now_us, self.settings.report_lag_us)
     }
 
--- a/crates/standin/src/batch/job.rs
+++ b/crates/standin/src/batch/job.rs
@@ -2,13 +2,13 @@
 
 /// Name of a request within one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct JobId(pub u64);
+pub struct BatchRequestId(pub u64);
 
 /// A request to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Job {
+pub struct BatchRequest {
     /// Name of the request.
-    pub id: JobId,
+    pub id: BatchRequestId,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
     /// Hashes of the prompt's prefixes, one a block.
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
     /// The request that it belongs to.
-    pub job: JobId,
+    pub request_id: BatchRequestId,
     /// Its position in the whole answer, from 0.
     pub position: u64,
     /// It is the last one of the answer.
@@ -35,7 +35,7 @@
 /// A request that the engine holds.
 #[derive(Clone, Debug)]
 pub(super) struct Running {
-    pub(super) job: Job,
+    pub(super) job: BatchRequest,
     pub(super) unread_tokens: u64,
     pub(super) made_tokens: u64,
     pub(super) step_read_tokens: u64,
--- a/crates/standin/src/batch/mod.rs
+++ b/crates/standin/src/batch/mod.rs
@@ -12,6 +12,6 @@
 mod job;
 
 pub use cache::{CacheEvent, PrefixCache};
-pub use engine::{BatchEngine, EngineSettings};
-pub use history::{LaggedReport, LoadHistory};
-pub use job::{Job, JobId, Token};
+pub use engine::{BatchEngine, BatchSettings};
+pub use history::{LoadHistory, LoadSample};
+pub use job::{BatchRequest, BatchRequestId, Token};
--- a/crates/standin/src/engine/batching.rs
+++ b/crates/standin/src/engine/batching.rs
@@ -2,7 +2,7 @@
 
 use super::job::Job;
 use crate::{
-    batch::{self, BatchEngine, EngineSettings, JobId, LaggedReport},
+    batch::{self, BatchEngine, BatchRequestId, BatchSettings, LoadSample},
     lock,
 };
 use std::{
@@ -20,7 +20,7 @@
 
 struct State {
     engine: BatchEngine,
-    listeners: HashMap<JobId, mpsc::UnboundedSender<()>>,
+    listeners: HashMap<BatchRequestId, mpsc::UnboundedSender<()>>,
     next_id: u64,
 }
 
@@ -34,7 +34,7 @@
 
 /// A request in the batch; dropping it cancels it.
 pub(super) struct Ticket {
-    id: JobId,
+    id: BatchRequestId,
     tokens: mpsc::UnboundedReceiver<()>,
     batching: Arc<Batching>,
 }
@@ -55,7 +55,7 @@
 }
 
 impl Batching {
-    pub(super) fn new(settings: EngineSettings) -> Self {
+    pub(super) fn new(settings: BatchSettings) -> Self {
         Self {
             state: Mutex::new(State {
                 engine: BatchEngine::new(settings),
@@ -75,10 +75,10 @@
         }
         let (sender, tokens) = mpsc::unbounded_channel();
         let mut state = lock(&self.state);
-        let id = JobId(state.next_id);
+        let id = BatchRequestId(state.next_id);
         state.next_id += 1;
         state.listeners.insert(id, sender);
-        state.engine.submit(batch::Job {
+        state.engine.submit(batch::BatchRequest {
             id,
             prompt_tokens: job.prompt_tokens,
             prefix_hashes: job.prefix_hashes.clone(),
@@ -96,7 +96,7 @@
     }
 
     /// The load with the engine's lag.
-    pub(super) fn report(&self) -> (LaggedReport, u64) {
+    pub(super) fn report(&self) -> (LoadSample, u64) {
         let now_us = self.now_us();
         (lock(&self.state).engine.report(now_us), now_us)
     }
@@ -106,7 +106,7 @@
         let pct = u32::try_from(pct).unwrap_or(u32::MAX);
         lock(&self.state)
             .engine
-            .set_slowness(f64::from(pct) / 100.0);
+            .set_slowdown_factor(f64::from(pct) / 100.0);
     }
 
     fn now_us(&self) -> u64 {
@@ -132,12 +132,12 @@
         let now_us = self.now_us();
         let mut state = lock(&self.state);
         for token in state.engine.end_step(now_us) {
-            if let Some(listener) = state.listeners.get(&token.job) {
+            if let Some(listener) = state.listeners.get(&token.request_id) {
                 // A caller that has left has dropped its ticket.
                 let _ = listener.send(());
             }
             if token.is_last {
-                state.listeners.remove(&token.job);
+                state.listeners.remove(&token.request_id);
             }
         }
     }
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -18,7 +18,7 @@
 pub use output::{answer_text, prompt_hash, token};
 
 use crate::{
-    batch::EngineSettings,
+    batch::BatchSettings,
     http::{SeenRequest, Server},
     lock,
 };
@@ -62,7 +62,7 @@
     pub answer_tokens: u64,
     /// Model of a batch that decides when tokens come, in place of the times above; its slots are
     /// set to `batch_slots`.
-    pub batch: Option<EngineSettings>,
+    pub batch: Option<BatchSettings>,
     /// Age of load reports, in milliseconds.
     pub load_lag_ms: u64,
     /// Most requests to record; later ones are only counted.
@@ -136,7 +136,7 @@
 pub fn start(options: EngineOptions) -> io::Result<Engine> {
     let (addr, workers) = (options.addr, options.workers);
     let batching = options.batch.map(|settings| {
-        Arc::new(Batching::new(EngineSettings {
+        Arc::new(Batching::new(BatchSettings {
             slots: options.batch_slots as usize,
             report_lag_us: options.load_lag_ms * 1_000,
             ..settings
--- a/crates/standin/tests/batch_engine.rs
+++ b/crates/standin/tests/batch_engine.rs
@@ -1,15 +1,15 @@
 //! The engine model: batching, priorities, cache, cancel, resume, lag.
 
 use carobwheel_standin::batch::{
-    BatchEngine, CacheEvent, EngineSettings, Job, JobId, PrefixCache, Token,
+    BatchEngine, BatchRequest, BatchRequestId, BatchSettings, CacheEvent, PrefixCache, Token,
 };
 use test_case::test_case;
 
 const PREFIX: [u64; 2] = [11, 12];
 
-fn job(id: u64, prompt_tokens: u64, output_tokens: u64, priority: u8) -> Job {
-    Job {
-        id: JobId(id),
+fn job(id: u64, prompt_tokens: u64, output_tokens: u64, priority: u8) -> BatchRequest {
+    BatchRequest {
+        id: BatchRequestId(id),
         prompt_tokens,
         prefix_hashes: Vec::new(),
         output_tokens,
@@ -18,12 +18,12 @@
     }
 }
 
-fn settings() -> EngineSettings {
-    EngineSettings {
+fn settings() -> BatchSettings {
+    BatchSettings {
         slots: 2,
         chunk_tokens: 100,
         idle_chunk_tokens: 100,
-        ..EngineSettings::default()
+        ..BatchSettings::default()
     }
 }
 
@@ -41,7 +41,7 @@
 #[test_case(10, 11_000; "ten requests")]
 #[test_case(32, 17_600; "a full batch")]
 fn token_time_grows_with_the_batch(requests: u64, expected_us: u64) {
-    let mut engine = BatchEngine::new(EngineSettings::default());
+    let mut engine = BatchEngine::new(BatchSettings::default());
     for id in 0..requests {
         engine.submit(job(id, 1, 3, 0));
     }
@@ -60,7 +60,7 @@
     let mut now_us = 0;
     let order: Vec<_> = run(&mut engine, &mut now_us)
         .iter()
-        .map(|(_, token)| token.job.0)
+        .map(|(_, token)| token.request_id.0)
         .collect();
     assert_eq!(order, [2, 1]);
 }
@@ -68,7 +68,7 @@
 #[test]
 fn a_cached_prefix_is_not_read_again() {
     let mut engine = BatchEngine::new(settings());
-    let prompt = |id| Job {
+    let prompt = |id| BatchRequest {
         prefix_hashes: PREFIX.to_vec(),
         ..job(id, 600, 1, 0)
     };
@@ -85,7 +85,7 @@
 #[test]
 fn a_resumed_request_goes_on_behind_its_last_token() {
     let mut engine = BatchEngine::new(settings());
-    engine.submit(Job {
+    engine.submit(BatchRequest {
         resume_from_tokens: 3,
         ..job(1, 10, 5, 0)
     });
@@ -102,11 +102,13 @@
     (0..3).for_each(|id| engine.submit(job(id, 10, 4, 0)));
     engine.begin_step();
     engine.end_step(0);
-    assert!(engine.cancel(JobId(0)));
-    assert!(engine.cancel(JobId(2)));
-    assert!(!engine.cancel(JobId(2)));
+    assert!(engine.cancel(BatchRequestId(0)));
+    assert!(engine.cancel(BatchRequestId(2)));
+    assert!(!engine.cancel(BatchRequestId(2)));
     let tokens = run(&mut engine, &mut 0);
-    assert!(tokens.iter().all(|(_, token)| token.job == JobId(1)));
+    assert!(tokens
+        .iter()
+        .all(|(_, token)| token.request_id == BatchRequestId(1)));
     assert_eq!(tokens.len(), 3);
 }
 
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -6,7 +6,7 @@
 mod support;
 
 use carobwheel_standin::{
-    batch::EngineSettings,
+    batch::BatchSettings,
     engine::{self, answer_text, EngineOptions, Fault, FaultRule},
 };
 use carobwheel_wire::{
@@ -248,7 +248,7 @@
     );
 }
 
-fn batched(batch: EngineSettings) -> engine::Engine {
+fn batched(batch: BatchSettings) -> engine::Engine {
     start(EngineOptions {
         batch: Some(batch),
         batch_slots: 4,
@@ -261,9 +261,9 @@
 #[tokio::test]
 async fn batched_answers_are_whole_and_their_own(stream: bool) {
     const REQUESTS: usize = 12;
-    let engine = batched(EngineSettings {
+    let engine = batched(BatchSettings {
         step_us: 1_000,
-        ..EngineSettings::default()
+        ..BatchSettings::default()
     });
     let asked = (0..REQUESTS).map(|_| ask(&engine, stream));
     for answer in futures::future::join_all(asked).await {
@@ -285,9 +285,9 @@
 
 #[tokio::test]
 async fn caller_that_leaves_a_batch_makes_room_for_the_next() {
-    let engine = batched(EngineSettings {
+    let engine = batched(BatchSettings {
         step_us: 500_000,
-        ..EngineSettings::default()
+        ..BatchSettings::default()
     });
     let url = format!("{}{CHAT_PATH}", engine.url());
     let http = client();
