--- a/crates/gateway/tests/promise_operation.rs
+++ b/crates/gateway/tests/promise_operation.rs
@@ -147,7 +147,7 @@
         proxy.cut();
     }
     eventually("all instances watch the older store", PATIENCE, || async {
-        (old_store.counts().waiting_watches >= fleet.instances.len() as u64).then_some(())
+        (old_store.counts().open_watches >= fleet.instances.len() as u64).then_some(())
     })
     .await;
     for instance in &fleet.instances {
--- a/crates/gateway/tests/store_watch.rs
+++ b/crates/gateway/tests/store_watch.rs
@@ -125,7 +125,7 @@
     };
     within(moving).await;
     assert!(
-        bench.store.counts().waiting_watches <= 2,
+        bench.store.counts().open_watches <= 2,
         "old watches are closed"
     );
 }
--- a/crates/standin/src/store/counts.rs
+++ b/crates/standin/src/store/counts.rs
@@ -4,7 +4,7 @@
 
 /// Calls that a store has answered or failed to answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct StoreCounts {
     /// Range requests.
     pub ranges: u64,
     /// Transactions and unconditional writes and deletions.
@@ -14,7 +14,7 @@
     /// Watches opened.
     pub watches: u64,
     /// Watches that wait now.
-    pub waiting_watches: u64,
+    pub open_watches: u64,
     /// Most reads, including opened watches, within one second of the store's clock.
     pub peak_reads_per_s: u64,
     /// Most writes, including those of leases, within one second of the store's clock.
@@ -24,7 +24,7 @@
     writes_in_second: u64,
 }
 
-impl Counts {
+impl StoreCounts {
     /// All calls.
     pub fn calls(&self) -> u64 {
         self.ranges + self.writes + self.leases + self.watches
--- a/crates/standin/src/store/mod.rs
+++ b/crates/standin/src/store/mod.rs
@@ -8,7 +8,7 @@
 mod state;
 mod watch;
 
-pub use counts::Counts;
+pub use counts::StoreCounts;
 
 use crate::http::{SeenRequest, Server};
 use crate::lock;
@@ -32,7 +32,7 @@
     /// Changes that the store remembers for watches and reads of old revisions.
     pub max_history: usize,
     /// Time between two messages of an idle watch that asked for them, in milliseconds.
-    pub progress_ms: u64,
+    pub progress_interval_ms: u64,
     /// Seed of the random faults.
     pub seed: u64,
     /// Threads that serve calls.
@@ -44,7 +44,7 @@
         Self {
             addr: (Ipv4Addr::LOCALHOST, 0).into(),
             max_history: 100_000,
-            progress_ms: 600_000,
+            progress_interval_ms: 600_000,
             seed: 1,
             workers: 1,
         }
@@ -81,9 +81,9 @@
     state: Mutex<State>,
     faults: Mutex<Faults>,
     rng: Mutex<StdRng>,
-    counts: Mutex<Counts>,
+    counts: Mutex<StoreCounts>,
     revision: tokio::sync::watch::Sender<i64>,
-    progress_ms: u64,
+    progress_interval_ms: u64,
 }
 
 impl Shared {
@@ -139,7 +139,7 @@
         rng: Mutex::new(StdRng::seed_from_u64(options.seed)),
         counts: Mutex::default(),
         revision: tokio::sync::watch::Sender::new(0),
-        progress_ms: options.progress_ms,
+        progress_interval_ms: options.progress_interval_ms,
     });
     let of_handler = shared.clone();
     let handler = move |request: SeenRequest, responder| {
@@ -202,7 +202,7 @@
     }
 
     /// Calls counted so far.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> StoreCounts {
         lock(&self.shared.counts).clone()
     }
 
--- a/crates/standin/src/store/watch.rs
+++ b/crates/standin/src/store/watch.rs
@@ -15,14 +15,14 @@
 
 impl<'a> Waiting<'a> {
     fn new(shared: &'a Shared) -> Self {
-        lock(&shared.counts).waiting_watches += 1;
+        lock(&shared.counts).open_watches += 1;
         Self(shared)
     }
 }
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        lock(&self.0.counts).waiting_watches -= 1;
+        lock(&self.0.counts).open_watches -= 1;
     }
 }
 
@@ -74,7 +74,7 @@
         start => start,
     };
     let mut revision = shared.revision.subscribe();
-    let progress = Duration::from_millis(shared.progress_ms);
+    let progress = Duration::from_millis(shared.progress_interval_ms);
     let mut spoke = Instant::now();
     loop {
         revision.borrow_and_update();
--- a/crates/standin/tests/store.rs
+++ b/crates/standin/tests/store.rs
@@ -108,12 +108,9 @@
     assert_eq!(lines[0]["result"]["created"], true);
     assert_eq!(lines[1]["result"]["events"][0]["kv"]["value"], ONE);
     assert_eq!(lines[2]["result"]["events"][0]["type"], "DELETE");
-    assert_eq!(store.counts().waiting_watches, 1);
+    assert_eq!(store.counts().open_watches, 1);
     drop(response);
-    eventually("the watch is closed", || {
-        store.counts().waiting_watches == 0
-    })
-    .await;
+    eventually("the watch is closed", || store.counts().open_watches == 0).await;
 }
 
 #[tokio::test]
