--- a/crates/ctl/src/demo/stage.rs
+++ b/crates/ctl/src/demo/stage.rs
@@ -11,7 +11,7 @@
     platform::DOCUMENT_KEY,
     settings::{Callers, Identity, Peers, Platform, Settings, Shutdown, Store},
 };
-use carobwheel_standin::{engine, livelist, service, store, tls::Authority};
+use carobwheel_standin::{engine, livelist, service, store, tls::CertificateAuthority};
 use carobwheel_wire::platform::{InstanceState, LiveInstance};
 use std::{
     collections::BTreeMap,
@@ -30,7 +30,7 @@
     pub(super) document: Document,
     pub(super) store: store::Store,
     pub(super) live_list: livelist::LiveList,
-    authority: Authority,
+    authority: CertificateAuthority,
     credentials: BTreeMap<UpstreamId, String>,
     _engines: Vec<engine::Engine>,
     _services: Vec<service::Service>,
@@ -74,7 +74,7 @@
             document,
             store,
             live_list,
-            authority: Authority::new("carobwheel demo")?,
+            authority: CertificateAuthority::new("carobwheel demo")?,
             credentials,
             _engines: engines,
             _services: services,
--- a/crates/ctl/src/experiment/gossip/fleet.rs
+++ b/crates/ctl/src/experiment/gossip/fleet.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use carobwheel_core::member::{Identity, Incarnation, LiveEntry};
 use carobwheel_gateway::peers::{PeerSettings, PeerStats, TlsMaterial};
-use carobwheel_standin::tls::Authority;
+use carobwheel_standin::tls::CertificateAuthority;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -81,7 +81,7 @@
             .regions
             .map_or_else(|| regions_of(members), usize::from)
             .min(members);
-        let authority = Authority::new("experiment")?;
+        let authority = CertificateAuthority::new("experiment")?;
         let cancel = CancellationToken::new();
         let mut nodes = Vec::new();
         for index in 0..members {
@@ -210,7 +210,7 @@
 
 fn start_node(
     args: &Args,
-    authority: &Authority,
+    authority: &CertificateAuthority,
     index: usize,
     regions: usize,
     cancel: &CancellationToken,
--- a/crates/gateway/tests/peers_links.rs
+++ b/crates/gateway/tests/peers_links.rs
@@ -52,8 +52,8 @@
     assert!(stranger.inbound.try_recv().is_err());
 }
 
-fn authority_of_others() -> carobwheel_standin::tls::Authority {
-    carobwheel_standin::tls::Authority::new("other").expect("authority")
+fn authority_of_others() -> carobwheel_standin::tls::CertificateAuthority {
+    carobwheel_standin::tls::CertificateAuthority::new("other").expect("authority")
 }
 
 #[test]
--- a/crates/gateway/tests/peers_support/instance.rs
+++ b/crates/gateway/tests/peers_support/instance.rs
@@ -5,7 +5,7 @@
 use carobwheel_core::member::{Identity, Incarnation, LiveEntry, Members, Outgoing, State};
 use carobwheel_core::time::{Clock, Millis};
 use carobwheel_gateway::peers::{start, Handle, Inbound, PeerSettings, Sinks};
-use carobwheel_standin::tls::Authority;
+use carobwheel_standin::tls::CertificateAuthority;
 use carobwheel_wire::peer::Message;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -41,7 +41,12 @@
 }
 
 impl Instance {
-    pub(crate) fn start(authority: &Authority, region: &str, name: &str, incarnation: u64) -> Self {
+    pub(crate) fn start(
+        authority: &CertificateAuthority,
+        region: &str,
+        name: &str,
+        incarnation: u64,
+    ) -> Self {
         let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
         let settings = PeerSettings::new(id(name), loopback, issue(authority, name));
         let (events, queue) = mpsc::sync_channel(1_024);
@@ -202,7 +207,7 @@
 
 /// Six instances in three regions that know each other from the live list.
 pub(crate) struct Fleet {
-    authority: Authority,
+    authority: CertificateAuthority,
     pub(crate) instances: Vec<Option<Instance>>,
 }
 
--- a/crates/gateway/tests/peers_support/mod.rs
+++ b/crates/gateway/tests/peers_support/mod.rs
@@ -8,7 +8,7 @@
 use carobwheel_gateway::peers::{
     start, Handle, Inbound, IncomingForward, PeerSettings, PeerStats, Sinks, TlsMaterial,
 };
-use carobwheel_standin::tls::{Authority, InstancePem};
+use carobwheel_standin::tls::{CertificateAuthority, InstancePem};
 use carobwheel_wire::peer::{encode, encode_head, Hello, Message};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, UdpSocket};
@@ -34,8 +34,8 @@
     name.parse().expect("valid identifier")
 }
 
-pub(crate) fn authority() -> Authority {
-    Authority::new("test").expect("authority")
+pub(crate) fn authority() -> CertificateAuthority {
+    CertificateAuthority::new("test").expect("authority")
 }
 
 pub(crate) fn material(pem: InstancePem) -> TlsMaterial {
@@ -46,12 +46,12 @@
     }
 }
 
-pub(crate) fn issue(authority: &Authority, name: &str) -> TlsMaterial {
+pub(crate) fn issue(authority: &CertificateAuthority, name: &str) -> TlsMaterial {
     material(authority.issue(name).expect("certificate"))
 }
 
 impl Peer {
-    pub(crate) fn start(authority: &Authority, name: &str) -> Self {
+    pub(crate) fn start(authority: &CertificateAuthority, name: &str) -> Self {
         Self::start_with(name, issue(authority, name), |_| {})
     }
 
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -18,7 +18,7 @@
     proxy::{self, Impairment, Proxy, ProxyOptions},
     service::{self, Service, ServiceOptions},
     store::{self, Store, StoreOptions},
-    tls::Authority,
+    tls::CertificateAuthority,
 };
 use carobwheel_wire::platform::{InstanceState, LiveInstance};
 use serde_json::{json, Value};
@@ -81,7 +81,7 @@
     /// Proxies before the links of each instance, if they are delayed.
     pub(crate) links: BTreeMap<String, Proxy>,
     link_delay_ms: Option<u64>,
-    authority: Authority,
+    authority: CertificateAuthority,
     folder: PathBuf,
 }
 
@@ -99,7 +99,7 @@
             links: BTreeMap::new(),
             link_delay_ms: options.link_delay_ms,
             live_list: livelist::start(LiveListOptions::default()).unwrap(),
-            authority: Authority::new("fleet").unwrap(),
+            authority: CertificateAuthority::new("fleet").unwrap(),
             folder: new_folder(),
             store,
         };
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     batch::BatchSettings,
-    http::{SeenRequest, Server},
+    http::{RecordedRequest, Server},
     lock,
 };
 use batching::Batching;
@@ -117,7 +117,7 @@
     slots: Semaphore,
     batching: Option<Arc<Batching>>,
     counts: Mutex<EngineCounts>,
-    records: Mutex<Vec<SeenRequest>>,
+    records: Mutex<Vec<RecordedRequest>>,
     faults: Mutex<Faults>,
     load: Mutex<Load>,
 }
@@ -153,7 +153,7 @@
         options,
     });
     let of_handler = shared.clone();
-    let handler = move |request: SeenRequest, responder| {
+    let handler = move |request: RecordedRequest, responder| {
         let answer = api::answer(of_handler.clone(), request, responder);
         Box::pin(answer) as futures::future::BoxFuture<'static, _>
     };
@@ -217,7 +217,7 @@
     }
 
     /// The requests recorded so far, with all headers, in order of arrival.
-    pub fn requests(&self) -> Vec<SeenRequest> {
+    pub fn requests(&self) -> Vec<RecordedRequest> {
         lock(&self.shared.records).clone()
     }
 
--- a/crates/standin/src/http/mod.rs
+++ b/crates/standin/src/http/mod.rs
@@ -6,7 +6,7 @@
 mod request;
 mod responder;
 
-pub use request::SeenRequest;
+pub use request::RecordedRequest;
 pub(crate) use request::{Reader, Request};
 pub(crate) use responder::{BodyWriter, Ending, Responder};
 
--- a/crates/standin/src/http/request.rs
+++ b/crates/standin/src/http/request.rs
@@ -16,7 +16,7 @@
 
 /// A request as it came in.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct SeenRequest {
+pub struct RecordedRequest {
     /// Method in capital letters.
     pub method: String,
     /// Path and query.
@@ -28,9 +28,9 @@
 }
 
 /// The crate's own name of a request.
-pub(crate) type Request = SeenRequest;
+pub(crate) type Request = RecordedRequest;
 
-impl SeenRequest {
+impl RecordedRequest {
     /// First value of the header `name`, which is given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod store;
 pub mod tls;
 
-pub use http::SeenRequest;
+pub use http::RecordedRequest;
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
--- a/crates/standin/src/service/mod.rs
+++ b/crates/standin/src/service/mod.rs
@@ -1,7 +1,7 @@
 //! A plain service, such as a ledger, that counts how often each action ran.
 
 use crate::{
-    http::{Ending, Request, Responder, SeenRequest, Server},
+    http::{Ending, RecordedRequest, Request, Responder, Server},
     lock,
 };
 use serde::{Deserialize, Serialize};
@@ -94,7 +94,7 @@
     keyless_runs: u64,
     total_runs: u64,
     requests: u64,
-    records: Vec<SeenRequest>,
+    records: Vec<RecordedRequest>,
 }
 
 struct Shared {
@@ -165,7 +165,7 @@
     }
 
     /// The requests recorded so far, with all headers, in order of arrival.
-    pub fn requests(&self) -> Vec<SeenRequest> {
+    pub fn requests(&self) -> Vec<RecordedRequest> {
         lock(&self.shared.state).records.clone()
     }
 
--- a/crates/standin/src/store/mod.rs
+++ b/crates/standin/src/store/mod.rs
@@ -10,7 +10,7 @@
 
 pub use counts::StoreCounts;
 
-use crate::http::{SeenRequest, Server};
+use crate::http::{RecordedRequest, Server};
 use crate::lock;
 use carobwheel_core::time::Clock;
 use rand::{rngs::StdRng, Rng, SeedableRng};
@@ -142,7 +142,7 @@
         progress_interval_ms: options.progress_interval_ms,
     });
     let of_handler = shared.clone();
-    let handler = move |request: SeenRequest, responder| {
+    let handler = move |request: RecordedRequest, responder| {
         let answer = api::answer(of_handler.clone(), request, responder);
         Box::pin(answer) as futures::future::BoxFuture<'static, _>
     };
--- a/crates/standin/src/tls/mod.rs
+++ b/crates/standin/src/tls/mod.rs
@@ -9,7 +9,7 @@
 };
 
 /// A private certificate authority.
-pub struct Authority {
+pub struct CertificateAuthority {
     issuer: Issuer<'static, KeyPair>,
     cert_pem: String,
 }
@@ -25,7 +25,7 @@
     pub ca_pem: String,
 }
 
-impl Authority {
+impl CertificateAuthority {
     /// Makes an authority with a fresh key.
     ///
     /// # Errors
