--- a/crates/gateway/tests/promise_actions.rs
+++ b/crates/gateway/tests/promise_actions.rs
@@ -25,8 +25,13 @@
     .await;
     fleet.store.set_lost_answers_ppm(100_000);
     for service in fleet.services.values() {
-        use ServiceFault::{DieAfterRunning, DieBeforeRunning, DieInAnswer, Status};
-        service.fail_next(&[DieAfterRunning, DieBeforeRunning, Status(503), DieInAnswer]);
+        use ServiceFault::{CloseAfterRunning, CloseBeforeRunning, CloseInAnswer, Status};
+        service.fail_next(&[
+            CloseAfterRunning,
+            CloseBeforeRunning,
+            Status(503),
+            CloseInAnswer,
+        ]);
     }
     let caller = Caller::of("insurers");
     let mut told_run = vec![false; ACTIONS];
--- a/crates/gateway/tests/promise_answers.rs
+++ b/crates/gateway/tests/promise_answers.rs
@@ -36,10 +36,10 @@
     const CALLERS: usize = 240;
     let fleet = fleet().await;
     for engine in fleet.engines.values() {
-        engine.add_fault(FaultRule::random(Fault::DieBeforeFirstByte, 30_000));
-        engine.add_fault(FaultRule::random(Fault::DieAfterBytes(500), 30_000));
-        engine.add_fault(FaultRule::random(Fault::Short, 30_000));
-        engine.add_fault(FaultRule::random(Fault::Late(300), 100_000));
+        engine.add_fault(FaultRule::random(Fault::CloseBeforeFirstByte, 30_000));
+        engine.add_fault(FaultRule::random(Fault::CloseAfterBytes(500), 30_000));
+        engine.add_fault(FaultRule::random(Fault::Truncated, 30_000));
+        engine.add_fault(FaultRule::random(Fault::Delayed(300), 100_000));
         engine.add_fault(FaultRule::random(Fault::Status(503), 30_000));
     }
     let caller = Caller::of("insurers");
@@ -97,7 +97,7 @@
     .await;
     for engine in fleet.engines.values() {
         engine.add_fault(FaultRule::random(
-            Fault::DieAfterBytes(CUT_AFTER_BYTES),
+            Fault::CloseAfterBytes(CUT_AFTER_BYTES),
             1_000_000,
         ));
     }
@@ -146,7 +146,7 @@
     let whole = send(caller.request("GET", &url)).await.unwrap();
     assert!(whole.body.unwrap().len() > PADDING_BYTES);
     for service in fleet.services.values() {
-        service.fail_next(&[ServiceFault::DieInAnswer; 8]);
+        service.fail_next(&[ServiceFault::CloseInAnswer; 8]);
     }
     let cut = send(caller.request("GET", &url)).await.unwrap();
     let length = cut.body.as_ref().map(String::len);
@@ -159,9 +159,9 @@
 
 /// What a service does to a request, and whether the store answers.
 #[test_case(&[ServiceFault::Status(503)], Availability::Up; "refused by the service")]
-#[test_case(&[ServiceFault::DieBeforeRunning], Availability::Up; "service dies before running")]
-#[test_case(&[ServiceFault::DieAfterRunning], Availability::Up; "service dies after running")]
-#[test_case(&[ServiceFault::DieInAnswer], Availability::Up; "service dies in its answer")]
+#[test_case(&[ServiceFault::CloseBeforeRunning], Availability::Up; "service dies before running")]
+#[test_case(&[ServiceFault::CloseAfterRunning], Availability::Up; "service dies after running")]
+#[test_case(&[ServiceFault::CloseInAnswer], Availability::Up; "service dies in its answer")]
 #[test_case(&[], Availability::Refusing; "store refuses")]
 #[test_case(&[], Availability::Unavailable; "store unavailable")]
 #[test_case(&[], Availability::Hanging; "store hangs")]
--- a/crates/gateway/tests/promise_streams.rs
+++ b/crates/gateway/tests/promise_streams.rs
@@ -24,10 +24,10 @@
 
 /// The connection breaks at the start, inside an event, or close to the end; the stream also ends
 /// in good form without its last tokens.
-#[test_case(Fault::DieAfterBytes(1); "at the first byte")]
-#[test_case(Fault::DieAfterBytes(1_000); "after some events")]
-#[test_case(Fault::DieAfterBytes(12_345); "inside an event")]
-#[test_case(Fault::Short; "short of its end")]
+#[test_case(Fault::CloseAfterBytes(1); "at the first byte")]
+#[test_case(Fault::CloseAfterBytes(1_000); "after some events")]
+#[test_case(Fault::CloseAfterBytes(12_345); "inside an event")]
+#[test_case(Fault::Truncated; "short of its end")]
 #[tokio::test]
 async fn a_broken_stream_goes_on_with_no_token_doubled_or_lost(fault: Fault) {
     let fleet = fleet().await;
@@ -49,7 +49,7 @@
 #[tokio::test]
 async fn a_broken_stream_of_a_bound_account_never_goes_on_elsewhere() {
     let fleet = fleet().await;
-    fleet.engines["north"].fail_next(Fault::DieAfterBytes(1_000), 1);
+    fleet.engines["north"].fail_next(Fault::CloseAfterBytes(1_000), 1);
     let caller = Caller::of("north-office");
     let url = &fleet.instance("north").url;
     let reply = caller.chat(url, "bound", true).await.unwrap();
--- a/crates/gateway/tests/soak_support/faults.rs
+++ b/crates/gateway/tests/soak_support/faults.rs
@@ -283,8 +283,13 @@
             }
             Step::EngineSlow => engine.set_slowdown_pct(SLOWDOWN_PCT),
             _ => {
-                use ServiceFault::{DieAfterRunning, DieBeforeRunning, DieInAnswer, Status};
-                let mut faults = [DieAfterRunning, DieBeforeRunning, Status(503), DieInAnswer];
+                use ServiceFault::{CloseAfterRunning, CloseBeforeRunning, CloseInAnswer, Status};
+                let mut faults = [
+                    CloseAfterRunning,
+                    CloseBeforeRunning,
+                    Status(503),
+                    CloseInAnswer,
+                ];
                 for service in stage.fleet.services.values() {
                     faults.shuffle(&mut self.rng);
                     service.fail_next(&faults);
@@ -298,10 +303,10 @@
         let usual = stage.fleet.engines.values();
         for engine in usual.chain(stage.limited_engines.iter().flatten()) {
             let mut faults = [
-                Fault::DieBeforeFirstByte,
-                Fault::DieAfterBytes(self.rng.random_range(1..4_000)),
-                Fault::Short,
-                Fault::Late(self.rng.random_range(100..900)),
+                Fault::CloseBeforeFirstByte,
+                Fault::CloseAfterBytes(self.rng.random_range(1..4_000)),
+                Fault::Truncated,
+                Fault::Delayed(self.rng.random_range(100..900)),
                 Fault::Status(503),
             ];
             faults.shuffle(&mut self.rng);
--- a/crates/standin/src/engine/api.rs
+++ b/crates/standin/src/engine/api.rs
@@ -89,7 +89,7 @@
             lock(&shared.counts).failed += 1;
             return refuse(responder, status, "overloaded", "fault brought about").await;
         }
-        Some(Fault::DieBeforeFirstByte) => {
+        Some(Fault::CloseBeforeFirstByte) => {
             lock(&shared.counts).failed += 1;
             return Ending::Closed;
         }
--- a/crates/standin/src/engine/fault.rs
+++ b/crates/standin/src/engine/fault.rs
@@ -11,14 +11,14 @@
     /// It is answered with this status instead, and not run.
     Status(u16),
     /// The connection closes before the first byte of the answer.
-    DieBeforeFirstByte,
+    CloseBeforeFirstByte,
     /// The connection closes once this many bytes of the body are sent.
-    DieAfterBytes(usize),
+    CloseAfterBytes(usize),
     /// A whole answer ends short of its announced length; a stream ends in good form but without
     /// its last tokens and its final event.
-    Short,
+    Truncated,
     /// The answer begins later than usual, in milliseconds.
-    Late(u64),
+    Delayed(u64),
 }
 
 /// When a fault comes about.
@@ -36,7 +36,7 @@
 
 impl FaultRule {
     /// A fault of the next `count` requests.
-    pub fn next(fault: Fault, count: u64) -> Self {
+    pub fn for_next(fault: Fault, count: u64) -> Self {
         Self {
             fault,
             ppm: WHOLE_PPM,
--- a/crates/standin/src/engine/generate.rs
+++ b/crates/standin/src/engine/generate.rs
@@ -23,7 +23,7 @@
     responder: Responder,
 ) -> Ending {
     let mut running = Running::new(shared, job);
-    if let Some(Fault::Late(ms)) = fault {
+    if let Some(Fault::Delayed(ms)) = fault {
         sleep(Duration::from_millis(ms)).await;
     }
     let Some(pace) = Pace::start(shared, job, || running.start()).await else {
@@ -34,7 +34,7 @@
     } else {
         send_whole(shared, job, fault, pace, responder).await
     };
-    if matches!(fault, Some(Fault::DieAfterBytes(_) | Fault::Short)) {
+    if matches!(fault, Some(Fault::CloseAfterBytes(_) | Fault::Truncated)) {
         running.fail();
     } else if ending.is_ok() {
         running.complete();
@@ -55,8 +55,8 @@
     let text = (job.first..job.total).map(|index| output::token(job.prompt, index));
     let body = form::whole_body(shared, job, text.collect())?;
     let sent = match fault {
-        Some(Fault::DieAfterBytes(bytes)) => bytes,
-        Some(Fault::Short) => body.len() - 1,
+        Some(Fault::CloseAfterBytes(bytes)) => bytes,
+        Some(Fault::Truncated) => body.len() - 1,
         _ => body.len(),
     };
     Ok(responder
@@ -74,12 +74,12 @@
     let mut body = responder.stream("text/event-stream").await?;
     let mut last = job.total;
     match fault {
-        Some(Fault::DieAfterBytes(bytes)) => body.cut_after(Some(bytes)),
-        Some(Fault::Short) => last = last.saturating_sub(1).max(job.first),
+        Some(Fault::CloseAfterBytes(bytes)) => body.cut_after(Some(bytes)),
+        Some(Fault::Truncated) => last = last.saturating_sub(1).max(job.first),
         _ => {}
     }
     send_tokens(shared, job, job.first..last, pace, &mut body).await?;
-    if fault != Some(Fault::Short) {
+    if fault != Some(Fault::Truncated) {
         body.send(&form::last_events(shared, job)?).await?;
     }
     Ok(body.finish().await)
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -179,7 +179,7 @@
 
     /// Lets the next `count` requests meet with `fault`.
     pub fn fail_next(&self, fault: Fault, count: u64) {
-        self.add_fault(FaultRule::next(fault, count));
+        self.add_fault(FaultRule::for_next(fault, count));
     }
 
     /// Takes all faults back, the slowdown too.
--- a/crates/standin/src/service/mod.rs
+++ b/crates/standin/src/service/mod.rs
@@ -61,11 +61,11 @@
     /// It is answered with this status and not run.
     Status(u16),
     /// The connection closes before the action runs.
-    DieBeforeRunning,
+    CloseBeforeRunning,
     /// The action runs, then the connection closes without an answer.
-    DieAfterRunning,
+    CloseAfterRunning,
     /// The action runs, then the connection closes in the middle of the answer.
-    DieInAnswer,
+    CloseInAnswer,
 }
 
 /// Body of an answer.
@@ -206,7 +206,7 @@
         Some(ServiceFault::Status(status)) => {
             return responder.whole(status, "text/plain", b"").await
         }
-        Some(ServiceFault::DieBeforeRunning) => return Ending::Closed,
+        Some(ServiceFault::CloseBeforeRunning) => return Ending::Closed,
         _ => {}
     }
     if latency_ms > 0 {
@@ -215,8 +215,8 @@
     let receipt = run(&shared, &request);
     let body = serde_json::to_vec(&receipt).unwrap_or_default();
     let sent = match fault {
-        Some(ServiceFault::DieAfterRunning) => return Ending::Closed,
-        Some(ServiceFault::DieInAnswer) => body.len() / 2,
+        Some(ServiceFault::CloseAfterRunning) => return Ending::Closed,
+        Some(ServiceFault::CloseInAnswer) => body.len() / 2,
         _ => body.len(),
     };
     if shared.options.is_chunked {
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -106,11 +106,11 @@
     assert_eq!(first + &rest, expected());
 }
 
-#[test_case(Fault::DieBeforeFirstByte, false; "dies before the first byte, whole")]
-#[test_case(Fault::DieBeforeFirstByte, true; "dies before the first byte, streamed")]
-#[test_case(Fault::DieAfterBytes(100), false; "dies in a whole answer")]
-#[test_case(Fault::DieAfterBytes(100), true; "dies in a stream")]
-#[test_case(Fault::Short, false; "short whole answer")]
+#[test_case(Fault::CloseBeforeFirstByte, false; "dies before the first byte, whole")]
+#[test_case(Fault::CloseBeforeFirstByte, true; "dies before the first byte, streamed")]
+#[test_case(Fault::CloseAfterBytes(100), false; "dies in a whole answer")]
+#[test_case(Fault::CloseAfterBytes(100), true; "dies in a stream")]
+#[test_case(Fault::Truncated, false; "short whole answer")]
 #[tokio::test]
 async fn fault_breaks_the_connection(fault: Fault, stream: bool) {
     let engine = start(EngineOptions::default());
@@ -127,7 +127,7 @@
 #[tokio::test]
 async fn short_stream_lacks_its_end() {
     let engine = start(EngineOptions::default());
-    engine.fail_next(Fault::Short, 1);
+    engine.fail_next(Fault::Truncated, 1);
     let (_, body) = ask(&engine, true).await.unwrap();
     let (text, is_done) = streamed_text(&body);
     assert!(!is_done);
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -23,9 +23,9 @@
     Ok(serde_json::from_slice(&body).unwrap())
 }
 
-#[test_case(ServiceFault::DieBeforeRunning, 0)]
-#[test_case(ServiceFault::DieAfterRunning, 1)]
-#[test_case(ServiceFault::DieInAnswer, 1)]
+#[test_case(ServiceFault::CloseBeforeRunning, 0)]
+#[test_case(ServiceFault::CloseAfterRunning, 1)]
+#[test_case(ServiceFault::CloseInAnswer, 1)]
 #[tokio::test]
 async fn runs_are_counted_as_they_happen(fault: ServiceFault, runs: u64) {
     let service = service::start(ServiceOptions::default()).unwrap();
