--- a/crates/gateway/tests/promise_answers.rs
+++ b/crates/gateway/tests/promise_answers.rs
@@ -199,7 +199,7 @@
     for region in REGIONS {
         fleet.engines[region].add_fault(FaultRule::random(Fault::Status(503), 1_000_000));
         fleet.services[region].set_refusing(true);
-        fleet.services[region].cut();
+        fleet.services[region].close_connections();
     }
     let caller = Caller::of("insurers");
     for instance in &fleet.instances {
--- a/crates/gateway/tests/promise_keys.rs
+++ b/crates/gateway/tests/promise_keys.rs
@@ -44,7 +44,7 @@
     }
     // Without an upstream in its region a request is refused rather than served elsewhere.
     fleet.engines["south"].set_refusing(true);
-    fleet.engines["south"].cut();
+    fleet.engines["south"].close_connections();
     let before = fleet.engine_requests();
     let south = Caller::of("south-office");
     for instance in &fleet.instances {
@@ -174,7 +174,7 @@
     fleet.store_proxies["north"].set_both(carobwheel_standin::proxy::Impairment::partitioned());
     for region in ["central", "south"] {
         fleet.engines[region].set_refusing(true);
-        fleet.engines[region].cut();
+        fleet.engines[region].close_connections();
         fleet.instance(region).pause();
     }
     for number in 0..20 {
--- a/crates/gateway/tests/promise_operation.rs
+++ b/crates/gateway/tests/promise_operation.rs
@@ -144,7 +144,7 @@
     old_store.set_value("config/document", old_document.as_bytes());
     for proxy in fleet.store_proxies.values() {
         proxy.set_upstream(old_store.addr());
-        proxy.cut();
+        proxy.close_connections();
     }
     eventually("all instances watch the older store", PATIENCE, || async {
         (old_store.counts().open_watches >= fleet.instances.len() as u64).then_some(())
--- a/crates/gateway/tests/soak_support/faults.rs
+++ b/crates/gateway/tests/soak_support/faults.rs
@@ -279,7 +279,7 @@
                     .values()
                     .for_each(|it| it.set_refusing(false));
                 engine.set_refusing(true);
-                engine.cut();
+                engine.close_connections();
             }
             Step::EngineSlow => engine.set_slowdown_pct(SLOWDOWN_PCT),
             _ => {
--- a/crates/gateway/tests/store_watch.rs
+++ b/crates/gateway/tests/store_watch.rs
@@ -48,8 +48,8 @@
 }
 
 #[test_case(|bench| bench.proxy.freeze_existing(); "connection that goes silent")]
-#[test_case(|bench| bench.proxy.cut(); "connection that is cut")]
-#[test_case(|bench| bench.store.cut(); "store that cuts connections")]
+#[test_case(|bench| bench.proxy.close_connections(); "connection that is cut")]
+#[test_case(|bench| bench.store.close_connections(); "store that cuts connections")]
 #[tokio::test]
 async fn watch_misses_nothing_over_a(fault: fn(&Bench)) {
     let bench = bench();
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -202,8 +202,8 @@
     }
 
     /// Cuts all open connections.
-    pub fn cut(&self) {
-        self.server.cut();
+    pub fn close_connections(&self) {
+        self.server.close_connections();
     }
 
     /// What the engine has counted so far.
--- a/crates/standin/src/http/mod.rs
+++ b/crates/standin/src/http/mod.rs
@@ -102,7 +102,7 @@
     }
 
     /// Cuts all open connections.
-    pub(crate) fn cut(&self) {
+    pub(crate) fn close_connections(&self) {
         let old = std::mem::take(&mut *self.control.lock_connections());
         old.cancel();
     }
--- a/crates/standin/src/proxy/mod.rs
+++ b/crates/standin/src/proxy/mod.rs
@@ -159,8 +159,8 @@
     }
 
     /// Cuts the connections or forgets the flows that exist now.
-    pub fn cut(&self) {
-        self.control.cut();
+    pub fn close_connections(&self) {
+        self.control.close_connections();
     }
 
     /// Closes the listening socket of a TCP proxy, or opens it again; drops the datagrams of a UDP
--- a/crates/standin/src/proxy/switches.rs
+++ b/crates/standin/src/proxy/switches.rs
@@ -179,7 +179,7 @@
         }
     }
 
-    pub(super) fn cut(&self) {
+    pub(super) fn close_connections(&self) {
         std::mem::take(&mut *lock(&self.cut)).cancel();
     }
 
--- a/crates/standin/src/service/mod.rs
+++ b/crates/standin/src/service/mod.rs
@@ -190,8 +190,8 @@
     }
 
     /// Cuts all open connections.
-    pub fn cut(&self) {
-        self.server.cut();
+    pub fn close_connections(&self) {
+        self.server.close_connections();
     }
 
     /// Stops the service and waits for its thread.
--- a/crates/standin/src/store/mod.rs
+++ b/crates/standin/src/store/mod.rs
@@ -170,7 +170,7 @@
             availability,
             Availability::Refusing | Availability::Unavailable
         ) {
-            self.server.cut();
+            self.server.close_connections();
         }
     }
 
@@ -197,8 +197,8 @@
     }
 
     /// Cuts all open connections.
-    pub fn cut(&self) {
-        self.server.cut();
+    pub fn close_connections(&self) {
+        self.server.close_connections();
     }
 
     /// Calls counted so far.
--- a/crates/standin/tests/proxy.rs
+++ b/crates/standin/tests/proxy.rs
@@ -127,7 +127,7 @@
     let mut stream = TcpStream::connect(proxy.addr()).await.unwrap();
     echo(&mut stream).await.unwrap();
     proxy.set_refusing(true);
-    proxy.cut();
+    proxy.close_connections();
     timeout(PATIENCE, async { while echo(&mut stream).await.is_ok() {} })
         .await
         .unwrap();
