--- a/crates/standin/src/batch/engine.rs
+++ b/crates/standin/src/batch/engine.rs
@@ -1,6 +1,6 @@
 //! The engine: queue, batch and steps.
 
-use super::job::Running;
+use super::request::Running;
 use super::{BatchRequest, BatchRequestId, LoadHistory, LoadSample, PrefixCache, Token};
 use carobwheel_core::route::PREFIX_BLOCK_TOKENS;
 use std::collections::VecDeque;
--- a/crates/standin/src/batch/mod.rs
+++ b/crates/standin/src/batch/mod.rs
@@ -9,9 +9,9 @@
 mod cache;
 mod engine;
 mod history;
-mod job;
+mod request;
 
 pub use cache::{CacheEvent, PrefixCache};
 pub use engine::{BatchEngine, BatchSettings};
 pub use history::{LoadHistory, LoadSample};
-pub use job::{BatchRequest, BatchRequestId, Token};
+pub use request::{BatchRequest, BatchRequestId, Token};
--- a/crates/standin/src/engine/api.rs
+++ b/crates/standin/src/engine/api.rs
@@ -1,6 +1,6 @@
 //! Answering requests.
 
-use super::{fault::Fault, generate, job::Job, output, Shared, RESUME_HEADER};
+use super::{completion::Job, fault::Fault, generate, output, Shared, RESUME_HEADER};
 use crate::{
     http::{Ending, Request, Responder},
     lock,
--- a/crates/standin/src/engine/batching.rs
+++ b/crates/standin/src/engine/batch_runner.rs
@@ -1,6 +1,6 @@
 //! The model of a batch, run in real time.
 
-use super::job::Job;
+use super::completion::Job;
 use crate::{
     batch::{self, BatchEngine, BatchRequestId, BatchSettings, LoadSample},
     lock,
--- a/crates/standin/src/engine/form.rs
+++ b/crates/standin/src/engine/encoding.rs
@@ -1,6 +1,6 @@
 //! The forms of answers.
 
-use super::{job::Job, Shared};
+use super::{completion::Job, Shared};
 use carobwheel_wire::openai::{
     AssistantMessage, ChatAnswer, ChatChoice, ChatChunk, ChunkChoice, Completion, CompletionChoice,
     Delta, Usage, DONE,
--- a/crates/standin/src/engine/generate.rs
+++ b/crates/standin/src/engine/generate.rs
@@ -1,11 +1,11 @@
 //! Generating answers.
 
 use super::{
+    completion::{Job, Running},
+    encoding,
     fault::Fault,
-    form,
-    job::{Job, Running},
     output,
-    pace::Pace,
+    pacer::Pace,
     Shared,
 };
 use crate::{
@@ -53,7 +53,7 @@
     pace.wait(tokens.saturating_sub(1)).await;
     lock(&shared.counts).tokens += tokens;
     let text = (job.first..job.total).map(|index| output::token(job.prompt, index));
-    let body = form::whole_body(shared, job, text.collect())?;
+    let body = encoding::whole_body(shared, job, text.collect())?;
     let sent = match fault {
         Some(Fault::CloseAfterBytes(bytes)) => bytes,
         Some(Fault::Truncated) => body.len() - 1,
@@ -80,7 +80,7 @@
     }
     send_tokens(shared, job, job.first..last, pace, &mut body).await?;
     if fault != Some(Fault::Truncated) {
-        body.send(&form::last_events(shared, job)?).await?;
+        body.send(&encoding::last_events(shared, job)?).await?;
     }
     Ok(body.finish().await)
 }
@@ -99,7 +99,7 @@
             pace.wait(1).await;
         }
         let text = output::token(job.prompt, index);
-        pending.extend(form::token_event(shared, job, text)?);
+        pending.extend(encoding::token_event(shared, job, text)?);
         lock(&shared.counts).tokens += 1;
     }
     body.send(&pending).await
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -5,14 +5,14 @@
 //! records what it saw and can be made to fail in the ways that engines do.
 
 mod api;
-mod batching;
+mod batch_runner;
+mod completion;
+mod encoding;
 mod fault;
-mod form;
 mod generate;
-mod job;
 mod load;
 mod output;
-mod pace;
+mod pacer;
 
 pub use fault::{Fault, FaultRule};
 pub use output::{answer_text, prompt_hash, token};
@@ -22,7 +22,7 @@
     http::{RecordedRequest, Server},
     lock,
 };
-use batching::Batching;
+use batch_runner::Batching;
 use carobwheel_core::time::Clock;
 use carobwheel_wire::platform::LoadReport;
 use fault::Faults;
--- a/crates/standin/src/engine/pace.rs
+++ b/crates/standin/src/engine/pacer.rs
@@ -1,6 +1,6 @@
 //! When the tokens of an answer come: after fixed times, or from the model of a batch.
 
-use super::{batching::Ticket, job::Job, Shared};
+use super::{batch_runner::Ticket, completion::Job, Shared};
 use crate::lock;
 use std::time::Duration;
 use tokio::{sync::SemaphorePermit, time::sleep};
--- a/crates/standin/src/proxy/mod.rs
+++ b/crates/standin/src/proxy/mod.rs
@@ -4,19 +4,19 @@
 //! or only on what comes from one IP number: instances of different regions that bind different
 //! loopback addresses, such as 127.0.1.1 and 127.0.2.1, can so be given different links.
 
-mod switches;
+mod control;
 mod tcp;
 mod udp;
 
-pub use switches::{Direction, Impairment};
+pub use control::{Direction, Impairment};
 
+use control::Control;
 use std::{
     io,
     net::{IpAddr, Ipv4Addr, SocketAddr},
     sync::Arc,
     thread,
 };
-use switches::Control;
 use tokio::runtime;
 
 /// How to start a proxy.
--- a/crates/standin/src/proxy/tcp.rs
+++ b/crates/standin/src/proxy/tcp.rs
@@ -1,6 +1,6 @@
 //! Passing TCP connections on.
 
-use super::{switches::Control, Direction};
+use super::{control::Control, Direction};
 use std::{
     io,
     net::{IpAddr, SocketAddr},
--- a/crates/standin/src/proxy/udp.rs
+++ b/crates/standin/src/proxy/udp.rs
@@ -1,6 +1,6 @@
 //! Passing datagrams on.
 
-use super::{switches::Control, Direction};
+use super::{control::Control, Direction};
 use std::{
     cmp::{Ordering, Reverse},
     collections::{BinaryHeap, HashMap},
