--- a/crates/standin/src/batch/cache.rs
+++ b/crates/standin/src/batch/cache.rs
@@ -1,41 +1,41 @@
-//! The engine's limited cache of prompt prefixes.
+//! Prefix cache of an engine, with a fixed number of blocks.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A change of the cache, as the engine publishes it.
+/// Change of the cache that the engine publishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheEvent {
-    /// The prefix is cached from now on.
+    /// The block with this prefix hash was added.
     Stored(u64),
-    /// The prefix is no longer cached.
+    /// The block with this prefix hash was evicted.
     Evicted(u64),
 }
 
-/// Prefixes in order of their last use. The least recently used one is evicted first.
+/// Prefix cache with least-recently-used eviction. Blocks are identified by their prefix hashes.
 #[derive(Clone, Debug)]
 pub struct PrefixCache {
     capacity: usize,
-    last_uses: HashMap<u64, u64>,
-    by_use: BTreeMap<u64, u64>,
-    uses: u64,
+    last_use_by_hash: HashMap<u64, u64>,
+    hash_by_last_use: BTreeMap<u64, u64>,
+    use_counter: u64,
     events: VecDeque<(u64, CacheEvent)>,
 }
 
 impl PrefixCache {
-    /// An empty cache of `capacity` blocks.
+    /// Creates an empty cache of `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
-            last_uses: HashMap::new(),
-            by_use: BTreeMap::new(),
-            uses: 0,
+            last_use_by_hash: HashMap::new(),
+            hash_by_last_use: BTreeMap::new(),
+            use_counter: 0,
             events: VecDeque::new(),
         }
     }
 
-    /// Blocks at the start of a prompt that are cached; they count as used.
+    /// Returns the number of cached blocks at the start of a prompt and marks them as used.
     pub fn use_prefix(&mut self, prefix_hashes: &[u64]) -> u64 {
-        let is_cached = |hash: &&u64| self.last_uses.contains_key(*hash);
+        let is_cached = |hash: &&u64| self.last_use_by_hash.contains_key(*hash);
         let cached = prefix_hashes.iter().take_while(is_cached).count();
         for hash in prefix_hashes[..cached].iter().rev() {
             self.touch(*hash);
@@ -43,68 +43,68 @@
         cached as u64
     }
 
-    /// Stores the blocks of a prompt.
+    /// Adds the blocks of a prompt and evicts the least recently used blocks beyond the capacity.
     pub fn store(&mut self, prefix_hashes: &[u64], now_us: u64) {
-        // The first block is touched last, so that a chain is evicted from its end.
+        // Blocks are touched from last to first, so that a chain of blocks is evicted from its end.
         for hash in prefix_hashes.iter().rev() {
             if !self.touch(*hash) {
                 self.events.push_back((now_us, CacheEvent::Stored(*hash)));
             }
         }
-        while self.last_uses.len() > self.capacity {
+        while self.last_use_by_hash.len() > self.capacity {
             self.evict(now_us);
         }
     }
 
-    /// Forgets everything, as a restart does.
+    /// Removes all blocks and undelivered events, as a restart does.
     pub fn clear(&mut self) {
-        self.last_uses.clear();
-        self.by_use.clear();
+        self.last_use_by_hash.clear();
+        self.hash_by_last_use.clear();
         self.events.clear();
     }
 
-    /// Takes the events that are at least `lag_us` old. Each event whose number is a multiple of
-    /// `drop_every` is lost; 0 loses none.
+    /// Removes and returns the events that are at least `lag_us` old. Of the events of one call,
+    /// every `drop_every`-th is dropped; 0 drops none.
     pub fn take_events(&mut self, now_us: u64, lag_us: u64, drop_every: u64) -> Vec<CacheEvent> {
-        let mut taken = Vec::new();
-        let mut number = 0;
+        let mut delivered = Vec::new();
+        let mut event_number = 0;
         while let Some((at_us, event)) = self.events.front().copied() {
             if at_us + lag_us > now_us {
                 break;
             }
             self.events.pop_front();
-            number += 1;
-            if drop_every == 0 || number % drop_every != 0 {
-                taken.push(event);
+            event_number += 1;
+            if drop_every == 0 || event_number % drop_every != 0 {
+                delivered.push(event);
             }
         }
-        taken
+        delivered
     }
 
-    /// Cached blocks.
+    /// Number of cached blocks.
     pub fn len(&self) -> usize {
-        self.last_uses.len()
+        self.last_use_by_hash.len()
     }
 
-    /// Whether nothing is cached.
+    /// Returns true if no block is cached.
     pub fn is_empty(&self) -> bool {
-        self.last_uses.is_empty()
+        self.last_use_by_hash.is_empty()
     }
 
-    /// Marks a block as used; true if it was cached.
+    /// Marks a block as used, adding it if needed. Returns true if it was cached before.
     fn touch(&mut self, hash: u64) -> bool {
-        self.uses += 1;
-        let former = self.last_uses.insert(hash, self.uses);
-        if let Some(former) = former {
-            self.by_use.remove(&former);
+        self.use_counter += 1;
+        let previous = self.last_use_by_hash.insert(hash, self.use_counter);
+        if let Some(previous) = previous {
+            self.hash_by_last_use.remove(&previous);
         }
-        self.by_use.insert(self.uses, hash);
-        former.is_some()
+        self.hash_by_last_use.insert(self.use_counter, hash);
+        previous.is_some()
     }
 
     fn evict(&mut self, now_us: u64) {
-        if let Some((_, hash)) = self.by_use.pop_first() {
-            self.last_uses.remove(&hash);
+        if let Some((_, hash)) = self.hash_by_last_use.pop_first() {
+            self.last_use_by_hash.remove(&hash);
             self.events.push_back((now_us, CacheEvent::Evicted(hash)));
         }
     }
--- a/crates/standin/src/batch/engine.rs
+++ b/crates/standin/src/batch/engine.rs
@@ -1,30 +1,30 @@
-//! The engine: queue, batch and steps.
+//! Simulated engine: queue, batch and steps.
 
-use super::request::Running;
+use super::request::ActiveRequest;
 use super::{BatchRequest, BatchRequestId, LoadHistory, LoadSample, PrefixCache, Token};
 use carobwheel_core::route::PREFIX_BLOCK_TOKENS;
 use std::collections::VecDeque;
 
-/// Sizes and speeds of an engine.
+/// Capacity and speed of a simulated engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BatchSettings {
-    /// Requests in the batch at most.
+    /// Maximum number of requests in the batch.
     pub slots: usize,
-    /// Prompt tokens read in a second.
+    /// Prefill throughput, in prompt tokens per second.
     pub prefill_tokens_per_s: u64,
-    /// Duration of a step without any work in it, in microseconds.
+    /// Fixed part of a step's duration, in microseconds.
     pub step_us: u64,
-    /// Growth of a step for each request that gets a token, in microseconds.
+    /// Additional duration of a step per decoding request, in microseconds.
     pub step_per_request_us: u64,
-    /// Prompt tokens read in one step beside requests that get tokens.
+    /// Maximum number of prompt tokens processed in a step that also decodes.
     pub chunk_tokens: u64,
-    /// Prompt tokens read in one step if no request gets a token.
+    /// Maximum number of prompt tokens processed in a step that decodes nothing.
     pub idle_chunk_tokens: u64,
-    /// Blocks in the prefix cache.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// Age of the load that reports show, in microseconds.
+    /// Age of the load in reports, in microseconds.
     pub report_lag_us: u64,
-    /// Factor on the duration of every step; a slow version has more than 1.
+    /// Factor applied to the duration of every step; above 1 for a slow model version.
     pub slowdown_factor: f64,
 }
 
@@ -44,13 +44,13 @@
     }
 }
 
-/// A model engine with continuous batching.
+/// Simulated inference engine with continuous batching.
 #[derive(Clone, Debug)]
 pub struct BatchEngine {
     settings: BatchSettings,
     cache: PrefixCache,
     waiting: VecDeque<BatchRequest>,
-    batch: Vec<Running>,
+    batch: Vec<ActiveRequest>,
     is_stepping: bool,
     history: LoadHistory,
     busy_us: u64,
@@ -60,7 +60,7 @@
 }
 
 impl BatchEngine {
-    /// An idle engine with an empty cache.
+    /// Creates an idle engine with an empty cache.
     pub fn new(settings: BatchSettings) -> Self {
         Self {
             cache: PrefixCache::new(settings.cache_blocks),
@@ -76,33 +76,34 @@
         }
     }
 
-    /// Queues a request behind those of the same or a more urgent priority.
-    pub fn submit(&mut self, job: BatchRequest) {
-        let place = self
+    /// Queues a request after those of the same or a more urgent priority.
+    pub fn submit(&mut self, request: BatchRequest) {
+        let position = self
             .waiting
-            .partition_point(|other| other.priority <= job.priority);
-        self.waiting.insert(place, job);
+            .partition_point(|queued| queued.priority <= request.priority);
+        self.waiting.insert(position, request);
     }
 
-    /// Drops a request wherever it is; false if the engine does not hold it.
+    /// Removes a request from the queue or the batch. Returns false if it is in neither.
     pub fn cancel(&mut self, id: BatchRequestId) -> bool {
         let before = self.waiting.len() + self.batch.len();
-        self.waiting.retain(|job| job.id != id);
-        self.batch.retain(|running| running.job.id != id);
+        self.waiting.retain(|request| request.id != id);
+        self.batch.retain(|active| active.request.id != id);
         before != self.waiting.len() + self.batch.len()
     }
 
-    /// Drops all requests and the cache, as a crash does, and gives their names.
+    /// Drops all requests and the cache, as a crash does. Returns the identifiers of the requests.
     pub fn crash(&mut self) -> Vec<BatchRequestId> {
-        let waiting = self.waiting.drain(..).map(|job| job.id);
-        let running = self.batch.drain(..).map(|running| running.job.id);
+        let waiting = self.waiting.drain(..).map(|request| request.id);
+        let running = self.batch.drain(..).map(|active| active.request.id);
         let ids = running.chain(waiting).collect();
         self.cache.clear();
         self.is_stepping = false;
         ids
     }
 
-    /// Begins a step if there is work and none is under way; gives its duration in microseconds.
+    /// Begins a step if there is work and no step is in progress. Returns the duration of the step
+    /// in microseconds.
     pub fn begin_step(&mut self) -> Option<u64> {
         if self.is_stepping {
             return None;
@@ -112,128 +113,135 @@
             return None;
         }
         let decoding = self.batch.iter().filter(|r| r.is_decoding()).count() as u64;
-        let read_tokens = self.plan_reading(decoding);
-        let read_us = read_tokens * 1_000_000 / self.settings.prefill_tokens_per_s;
+        let prefill_tokens = self.plan_prefill(decoding);
+        let prefill_us = prefill_tokens * 1_000_000 / self.settings.prefill_tokens_per_s;
         let batch_us = decoding * self.settings.step_per_request_us;
         let step_us =
-            (self.settings.step_us + batch_us + read_us) as f64 * self.settings.slowdown_factor;
+            (self.settings.step_us + batch_us + prefill_us) as f64 * self.settings.slowdown_factor;
         let step_us = step_us as u64;
         self.busy_us += step_us;
         self.is_stepping = true;
         Some(step_us)
     }
 
-    /// Ends the step: gives the tokens that it made.
+    /// Ends the current step and returns the tokens that it generated.
     pub fn end_step(&mut self, now_us: u64) -> Vec<Token> {
         if !self.is_stepping {
             return Vec::new();
         }
         self.is_stepping = false;
         let mut tokens = Vec::new();
-        for running in &mut self.batch {
-            let was_decoding = running.is_decoding();
-            running.unread_tokens -= running.step_read_tokens;
-            running.step_read_tokens = 0;
-            if !running.is_decoding() {
+        for active in &mut self.batch {
+            let was_decoding = active.is_decoding();
+            active.remaining_prefill_tokens -= active.step_prefill_tokens;
+            active.step_prefill_tokens = 0;
+            if !active.is_decoding() {
                 continue;
             }
             if !was_decoding {
-                self.cache.store(&running.job.prefix_hashes, now_us);
+                self.cache.store(&active.request.prefix_hashes, now_us);
             }
-            let position = running.made_tokens;
-            running.made_tokens += 1;
+            let position = active.generated_tokens;
+            active.generated_tokens += 1;
             tokens.push(Token {
-                request_id: running.job.id,
+                request_id: active.request.id,
                 position,
-                is_last: running.made_tokens >= running.job.output_tokens,
+                is_last: active.generated_tokens >= active.request.output_tokens,
             });
         }
         self.batch
-            .retain(|running| running.made_tokens < running.job.output_tokens);
+            .retain(|active| active.generated_tokens < active.request.output_tokens);
         self.output_tokens += tokens.len() as u64;
         self.history.push(LoadSample {
             measured_at_us: now_us,
             requests: self.requests() as u64,
-            prompt_tokens: self.unread_tokens(),
+            prompt_tokens: self.remaining_prefill_tokens(),
         });
         tokens
     }
 
-    /// Moves waiting requests into free slots, the most urgent first.
+    /// Moves queued requests into free slots of the batch, the most urgent first.
     fn fill_batch(&mut self) {
         while self.batch.len() < self.settings.slots {
-            let Some(job) = self.waiting.pop_front() else {
+            let Some(request) = self.waiting.pop_front() else {
                 return;
             };
-            let cached_tokens = self.cache.use_prefix(&job.prefix_hashes) * PREFIX_BLOCK_TOKENS;
-            let cached_tokens = cached_tokens.min(job.prompt_tokens.saturating_sub(1));
-            self.prompt_tokens += job.prompt_tokens;
+            let cached_tokens = self.cache.use_prefix(&request.prefix_hashes) * PREFIX_BLOCK_TOKENS;
+            let cached_tokens = cached_tokens.min(request.prompt_tokens.saturating_sub(1));
+            self.prompt_tokens += request.prompt_tokens;
             self.cached_tokens += cached_tokens;
-            let unread_tokens = job.prompt_tokens - cached_tokens + job.resume_from_tokens;
-            self.batch.push(Running {
-                unread_tokens: unread_tokens.max(1),
-                made_tokens: job.resume_from_tokens,
-                step_read_tokens: 0,
-                job,
+            let remaining_prefill_tokens =
+                request.prompt_tokens - cached_tokens + request.resume_from_tokens;
+            self.batch.push(ActiveRequest {
+                remaining_prefill_tokens: remaining_prefill_tokens.max(1),
+                generated_tokens: request.resume_from_tokens,
+                step_prefill_tokens: 0,
+                request,
             });
         }
     }
 
-    /// Shares the step's piece of prompt out by priority and arrival; gives the tokens read.
-    fn plan_reading(&mut self, decoding: u64) -> u64 {
+    /// Distributes the step's prefill budget by priority and order of admission. Returns the number
+    /// of prompt tokens to process.
+    fn plan_prefill(&mut self, decoding: u64) -> u64 {
         let chunk_tokens = if decoding == 0 {
             self.settings.idle_chunk_tokens
         } else {
             self.settings.chunk_tokens
         };
-        let mut rest_tokens = chunk_tokens;
+        let mut budget_tokens = chunk_tokens;
         let mut order: Vec<usize> = (0..self.batch.len()).collect();
-        order.sort_by_key(|index| self.batch[*index].job.priority);
+        order.sort_by_key(|index| self.batch[*index].request.priority);
         for index in order {
-            let running = &mut self.batch[index];
-            running.step_read_tokens = running.unread_tokens.min(rest_tokens);
-            rest_tokens -= running.step_read_tokens;
+            let active = &mut self.batch[index];
+            active.step_prefill_tokens = active.remaining_prefill_tokens.min(budget_tokens);
+            budget_tokens -= active.step_prefill_tokens;
         }
-        chunk_tokens - rest_tokens
+        chunk_tokens - budget_tokens
     }
 
-    fn unread_tokens(&self) -> u64 {
-        let running: u64 = self.batch.iter().map(|r| r.unread_tokens).sum();
-        let waiting: u64 = self.waiting.iter().map(|job| job.prompt_tokens).sum();
+    fn remaining_prefill_tokens(&self) -> u64 {
+        let running: u64 = self.batch.iter().map(|r| r.remaining_prefill_tokens).sum();
+        let waiting: u64 = self
+            .waiting
+            .iter()
+            .map(|request| request.prompt_tokens)
+            .sum();
         running + waiting
     }
 
-    /// Changes the factor on the duration of every further step.
+    /// Sets the factor applied to the duration of all later steps.
     pub fn set_slowdown_factor(&mut self, slowdown_factor: f64) {
         self.settings.slowdown_factor = slowdown_factor;
     }
 
-    /// The cache, for its events.
+    /// Returns the prefix cache, so that the caller can take its events.
     pub fn cache_mut(&mut self) -> &mut PrefixCache {
         &mut self.cache
     }
 
-    /// The load as the engine reports it, with its lag.
+    /// Returns the load report of the engine, delayed by the configured lag.
     pub fn report(&self, now_us: u64) -> LoadSample {
         self.history.report(now_us, self.settings.report_lag_us)
     }
 
-    /// Requests running or waiting.
+    /// Number of requests in the batch and the queue.
     pub fn requests(&self) -> usize {
         self.batch.len() + self.waiting.len()
     }
 
-    /// Time spent in steps, in microseconds.
+    /// Total duration of all steps, in microseconds.
     pub fn busy_us(&self) -> u64 {
         self.busy_us
     }
 
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub fn output_tokens(&self) -> u64 {
         self.output_tokens
     }
 
-    /// Prompt tokens of the requests that entered the batch, and those of them that were cached.
+    /// Number of prompt tokens of all requests that entered the batch, and how many of them were
+    /// cached.
     pub fn prompt_and_cached_tokens(&self) -> (u64, u64) {
         (self.prompt_tokens, self.cached_tokens)
     }
--- a/crates/standin/src/batch/history.rs
+++ b/crates/standin/src/batch/history.rs
@@ -1,29 +1,29 @@
-//! Load reports with a lag.
+//! Delayed load reports.
 
 use std::collections::VecDeque;
 
-/// Samples kept.
+/// Maximum number of samples in the history.
 const MAX_SAMPLES: usize = 4_096;
 
-/// The load of an engine at an earlier time.
+/// Load of an engine at one point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadSample {
-    /// When it was measured, in microseconds.
+    /// Time of the measurement, in microseconds.
     pub measured_at_us: u64,
-    /// Requests running or queued.
+    /// Number of requests in the batch and the queue.
     pub requests: u64,
-    /// Prompt tokens that wait to be read.
+    /// Number of prompt tokens still to be processed.
     pub prompt_tokens: u64,
 }
 
-/// The load of an engine over the last steps.
+/// Load of an engine after each of its last steps.
 #[derive(Clone, Debug, Default)]
 pub struct LoadHistory {
     samples: VecDeque<LoadSample>,
 }
 
 impl LoadHistory {
-    /// Adds the current load.
+    /// Appends a sample and drops the oldest one when the history is full.
     pub fn push(&mut self, sample: LoadSample) {
         self.samples.push_back(sample);
         if self.samples.len() > MAX_SAMPLES {
@@ -31,17 +31,18 @@
         }
     }
 
-    /// The newest load that is at least `lag_us` old; the oldest known one if all are newer, and no
-    /// load if none is known.
+    /// Returns the newest sample that is at least `lag_us` old, or the oldest sample if all are
+    /// newer, or an empty load if there are no samples. Its time is set to `lag_us` before
+    /// `now_us`.
     pub fn report(&self, now_us: u64, lag_us: u64) -> LoadSample {
-        let newest_us = now_us.saturating_sub(lag_us);
+        let cutoff_us = now_us.saturating_sub(lag_us);
         let count = self
             .samples
-            .partition_point(|sample| sample.measured_at_us <= newest_us);
+            .partition_point(|sample| sample.measured_at_us <= cutoff_us);
         let sample = self.samples.get(count.saturating_sub(1));
         let sample = sample.copied().unwrap_or_default();
         LoadSample {
-            measured_at_us: newest_us,
+            measured_at_us: cutoff_us,
             ..sample
         }
     }
--- a/crates/standin/src/batch/mod.rs
+++ b/crates/standin/src/batch/mod.rs
@@ -1,10 +1,11 @@
-//! A pure model of a model engine with continuous batching.
+//! Simulation of an inference engine with continuous batching, without I/O or a clock.
 //!
-//! A [`BatchEngine`] works in steps. Each step generates one token for every request that is past
-//! its prompt, and reads a bounded piece of the prompts that are not. The step's duration grows with
-//! the batch and with the piece. Prompts whose prefixes stand in the limited cache are read faster.
-//! Time is an argument in microseconds; the owner calls [`BatchEngine::begin_step`], waits for the
-//! duration that it gives and then calls [`BatchEngine::end_step`].
+//! A [`BatchEngine`] works in steps. Each step generates one token for every request whose prefill
+//! is complete, and processes a bounded chunk of prompt tokens of the other requests. The duration
+//! of a step grows with the batch and with the chunk. Prompt prefixes in the cache, which has a
+//! fixed size, need no prefill. Time is an argument in microseconds; the owner calls
+//! [`BatchEngine::begin_step`], waits for the returned duration and then calls
+//! [`BatchEngine::end_step`].
 
 mod cache;
 mod engine;
--- a/crates/standin/src/batch/request.rs
+++ b/crates/standin/src/batch/request.rs
@@ -1,48 +1,49 @@
-//! Requests to an engine and the tokens that it gives.
+//! Requests to a simulated engine and the tokens that it generates.
 
-/// Name of a request within one engine.
+/// Identifier of a request, unique within one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BatchRequestId(pub u64);
 
-/// A request to an engine.
+/// Request to a simulated engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BatchRequest {
-    /// Name of the request.
+    /// Identifier of the request.
     pub id: BatchRequestId,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
-    /// Hashes of the prompt's prefixes, one a block.
+    /// Hashes of the prompt's prefixes, one per cache block.
     pub prefix_hashes: Vec<u64>,
-    /// Length of the whole answer, in tokens.
+    /// Length of the complete answer, in tokens.
     pub output_tokens: u64,
-    /// Tokens of the answer that the caller has from another engine; read like a prompt.
+    /// Number of answer tokens that the caller already has from another engine. They need prefill
+    /// like a prompt.
     pub resume_from_tokens: u64,
-    /// Priority; 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// A token that an engine has generated.
+/// Token that an engine has generated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
-    /// The request that it belongs to.
+    /// Request that the token belongs to.
     pub request_id: BatchRequestId,
-    /// Its position in the whole answer, from 0.
+    /// Position of the token in the complete answer, from 0.
     pub position: u64,
-    /// It is the last one of the answer.
+    /// True for the last token of the answer.
     pub is_last: bool,
 }
 
-/// A request that the engine holds.
+/// Request in the batch, with its progress.
 #[derive(Clone, Debug)]
-pub(super) struct Running {
-    pub(super) job: BatchRequest,
-    pub(super) unread_tokens: u64,
-    pub(super) made_tokens: u64,
-    pub(super) step_read_tokens: u64,
+pub(super) struct ActiveRequest {
+    pub(super) request: BatchRequest,
+    pub(super) remaining_prefill_tokens: u64,
+    pub(super) generated_tokens: u64,
+    pub(super) step_prefill_tokens: u64,
 }
 
-impl Running {
+impl ActiveRequest {
     pub(super) fn is_decoding(&self) -> bool {
-        self.unread_tokens == 0
+        self.remaining_prefill_tokens == 0
     }
 }
