--- a/crates/standin/src/proxy/control.rs
+++ b/crates/standin/src/proxy/control.rs
@@ -1,4 +1,4 @@
-//! The switches of a proxy.
+//! Settings and shared state of a proxy.
 
 use super::ProxyCounts;
 use crate::lock;
@@ -12,10 +12,10 @@
 use tokio::{sync::watch, time::Instant};
 use tokio_util::sync::CancellationToken;
 
-/// One million parts make a whole.
-const WHOLE_PPM: u32 = 1_000_000;
+/// Denominator of probabilities in parts per million.
+const PPM_DENOMINATOR: u32 = 1_000_000;
 
-/// A direction through the proxy.
+/// Direction of traffic through the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// From a caller to the upstream.
@@ -24,25 +24,25 @@
     ToCaller,
 }
 
-/// How one direction behaves.
+/// Impairment of the traffic in one direction. The default forwards everything unchanged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Impairment {
     /// Delay, in milliseconds.
     pub delay_ms: u64,
-    /// Further random delay of each datagram, which changes their order, in milliseconds.
+    /// Maximum additional random delay of each datagram, in milliseconds; it can reorder datagrams.
     pub jitter_ms: u64,
-    /// Nothing passes. Bytes of a connection wait, datagrams are lost.
+    /// Blocks all traffic. Bytes of a connection are held back, datagrams are dropped.
     pub is_partitioned: bool,
-    /// Datagrams lost, out of 1,000,000.
+    /// Probability of dropping a datagram, in parts per 1,000,000.
     pub loss_ppm: u32,
-    /// Datagrams sent twice, out of 1,000,000.
+    /// Probability of sending a datagram twice, in parts per 1,000,000.
     pub duplicate_ppm: u32,
-    /// Throughput of each connection, in bytes a second; 0 for no bound.
+    /// Maximum throughput of each connection, in bytes per second; 0 for no limit.
     pub bytes_per_s: u64,
 }
 
 impl Impairment {
-    /// A direction with a delay.
+    /// Returns an impairment with a delay.
     pub fn delayed(delay_ms: u64) -> Self {
         Self {
             delay_ms,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A direction that nothing passes.
+    /// Returns an impairment that blocks all traffic.
     pub fn partitioned() -> Self {
         Self {
             is_partitioned: true,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A direction that loses datagrams, `ppm` out of 1,000,000.
+    /// Returns an impairment that drops datagrams with a probability of `ppm` parts per 1,000,000.
     pub fn lossy(ppm: u32) -> Self {
         Self {
             loss_ppm: ppm,
@@ -67,14 +67,14 @@
     }
 }
 
-/// Both directions.
+/// Impairments of both directions.
 #[derive(Clone, Copy, Debug, Default)]
-struct Ways {
+struct DirectionImpairments {
     to_upstream: Impairment,
     to_caller: Impairment,
 }
 
-impl Ways {
+impl DirectionImpairments {
     fn get_mut(&mut self, direction: Direction) -> &mut Impairment {
         match direction {
             Direction::ToUpstream => &mut self.to_upstream,
@@ -84,26 +84,27 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Switches {
-    general: Ways,
-    by_source: BTreeMap<IpAddr, Ways>,
+struct ProxySettings {
+    /// Impairments of the sources that are not in `by_source`.
+    all_sources: DirectionImpairments,
+    by_source: BTreeMap<IpAddr, DirectionImpairments>,
     is_refusing: bool,
 }
 
-/// What befalls one datagram.
-pub(super) struct Fate {
-    /// When each copy arrives; none if the datagram is lost.
+/// Delivery times of one datagram.
+pub(super) struct DeliverySchedule {
+    /// Arrival time of each copy; empty if the datagram is dropped.
     pub(super) arrivals: Vec<Instant>,
 }
 
-/// State that a proxy's handle shares with its thread.
+/// State shared by the handle and the thread of a proxy.
 pub(super) struct Control {
     pub(super) stop: CancellationToken,
-    switches: watch::Sender<Switches>,
-    /// Cancelled to cut what exists.
-    cut: Mutex<CancellationToken>,
-    /// Cancelled to freeze what exists.
-    frozen: Mutex<CancellationToken>,
+    settings: watch::Sender<ProxySettings>,
+    /// Cancelled to close the existing connections or flows.
+    close_token: Mutex<CancellationToken>,
+    /// Cancelled to freeze the existing connections or flows.
+    freeze_token: Mutex<CancellationToken>,
     upstream: Mutex<SocketAddr>,
     rng: Mutex<StdRng>,
     counts: Mutex<ProxyCounts>,
@@ -113,88 +114,99 @@
     pub(super) fn new(upstream: SocketAddr, seed: u64) -> Self {
         Self {
             stop: CancellationToken::new(),
-            switches: watch::Sender::new(Switches::default()),
-            cut: Mutex::default(),
-            frozen: Mutex::default(),
+            settings: watch::Sender::new(ProxySettings::default()),
+            close_token: Mutex::default(),
+            freeze_token: Mutex::default(),
             upstream: Mutex::new(upstream),
             rng: Mutex::new(StdRng::seed_from_u64(seed)),
             counts: Mutex::default(),
         }
     }
 
-    pub(super) fn set(&self, source: Option<IpAddr>, direction: Direction, way: Impairment) {
-        self.switches.send_modify(|switches| {
-            let ways = match source {
-                Some(source) => switches.by_source.entry(source).or_default(),
-                None => &mut switches.general,
+    pub(super) fn set(&self, source: Option<IpAddr>, direction: Direction, impairment: Impairment) {
+        self.settings.send_modify(|settings| {
+            let impairments = match source {
+                Some(source) => settings.by_source.entry(source).or_default(),
+                None => &mut settings.all_sources,
             };
-            *ways.get_mut(direction) = way;
+            *impairments.get_mut(direction) = impairment;
         });
     }
 
     pub(super) fn heal(&self) {
-        self.switches.send_replace(Switches::default());
+        self.settings.send_replace(ProxySettings::default());
     }
 
     pub(super) fn set_refusing(&self, is_refusing: bool) {
-        self.switches
-            .send_modify(|switches| switches.is_refusing = is_refusing);
+        self.settings
+            .send_modify(|settings| settings.is_refusing = is_refusing);
     }
 
     pub(super) fn is_refusing(&self) -> bool {
-        self.switches.borrow().is_refusing
+        self.settings.borrow().is_refusing
     }
 
-    /// Completes when a switch has been turned since `seen` last looked.
-    pub(super) fn subscribe(&self) -> SwitchWatch {
-        SwitchWatch(self.switches.subscribe())
+    /// Returns a watch that reports changes of the settings.
+    pub(super) fn subscribe(&self) -> SettingsWatch {
+        SettingsWatch(self.settings.subscribe())
     }
 
-    pub(super) fn way(&self, source: IpAddr, direction: Direction) -> Impairment {
-        let switches = self.switches.borrow();
-        let mut ways = *switches.by_source.get(&source).unwrap_or(&switches.general);
-        *ways.get_mut(direction)
+    pub(super) fn impairment(&self, source: IpAddr, direction: Direction) -> Impairment {
+        let settings = self.settings.borrow();
+        let mut impairments = *settings
+            .by_source
+            .get(&source)
+            .unwrap_or(&settings.all_sources);
+        *impairments.get_mut(direction)
     }
 
-    /// Decides what befalls a datagram that comes in now.
-    pub(super) fn fate(&self, source: IpAddr, direction: Direction) -> Fate {
-        let way = self.way(source, direction);
+    /// Decides when the copies of a datagram received now are delivered, if at all.
+    pub(super) fn schedule_datagram(
+        &self,
+        source: IpAddr,
+        direction: Direction,
+    ) -> DeliverySchedule {
+        let impairment = self.impairment(source, direction);
         let mut rng = lock(&self.rng);
-        let mut happens = |ppm: u32| rng.random_range(0..WHOLE_PPM) < ppm;
-        let is_lost = happens(way.loss_ppm) || way.is_partitioned;
-        let copies = if happens(way.duplicate_ppm) { 2 } else { 1 };
+        let mut occurs = |ppm: u32| rng.random_range(0..PPM_DENOMINATOR) < ppm;
+        let is_lost = occurs(impairment.loss_ppm) || impairment.is_partitioned;
+        let copies = if occurs(impairment.duplicate_ppm) {
+            2
+        } else {
+            1
+        };
         if is_lost {
             lock(&self.counts).lost_datagrams += 1;
-            return Fate {
+            return DeliverySchedule {
                 arrivals: Vec::new(),
             };
         }
         let now = Instant::now();
         let arrival = |_| {
-            let jitter_ms = rng.random_range(0..=way.jitter_ms);
-            now + Duration::from_millis(way.delay_ms + jitter_ms)
+            let jitter_ms = rng.random_range(0..=impairment.jitter_ms);
+            now + Duration::from_millis(impairment.delay_ms + jitter_ms)
         };
-        Fate {
+        DeliverySchedule {
             arrivals: (0..copies).map(arrival).collect(),
         }
     }
 
     pub(super) fn close_connections(&self) {
-        std::mem::take(&mut *lock(&self.cut)).cancel();
+        std::mem::take(&mut *lock(&self.close_token)).cancel();
     }
 
     pub(super) fn freeze_existing(&self) {
-        std::mem::take(&mut *lock(&self.frozen)).cancel();
+        std::mem::take(&mut *lock(&self.freeze_token)).cancel();
     }
 
-    /// The token that is cancelled when what exists now is cut.
-    pub(super) fn cut_token(&self) -> CancellationToken {
-        lock(&self.cut).clone()
+    /// Returns the token that is cancelled when the connections or flows existing now are closed.
+    pub(super) fn close_token(&self) -> CancellationToken {
+        lock(&self.close_token).clone()
     }
 
-    /// The token that is cancelled when what exists now is frozen.
-    pub(super) fn frozen_token(&self) -> CancellationToken {
-        lock(&self.frozen).clone()
+    /// Returns the token that is cancelled when the connections or flows existing now are frozen.
+    pub(super) fn freeze_token(&self) -> CancellationToken {
+        lock(&self.freeze_token).clone()
     }
 
     pub(super) fn upstream(&self) -> SocketAddr {
@@ -228,10 +240,11 @@
     }
 }
 
-/// Notices turned switches.
-pub(super) struct SwitchWatch(watch::Receiver<Switches>);
+/// Watch for changes of the settings.
+pub(super) struct SettingsWatch(watch::Receiver<ProxySettings>);
 
-impl SwitchWatch {
+impl SettingsWatch {
+    /// Waits for the next change.
     pub(super) async fn changed(&mut self) {
         if self.0.changed().await.is_err() {
             futures::future::pending::<()>().await;
--- a/crates/standin/src/proxy/mod.rs
+++ b/crates/standin/src/proxy/mod.rs
@@ -1,8 +1,9 @@
-//! A fault-injecting proxy for TCP and UDP.
+//! Fault-injecting proxy for TCP and UDP.
 //!
-//! Each proxy stands before one address. Its switches act at run time, on everything that passes
-//! or only on what comes from one IP number: instances of different regions that bind different
-//! loopback addresses, such as 127.0.1.1 and 127.0.2.1, can so be given different links.
+//! Each proxy forwards to one upstream address. Its settings can be changed at run time, for all
+//! traffic or only for callers with one source IP address. Instances of different regions that bind
+//! different loopback addresses, such as 127.0.1.1 and 127.0.2.1, can thus have links with different
+//! impairments.
 
 mod control;
 mod tcp;
@@ -19,19 +20,19 @@
 };
 use tokio::runtime;
 
-/// How to start a proxy.
+/// Options of a proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct ProxyOptions {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub addr: SocketAddr,
-    /// Address that everything is passed on to.
+    /// Address that traffic is forwarded to.
     pub upstream: SocketAddr,
-    /// Seed of the random faults.
+    /// Seed of the random number generator for faults.
     pub seed: u64,
 }
 
 impl ProxyOptions {
-    /// A proxy on a free loopback port before `upstream`.
+    /// Returns the options of a proxy for `upstream` on a free loopback port.
     pub fn new(upstream: SocketAddr) -> Self {
         Self {
             addr: (Ipv4Addr::LOCALHOST, 0).into(),
@@ -41,22 +42,22 @@
     }
 }
 
-/// What a proxy has counted.
+/// Counters of a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProxyCounts {
     /// Connections or flows opened so far.
     pub opened: u64,
     /// Connections or flows open now.
     pub open: u64,
-    /// Bytes passed on toward the upstream.
+    /// Bytes forwarded to the upstream.
     pub upstream_bytes: u64,
-    /// Bytes passed on toward the callers.
+    /// Bytes forwarded to callers.
     pub caller_bytes: u64,
-    /// Datagrams lost on purpose.
+    /// Datagrams dropped by fault injection.
     pub lost_datagrams: u64,
 }
 
-/// A running proxy; dropping it stops it.
+/// Handle of a running proxy. Dropping it stops the proxy.
 pub struct Proxy {
     addr: SocketAddr,
     control: Arc<Control>,
@@ -123,58 +124,56 @@
         self.addr
     }
 
-    /// Sets both directions for everything that passes, except for sources with settings of their
-    /// own.
-    pub fn set_both(&self, way: Impairment) {
-        self.set(Direction::ToUpstream, way);
-        self.set(Direction::ToCaller, way);
+    /// Sets the impairment of both directions for all sources without settings of their own.
+    pub fn set_both(&self, impairment: Impairment) {
+        self.set(Direction::ToUpstream, impairment);
+        self.set(Direction::ToCaller, impairment);
     }
 
-    /// Sets one direction for everything that passes, except for sources with settings of their
-    /// own.
-    pub fn set(&self, direction: Direction, way: Impairment) {
-        self.control.set(None, direction, way);
+    /// Sets the impairment of one direction for all sources without settings of their own.
+    pub fn set(&self, direction: Direction, impairment: Impairment) {
+        self.control.set(None, direction, impairment);
     }
 
-    /// Sets one direction for what callers at the address `source` send and get.
-    pub fn set_for(&self, source: IpAddr, direction: Direction, way: Impairment) {
-        self.control.set(Some(source), direction, way);
+    /// Sets the impairment of one direction for callers with the address `source`.
+    pub fn set_for(&self, source: IpAddr, direction: Direction, impairment: Impairment) {
+        self.control.set(Some(source), direction, impairment);
     }
 
-    /// Sets both directions for what callers at the address `source` send and get.
-    pub fn set_both_for(&self, source: IpAddr, way: Impairment) {
-        self.set_for(source, Direction::ToUpstream, way);
-        self.set_for(source, Direction::ToCaller, way);
+    /// Sets the impairment of both directions for callers with the address `source`.
+    pub fn set_both_for(&self, source: IpAddr, impairment: Impairment) {
+        self.set_for(source, Direction::ToUpstream, impairment);
+        self.set_for(source, Direction::ToCaller, impairment);
     }
 
-    /// Takes all settings back. Frozen connections stay frozen.
+    /// Resets all settings. Frozen connections stay frozen.
     pub fn heal(&self) {
         self.control.heal();
     }
 
-    /// Lets the connections or flows that exist now go silent for good, while new ones work. Both
-    /// ends keep their sockets and learn nothing.
+    /// Stops forwarding permanently on all existing connections or flows, while new ones work. The
+    /// sockets of both ends stay open, so that neither end is notified.
     pub fn freeze_existing(&self) {
         self.control.freeze_existing();
     }
 
-    /// Cuts the connections or forgets the flows that exist now.
+    /// Closes all existing connections, or discards all existing flows.
     pub fn close_connections(&self) {
         self.control.close_connections();
     }
 
-    /// Closes the listening socket of a TCP proxy, or opens it again; drops the datagrams of a UDP
-    /// proxy's new flows, or accepts them again.
+    /// Refuses new connections or flows, or accepts them again. A TCP proxy closes its listening
+    /// socket; a UDP proxy drops the datagrams of new flows.
     pub fn set_refusing(&self, is_refusing: bool) {
         self.control.set_refusing(is_refusing);
     }
 
-    /// Passes new connections or flows on to another address.
+    /// Forwards new connections or flows to another address.
     pub fn set_upstream(&self, upstream: SocketAddr) {
         self.control.set_upstream(upstream);
     }
 
-    /// What the proxy has counted so far.
+    /// Returns the current counters.
     pub fn counts(&self) -> ProxyCounts {
         self.control.counts()
     }
--- a/crates/standin/src/proxy/tcp.rs
+++ b/crates/standin/src/proxy/tcp.rs
@@ -1,4 +1,4 @@
-//! Passing TCP connections on.
+//! Forwarding of TCP connections.
 
 use super::{control::Control, Direction};
 use std::{
@@ -17,20 +17,20 @@
     time::{sleep, sleep_until, Instant},
 };
 
-/// Largest piece passed on at once, in bytes.
-const PIECE_BYTES: usize = 16_384;
-/// Pieces of one direction that may be under way.
-const MAX_PIECES: usize = 1_024;
+/// Maximum size of a chunk, in bytes.
+const MAX_CHUNK_BYTES: usize = 16_384;
+/// Maximum number of chunks in transit in one direction.
+const MAX_QUEUED_CHUNKS: usize = 1_024;
 
-/// Bytes under way, or the end of the stream when empty.
-struct Piece {
-    arrives: Instant,
+/// Bytes in transit; empty for the end of the stream.
+struct Chunk {
+    arrives_at: Instant,
     bytes: Vec<u8>,
 }
 
 /// Accepts connections until the proxy stops.
 pub(super) async fn run(listener: std::net::TcpListener, addr: SocketAddr, control: Arc<Control>) {
-    let mut switched = control.subscribe();
+    let mut settings = control.subscribe();
     let mut listener = TcpListener::from_std(listener).ok();
     loop {
         if control.is_refusing() {
@@ -40,10 +40,10 @@
         }
         tokio::select! {
             () = control.stop.cancelled() => return,
-            () = switched.changed() => {}
+            () = settings.changed() => {}
             accepted = accept(listener.as_ref()) => {
                 if let Ok((stream, source)) = accepted {
-                    tokio::spawn(pass(stream, source.ip(), control.clone()));
+                    tokio::spawn(forward(stream, source.ip(), control.clone()));
                 }
             }
         }
@@ -57,56 +57,58 @@
     }
 }
 
-async fn pass(caller: TcpStream, source: IpAddr, control: Arc<Control>) {
+/// Forwards one connection until it ends or is closed.
+async fn forward(caller: TcpStream, source: IpAddr, control: Arc<Control>) {
     control.count_opened();
-    let cut = control.cut_token();
+    let closed = control.close_token();
     tokio::select! {
-        () = cut.cancelled() => {}
-        _ = pass_both(caller, source, &control) => {}
+        () = closed.cancelled() => {}
+        _ = forward_both(caller, source, &control) => {}
     }
     control.count_closed();
 }
 
-async fn pass_both(caller: TcpStream, source: IpAddr, control: &Arc<Control>) -> io::Result<()> {
-    let frozen = control.frozen_token();
-    let passing = async {
+/// Forwards both directions of a connection until it ends, or freezes it.
+async fn forward_both(caller: TcpStream, source: IpAddr, control: &Arc<Control>) -> io::Result<()> {
+    let frozen = control.freeze_token();
+    let forwarding = async {
         let upstream = TcpStream::connect(control.upstream()).await?;
         caller.set_nodelay(true)?;
         upstream.set_nodelay(true)?;
         let (caller_read, caller_write) = caller.into_split();
         let (upstream_read, upstream_write) = upstream.into_split();
-        let there = lane(
+        let to_upstream = forward_direction(
             caller_read,
             upstream_write,
             source,
             Direction::ToUpstream,
             control,
         );
-        let back = lane(
+        let to_caller = forward_direction(
             upstream_read,
             caller_write,
             source,
             Direction::ToCaller,
             control,
         );
-        tokio::try_join!(there, back).map(|_| ())
+        tokio::try_join!(to_upstream, to_caller).map(|_| ())
     };
-    tokio::pin!(passing);
+    tokio::pin!(forwarding);
     tokio::select! {
-        result = &mut passing => result,
-        // The sockets stay open inside `passing`, which is never polled again.
+        result = &mut forwarding => result,
+        // The sockets stay open inside `forwarding`, which is not polled again.
         () = frozen.cancelled() => futures::future::pending().await,
     }
 }
 
-async fn lane(
+async fn forward_direction(
     from: OwnedReadHalf,
     to: OwnedWriteHalf,
     source: IpAddr,
     direction: Direction,
     control: &Control,
 ) -> io::Result<()> {
-    let (sender, receiver) = mpsc::channel(MAX_PIECES);
+    let (sender, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
     let reading = read(from, sender, source, direction, control);
     let writing = write(to, receiver, source, direction, control);
     tokio::try_join!(reading, writing).map(|_| ())
@@ -114,20 +116,20 @@
 
 async fn read(
     mut from: OwnedReadHalf,
-    sender: mpsc::Sender<Piece>,
+    sender: mpsc::Sender<Chunk>,
     source: IpAddr,
     direction: Direction,
     control: &Control,
 ) -> io::Result<()> {
-    let mut buffer = vec![0; PIECE_BYTES];
+    let mut buffer = vec![0; MAX_CHUNK_BYTES];
     loop {
         let length = from.read(&mut buffer).await?;
-        let delay_ms = control.way(source, direction).delay_ms;
-        let piece = Piece {
-            arrives: Instant::now() + Duration::from_millis(delay_ms),
+        let delay_ms = control.impairment(source, direction).delay_ms;
+        let chunk = Chunk {
+            arrives_at: Instant::now() + Duration::from_millis(delay_ms),
             bytes: buffer[..length].to_vec(),
         };
-        if sender.send(piece).await.is_err() || length == 0 {
+        if sender.send(chunk).await.is_err() || length == 0 {
             return Ok(());
         }
     }
@@ -135,24 +137,24 @@
 
 async fn write(
     mut to: OwnedWriteHalf,
-    mut receiver: mpsc::Receiver<Piece>,
+    mut receiver: mpsc::Receiver<Chunk>,
     source: IpAddr,
     direction: Direction,
     control: &Control,
 ) -> io::Result<()> {
-    let mut switched = control.subscribe();
-    while let Some(piece) = receiver.recv().await {
-        sleep_until(piece.arrives).await;
-        while control.way(source, direction).is_partitioned {
-            switched.changed().await;
+    let mut settings = control.subscribe();
+    while let Some(chunk) = receiver.recv().await {
+        sleep_until(chunk.arrives_at).await;
+        while control.impairment(source, direction).is_partitioned {
+            settings.changed().await;
         }
-        if piece.bytes.is_empty() {
+        if chunk.bytes.is_empty() {
             return to.shutdown().await;
         }
-        to.write_all(&piece.bytes).await?;
-        control.count_bytes(direction, piece.bytes.len());
-        let bytes_per_s = control.way(source, direction).bytes_per_s;
-        let length = piece.bytes.len() as u64;
+        to.write_all(&chunk.bytes).await?;
+        control.count_bytes(direction, chunk.bytes.len());
+        let bytes_per_s = control.impairment(source, direction).bytes_per_s;
+        let length = chunk.bytes.len() as u64;
         if let Some(pause_us) = (length * 1_000_000).checked_div(bytes_per_s) {
             sleep(Duration::from_micros(pause_us)).await;
         }
--- a/crates/standin/src/proxy/udp.rs
+++ b/crates/standin/src/proxy/udp.rs
@@ -1,4 +1,4 @@
-//! Passing datagrams on.
+//! Forwarding of UDP datagrams.
 
 use super::{control::Control, Direction};
 use std::{
@@ -14,15 +14,15 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Longest datagram, in bytes.
+/// Maximum size of a datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// Datagrams that may wait to be scheduled.
-const MAX_WAITING: usize = 4_096;
+/// Maximum number of datagrams in the channel to the delivery task.
+const MAX_QUEUED_DATAGRAMS: usize = 4_096;
 
-/// A datagram under way.
+/// Datagram in transit.
 struct Delivery {
-    arrives: Instant,
-    number: u64,
+    arrives_at: Instant,
+    sequence: u64,
     socket: Arc<UdpSocket>,
     to: SocketAddr,
     bytes: Arc<[u8]>,
@@ -30,14 +30,14 @@
 }
 
 impl Delivery {
-    fn place(&self) -> (Instant, u64) {
-        (self.arrives, self.number)
+    fn order(&self) -> (Instant, u64) {
+        (self.arrives_at, self.sequence)
     }
 }
 
 impl PartialEq for Delivery {
     fn eq(&self, other: &Self) -> bool {
-        self.place() == other.place()
+        self.order() == other.order()
     }
 }
 
@@ -51,34 +51,34 @@
 
 impl Ord for Delivery {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.place().cmp(&other.place())
+        self.order().cmp(&other.order())
     }
 }
 
-/// One caller's path to the upstream.
+/// Forwarding state of one caller.
 struct Flow {
     socket: Arc<UdpSocket>,
     upstream: SocketAddr,
     frozen: CancellationToken,
-    cut: CancellationToken,
+    closed: CancellationToken,
 }
 
 impl Drop for Flow {
     fn drop(&mut self) {
-        self.cut.cancel();
+        self.closed.cancel();
     }
 }
 
-/// Where datagrams are handed over for delivery.
+/// Schedules datagrams for delivery.
 #[derive(Clone)]
-struct Post {
+struct DeliveryScheduler {
     control: Arc<Control>,
     deliveries: mpsc::Sender<Delivery>,
 }
 
-impl Post {
-    /// Schedules the copies of a datagram between the caller at `caller` and the upstream.
-    async fn hand_over(
+impl DeliveryScheduler {
+    /// Schedules the copies of a datagram between `caller` and the upstream.
+    async fn schedule(
         &self,
         direction: Direction,
         caller: SocketAddr,
@@ -87,10 +87,14 @@
         bytes: &[u8],
     ) {
         let bytes: Arc<[u8]> = bytes.into();
-        for arrives in self.control.fate(caller.ip(), direction).arrivals {
+        for arrives_at in self
+            .control
+            .schedule_datagram(caller.ip(), direction)
+            .arrivals
+        {
             let delivery = Delivery {
-                arrives,
-                number: 0,
+                arrives_at,
+                sequence: 0,
                 socket: socket.clone(),
                 to,
                 bytes: bytes.clone(),
@@ -103,34 +107,36 @@
     }
 }
 
-/// Passes datagrams on until the proxy stops.
+/// Forwards datagrams until the proxy stops.
 pub(super) async fn run(socket: std::net::UdpSocket, control: Arc<Control>) {
     let Ok(socket) = UdpSocket::from_std(socket) else {
         return;
     };
-    let (deliveries, waiting) = mpsc::channel(MAX_WAITING);
-    let post = Post {
+    let (deliveries, scheduled) = mpsc::channel(MAX_QUEUED_DATAGRAMS);
+    let scheduler = DeliveryScheduler {
         control: control.clone(),
         deliveries,
     };
     tokio::select! {
         () = control.stop.cancelled() => {}
-        () = deliver(waiting, &control) => {}
-        () = take_from_callers(Arc::new(socket), &post) => {}
+        () = deliver(scheduled, &control) => {}
+        () = receive_from_callers(Arc::new(socket), &scheduler) => {}
     }
 }
 
-async fn take_from_callers(front: Arc<UdpSocket>, post: &Post) {
+async fn receive_from_callers(listener: Arc<UdpSocket>, scheduler: &DeliveryScheduler) {
     let mut flows: HashMap<SocketAddr, Flow> = HashMap::new();
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        let Ok((length, caller)) = front.recv_from(&mut buffer).await else {
+        let Ok((length, caller)) = listener.recv_from(&mut buffer).await else {
             continue;
         };
-        let known = flows.get(&caller).filter(|flow| !flow.cut.is_cancelled());
-        if known.is_none() {
+        let open = flows
+            .get(&caller)
+            .filter(|flow| !flow.closed.is_cancelled());
+        if open.is_none() {
             flows.remove(&caller);
-            if let Some(flow) = open_flow(front.clone(), caller, post).await {
+            if let Some(flow) = open_flow(listener.clone(), caller, scheduler).await {
                 flows.insert(caller, flow);
             }
         }
@@ -141,59 +147,64 @@
             continue;
         }
         let datagram = &buffer[..length];
-        post.hand_over(
-            Direction::ToUpstream,
-            caller,
-            &flow.socket,
-            flow.upstream,
-            datagram,
-        )
-        .await;
+        scheduler
+            .schedule(
+                Direction::ToUpstream,
+                caller,
+                &flow.socket,
+                flow.upstream,
+                datagram,
+            )
+            .await;
     }
 }
 
 /// Opens a flow unless the proxy refuses new ones.
-async fn open_flow(front: Arc<UdpSocket>, caller: SocketAddr, post: &Post) -> Option<Flow> {
-    if post.control.is_refusing() {
+async fn open_flow(
+    listener: Arc<UdpSocket>,
+    caller: SocketAddr,
+    scheduler: &DeliveryScheduler,
+) -> Option<Flow> {
+    if scheduler.control.is_refusing() {
         return None;
     }
-    let upstream = post.control.upstream();
-    let any: SocketAddr = match upstream {
+    let upstream = scheduler.control.upstream();
+    let any_addr: SocketAddr = match upstream {
         SocketAddr::V4(_) => (Ipv4Addr::UNSPECIFIED, 0).into(),
         SocketAddr::V6(_) => (Ipv6Addr::UNSPECIFIED, 0).into(),
     };
     let flow = Flow {
-        socket: Arc::new(UdpSocket::bind(any).await.ok()?),
+        socket: Arc::new(UdpSocket::bind(any_addr).await.ok()?),
         upstream,
-        frozen: post.control.frozen_token(),
-        cut: post.control.cut_token().child_token(),
+        frozen: scheduler.control.freeze_token(),
+        closed: scheduler.control.close_token().child_token(),
     };
-    post.control.count_opened();
-    let taking = take_from_upstream(
-        front,
+    scheduler.control.count_opened();
+    let receiving = receive_from_upstream(
+        listener,
         caller,
         flow.socket.clone(),
         flow.frozen.clone(),
-        post.clone(),
+        scheduler.clone(),
     );
-    let cut = flow.cut.clone();
-    let control = post.control.clone();
+    let closed = flow.closed.clone();
+    let control = scheduler.control.clone();
     tokio::spawn(async move {
         tokio::select! {
-            () = cut.cancelled() => {}
-            () = taking => {}
+            () = closed.cancelled() => {}
+            () = receiving => {}
         }
         control.count_closed();
     });
     Some(flow)
 }
 
-async fn take_from_upstream(
-    front: Arc<UdpSocket>,
+async fn receive_from_upstream(
+    listener: Arc<UdpSocket>,
     caller: SocketAddr,
     socket: Arc<UdpSocket>,
     frozen: CancellationToken,
-    post: Post,
+    scheduler: DeliveryScheduler,
 ) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
@@ -202,29 +213,30 @@
         };
         if !frozen.is_cancelled() {
             let datagram = &buffer[..length];
-            post.hand_over(Direction::ToCaller, caller, &front, caller, datagram)
+            scheduler
+                .schedule(Direction::ToCaller, caller, &listener, caller, datagram)
                 .await;
         }
     }
 }
 
-/// Sends datagrams at their time, in the order of arrival where times are equal.
-async fn deliver(mut waiting: mpsc::Receiver<Delivery>, control: &Control) {
-    let mut queue: BinaryHeap<Reverse<Delivery>> = BinaryHeap::new();
-    let mut next_number = 0;
+/// Sends datagrams when they are due, in the order of scheduling where times are equal.
+async fn deliver(mut scheduled: mpsc::Receiver<Delivery>, control: &Control) {
+    let mut pending: BinaryHeap<Reverse<Delivery>> = BinaryHeap::new();
+    let mut next_sequence = 0;
     loop {
-        let due = queue.peek().map(|Reverse(first)| first.arrives);
+        let due = pending.peek().map(|Reverse(first)| first.arrives_at);
         tokio::select! {
-            received = waiting.recv() => match received {
+            received = scheduled.recv() => match received {
                 Some(mut delivery) => {
-                    delivery.number = next_number;
-                    next_number += 1;
-                    queue.push(Reverse(delivery));
+                    delivery.sequence = next_sequence;
+                    next_sequence += 1;
+                    pending.push(Reverse(delivery));
                 }
                 None => return,
             },
-            () = until(due) => {
-                if let Some(Reverse(first)) = queue.pop() {
+            () = sleep_until_due(due) => {
+                if let Some(Reverse(first)) = pending.pop() {
                     send(&first, control).await;
                 }
             }
@@ -232,7 +244,7 @@
     }
 }
 
-async fn until(due: Option<Instant>) {
+async fn sleep_until_due(due: Option<Instant>) {
     match due {
         Some(due) => sleep_until(due).await,
         None => futures::future::pending().await,
