--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,8 @@
-//! Small stand-ins of the platform and the upstreams, and a fault-injecting proxy.
+//! Stand-ins (test doubles) for the platform's services and the upstreams, and a fault-injecting
+//! proxy.
 //!
-//! They back `carobctl demo`, `carobctl load` and the tests, and run as threads on loopback.
+//! `carobctl demo`, `carobctl load` and the tests use them. Each runs on threads of its own in the
+//! calling process and listens on a loopback address by default.
 
 pub mod batch;
 pub mod engine;
@@ -15,6 +17,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
+/// Locks `mutex`, also after a thread panicked while holding it.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/standin/src/tls/mod.rs
+++ b/crates/standin/src/tls/mod.rs
@@ -1,20 +1,21 @@
-//! A certificate authority for tests and `carobctl demo`.
+//! Certificate authority for tests and `carobctl demo`.
 //!
-//! Its certificates are valid for the links between instances: each names one instance as its only
-//! DNS name. Keys live in memory only.
+//! It issues certificates for the links between instances, each with one instance as its only DNS
+//! name. Keys are kept in memory only.
 
 use rcgen::{
     BasicConstraints, CertificateParams, DnType, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair,
     KeyUsagePurpose,
 };
 
-/// A private certificate authority.
+/// Private certificate authority.
 pub struct CertificateAuthority {
     issuer: Issuer<'static, KeyPair>,
     cert_pem: String,
 }
 
-/// Certificate and key of one instance, with the authority that its peers are verified against.
+/// Certificate and private key of one instance, and the authority's certificate for verifying its
+/// peers.
 #[derive(Clone, Debug)]
 pub struct InstancePem {
     /// Certificate chain of the instance, as PEM text.
@@ -26,7 +27,7 @@
 }
 
 impl CertificateAuthority {
-    /// Makes an authority with a fresh key.
+    /// Creates an authority with a new key.
     ///
     /// # Errors
     ///
@@ -42,12 +43,12 @@
         Ok(Self { issuer, cert_pem })
     }
 
-    /// Certificate of the authority, as PEM text.
+    /// Returns the certificate of the authority, as PEM text.
     pub fn cert_pem(&self) -> &str {
         &self.cert_pem
     }
 
-    /// Issues a certificate for the instance with the name `instance`.
+    /// Issues a certificate for the instance named `instance`.
     ///
     /// # Errors
     ///
