--- a/crates/standin/src/engine/api.rs
+++ b/crates/standin/src/engine/api.rs
@@ -1,8 +1,8 @@
-//! Answering requests.
+//! HTTP endpoints of the engine.
 
-use super::{completion::Job, fault::Fault, generate, output, Shared, RESUME_HEADER};
+use super::{completion::CompletionRequest, fault::Fault, generate, output, Shared, RESUME_HEADER};
 use crate::{
-    http::{Ending, Request, Responder},
+    http::{ConnectionState, Request, Responder},
     lock,
 };
 use carobwheel_core::route::prefix_hashes;
@@ -14,19 +14,23 @@
 };
 use std::sync::Arc;
 
-/// Header with the priority of a request; 0 is the most urgent.
+/// Request header with the priority; 0 is the most urgent.
 const PRIORITY_HEADER: &str = "x-priority";
-/// Bytes of a prompt that count as one token.
+/// Number of prompt bytes that count as one token.
 const BYTES_PER_TOKEN: u64 = 4;
 
 /// Answers one request.
-pub(super) async fn answer(shared: Arc<Shared>, request: Request, responder: Responder) -> Ending {
+pub(super) async fn answer(
+    shared: Arc<Shared>,
+    request: Request,
+    responder: Responder,
+) -> ConnectionState {
     match (request.method.as_str(), request.path()) {
-        ("GET", MODELS_PATH) => responder.json(200, &models(&shared)).await,
-        ("GET", "/health") => responder.whole(200, "text/plain", b"ok").await,
+        ("GET", MODELS_PATH) => responder.send_json(200, &models(&shared)).await,
+        ("GET", "/health") => responder.send_body(200, "text/plain", b"ok").await,
         ("GET", LOAD_PATH) => {
             let report = published_load(&shared);
-            responder.json(200, &report).await
+            responder.send_json(200, &report).await
         }
         ("POST", CHAT_PATH | COMPLETIONS_PATH) => accept(&shared, request, responder).await,
         _ => refuse(responder, 404, "not_found", "no such path").await,
@@ -34,10 +38,10 @@
 }
 
 fn published_load(shared: &Shared) -> LoadReport {
-    let Some(batching) = &shared.batching else {
+    let Some(batch_runner) = &shared.batch_runner else {
         return lock(&shared.load).published(shared.clock.now());
     };
-    let (report, now_us) = batching.report();
+    let (report, now_us) = batch_runner.report();
     let requests = u32::try_from(report.requests).unwrap_or(u32::MAX);
     let running = requests.min(shared.options.batch_slots);
     LoadReport {
@@ -62,43 +66,43 @@
     }
 }
 
-async fn refuse(responder: Responder, status: u16, code: &str, message: &str) -> Ending {
+async fn refuse(responder: Responder, status: u16, code: &str, message: &str) -> ConnectionState {
     let body = ErrorAnswer::new("engine_error", code, message);
-    responder.json(status, &body).await
+    responder.send_json(status, &body).await
 }
 
-async fn accept(shared: &Shared, request: Request, responder: Responder) -> Ending {
+async fn accept(shared: &Shared, request: Request, responder: Responder) -> ConnectionState {
     let number = count_request(shared);
     let is_authorized = is_authorized(shared, &request);
     let parsed = parse(shared, &request, number);
-    record(shared, request);
+    record_request(shared, request);
     if !is_authorized {
         lock(&shared.counts).unauthorized += 1;
         return refuse(responder, 401, "invalid_credential", "wrong credential").await;
     }
-    let job = match parsed {
-        Ok(job) => job,
+    let completion = match parsed {
+        Ok(completion) => completion,
         Err((status, message)) => {
             return refuse(responder, status, "invalid_request", &message).await
         }
     };
-    let running = lock(&shared.load).now().running;
+    let running = lock(&shared.load).current().running;
     let fault = lock(&shared.faults).choose(running);
     match fault {
         Some(Fault::Status(status)) => {
             lock(&shared.counts).failed += 1;
-            return refuse(responder, status, "overloaded", "fault brought about").await;
+            return refuse(responder, status, "overloaded", "injected fault").await;
         }
         Some(Fault::CloseBeforeFirstByte) => {
             lock(&shared.counts).failed += 1;
-            return Ending::Closed;
+            return ConnectionState::Closed;
         }
         _ => {}
     }
     let responder = responder
-        .with_header("x-engine-request", &job.id)
+        .with_header("x-engine-request", &completion.id)
         .with_header("x-model-version", &shared.options.version);
-    generate::run(shared, &job, fault, responder).await
+    generate::run(shared, &completion, fault, responder).await
 }
 
 fn count_request(shared: &Shared) -> u64 {
@@ -107,10 +111,10 @@
     counts.requests
 }
 
-fn record(shared: &Shared, request: Request) {
-    let mut records = lock(&shared.records);
-    if records.len() < shared.options.max_records {
-        records.push(request);
+fn record_request(shared: &Shared, request: Request) {
+    let mut recorded_requests = lock(&shared.recorded_requests);
+    if recorded_requests.len() < shared.options.max_records {
+        recorded_requests.push(request);
     }
 }
 
@@ -118,20 +122,24 @@
     let Some(credential) = &shared.options.credential else {
         return true;
     };
-    let given = request.header("authorization").unwrap_or_default();
-    given.strip_prefix("Bearer ") == Some(credential)
+    let header = request.header("authorization").unwrap_or_default();
+    header.strip_prefix("Bearer ") == Some(credential)
 }
 
-fn parse(shared: &Shared, request: &Request, number: u64) -> Result<Job, (u16, String)> {
+fn parse(
+    shared: &Shared,
+    request: &Request,
+    number: u64,
+) -> Result<CompletionRequest, (u16, String)> {
     let view = RequestView::parse(&request.body).map_err(|err| (400, err.to_string()))?;
     let options = &shared.options;
     if view.model != options.model {
         return Err((404, format!("model `{}` is not loaded", view.model)));
     }
-    let longest = view.max_output_tokens().unwrap_or(options.answer_tokens);
-    let total = longest.min(options.answer_tokens);
+    let max_output_tokens = view.max_output_tokens().unwrap_or(options.answer_tokens);
+    let output_tokens = max_output_tokens.min(options.answer_tokens);
     let resume_from = request.header(RESUME_HEADER).unwrap_or("0");
-    let first = resume_from
+    let resume_from_tokens = resume_from
         .parse::<u64>()
         .map_err(|err| (400, format!("{RESUME_HEADER}: {err}")))?;
     let priority = request.header(PRIORITY_HEADER).unwrap_or("0");
@@ -140,19 +148,23 @@
         .map_err(|err| (400, format!("{PRIORITY_HEADER}: {err}")))?;
     let mut text = Vec::new();
     view.for_each_text(|piece| text.extend_from_slice(piece.as_bytes()));
-    Ok(Job {
+    Ok(CompletionRequest {
         is_chat: request.path() == CHAT_PATH,
         is_stream: view.stream,
         wants_usage: view
             .stream_options
             .is_some_and(|options| options.include_usage),
         id: format!("{}-{}-{number}", options.model, options.version),
-        prompt: output::prompt_hash(&view),
+        prompt_hash: output::prompt_hash(&view),
         prompt_tokens: view.prompt_bytes().div_ceil(BYTES_PER_TOKEN),
         prefix_hashes: prefix_hashes("", &text, BYTES_PER_TOKEN),
         priority,
-        first: first.min(total),
-        total,
-        finish_reason: if longest > total { "stop" } else { "length" },
+        resume_from_tokens: resume_from_tokens.min(output_tokens),
+        output_tokens,
+        finish_reason: if max_output_tokens > output_tokens {
+            "stop"
+        } else {
+            "length"
+        },
     })
 }
--- a/crates/standin/src/engine/batch_runner.rs
+++ b/crates/standin/src/engine/batch_runner.rs
@@ -1,6 +1,6 @@
-//! The model of a batch, run in real time.
+//! Real-time execution of a simulated batch engine.
 
-use super::completion::Job;
+use super::completion::CompletionRequest;
 use crate::{
     batch::{self, BatchEngine, BatchRequestId, BatchSettings, LoadSample},
     lock,
@@ -20,88 +20,88 @@
 
 struct State {
     engine: BatchEngine,
-    listeners: HashMap<BatchRequestId, mpsc::UnboundedSender<()>>,
+    token_senders: HashMap<BatchRequestId, mpsc::UnboundedSender<()>>,
     next_id: u64,
 }
 
-/// A [`BatchEngine`] whose steps take their time.
-pub(super) struct Batching {
+/// Runs the steps of a [`BatchEngine`] in real time.
+pub(super) struct BatchRunner {
     state: Mutex<State>,
     has_work: Notify,
-    is_driven: AtomicBool,
+    has_started: AtomicBool,
     start: Instant,
 }
 
-/// A request in the batch; dropping it cancels it.
-pub(super) struct Ticket {
+/// Handle of a submitted request. Dropping it cancels the request.
+pub(super) struct SubmittedRequest {
     id: BatchRequestId,
     tokens: mpsc::UnboundedReceiver<()>,
-    batching: Arc<Batching>,
+    batch_runner: Arc<BatchRunner>,
 }
 
-impl Ticket {
-    /// Waits for the next token; `None` when the request is no longer in the batch.
-    pub(super) async fn token(&mut self) -> Option<()> {
+impl SubmittedRequest {
+    /// Waits for the next token. Returns `None` when the request is no longer in the batch.
+    pub(super) async fn next_token(&mut self) -> Option<()> {
         self.tokens.recv().await
     }
 }
 
-impl Drop for Ticket {
+impl Drop for SubmittedRequest {
     fn drop(&mut self) {
-        let mut state = lock(&self.batching.state);
-        state.listeners.remove(&self.id);
+        let mut state = lock(&self.batch_runner.state);
+        state.token_senders.remove(&self.id);
         state.engine.cancel(self.id);
     }
 }
 
-impl Batching {
+impl BatchRunner {
     pub(super) fn new(settings: BatchSettings) -> Self {
         Self {
             state: Mutex::new(State {
                 engine: BatchEngine::new(settings),
-                listeners: HashMap::new(),
+                token_senders: HashMap::new(),
                 next_id: 0,
             }),
             has_work: Notify::new(),
-            is_driven: AtomicBool::new(false),
+            has_started: AtomicBool::new(false),
             start: Instant::now(),
         }
     }
 
-    /// Queues a request. The first one starts the engine's steps.
-    pub(super) fn submit(self: &Arc<Self>, job: &Job) -> Ticket {
-        if !self.is_driven.swap(true, Ordering::Relaxed) {
-            tokio::spawn(self.clone().drive());
+    /// Queues a request. The first request starts the task that runs the steps.
+    pub(super) fn submit(self: &Arc<Self>, completion: &CompletionRequest) -> SubmittedRequest {
+        if !self.has_started.swap(true, Ordering::Relaxed) {
+            tokio::spawn(self.clone().run_steps());
         }
         let (sender, tokens) = mpsc::unbounded_channel();
         let mut state = lock(&self.state);
         let id = BatchRequestId(state.next_id);
         state.next_id += 1;
-        state.listeners.insert(id, sender);
+        state.token_senders.insert(id, sender);
         state.engine.submit(batch::BatchRequest {
             id,
-            prompt_tokens: job.prompt_tokens,
-            prefix_hashes: job.prefix_hashes.clone(),
-            output_tokens: job.total,
-            resume_from_tokens: job.first,
-            priority: job.priority,
+            prompt_tokens: completion.prompt_tokens,
+            prefix_hashes: completion.prefix_hashes.clone(),
+            output_tokens: completion.output_tokens,
+            resume_from_tokens: completion.resume_from_tokens,
+            priority: completion.priority,
         });
         drop(state);
         self.has_work.notify_one();
-        Ticket {
+        SubmittedRequest {
             id,
             tokens,
-            batching: self.clone(),
+            batch_runner: self.clone(),
         }
     }
 
-    /// The load with the engine's lag.
+    /// Returns the delayed load report and the current time of the engine, in microseconds.
     pub(super) fn report(&self) -> (LoadSample, u64) {
         let now_us = self.now_us();
         (lock(&self.state).engine.report(now_us), now_us)
     }
 
-    /// Changes the factor on the duration of steps, in percent.
+    /// Sets the factor applied to the duration of steps, in percent.
     pub(super) fn set_slowdown_pct(&self, pct: u64) {
         let pct = u32::try_from(pct).unwrap_or(u32::MAX);
         lock(&self.state)
@@ -113,17 +113,17 @@
         u64::try_from(self.start.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
-    async fn drive(self: Arc<Self>) {
-        let mut step_ends = Instant::now();
+    async fn run_steps(self: Arc<Self>) {
+        let mut step_end = Instant::now();
         loop {
             let step_us = lock(&self.state).engine.begin_step();
             let Some(step_us) = step_us else {
                 self.has_work.notified().await;
-                step_ends = Instant::now();
+                step_end = Instant::now();
                 continue;
             };
-            step_ends += Duration::from_micros(step_us);
-            sleep_until(step_ends).await;
+            step_end += Duration::from_micros(step_us);
+            sleep_until(step_end).await;
             self.end_step();
         }
     }
@@ -132,12 +132,12 @@
         let now_us = self.now_us();
         let mut state = lock(&self.state);
         for token in state.engine.end_step(now_us) {
-            if let Some(listener) = state.listeners.get(&token.request_id) {
-                // A caller that has left has dropped its ticket.
-                let _ = listener.send(());
+            if let Some(sender) = state.token_senders.get(&token.request_id) {
+                // Sending fails when the caller has dropped its handle.
+                let _ = sender.send(());
             }
             if token.is_last {
-                state.listeners.remove(&token.request_id);
+                state.token_senders.remove(&token.request_id);
             }
         }
     }
--- a/crates/standin/src/engine/completion.rs
+++ b/crates/standin/src/engine/completion.rs
@@ -1,30 +1,31 @@
-//! One request on its way through the engine.
+//! Parsed completion requests and the accounting of their progress.
 
 use super::Shared;
 use crate::lock;
 
-/// A request that has been read.
-pub(super) struct Job {
+/// Parsed completion request.
+pub(super) struct CompletionRequest {
     pub(super) is_chat: bool,
     pub(super) is_stream: bool,
     pub(super) wants_usage: bool,
     pub(super) id: String,
-    /// Hash of the prompt, which decides the answer.
-    pub(super) prompt: u64,
+    /// Hash of the prompt, from which the answer is derived.
+    pub(super) prompt_hash: u64,
     pub(super) prompt_tokens: u64,
-    /// Hashes of the prompt's prefixes, one a block of the cache.
+    /// Hashes of the prompt's prefixes, one per cache block.
     pub(super) prefix_hashes: Vec<u64>,
-    /// Priority; 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub(super) priority: u8,
-    /// Tokens that the caller has already.
-    pub(super) first: u64,
-    /// Tokens of the whole answer.
-    pub(super) total: u64,
+    /// Number of answer tokens that the caller already has.
+    pub(super) resume_from_tokens: u64,
+    /// Length of the complete answer, in tokens.
+    pub(super) output_tokens: u64,
     pub(super) finish_reason: &'static str,
 }
 
-/// Counts a request as cancelled unless it comes to its end, and takes it off the load.
-pub(super) struct Running<'a> {
+/// Accounts for a request in the load and the counts. Dropping it removes the request from the load
+/// and counts it as cancelled unless it was marked as completed or failed.
+pub(super) struct RequestTracker<'a> {
     shared: &'a Shared,
     is_waiting: bool,
     has_ended: bool,
@@ -32,11 +33,11 @@
     remaining_tokens: u64,
 }
 
-impl<'a> Running<'a> {
-    pub(super) fn new(shared: &'a Shared, job: &Job) -> Self {
-        let remaining_tokens = job.total - job.first;
-        let prompt_tokens = job.prompt_tokens;
-        lock(&shared.load).change(shared.clock.now(), |load| {
+impl<'a> RequestTracker<'a> {
+    pub(super) fn new(shared: &'a Shared, completion: &CompletionRequest) -> Self {
+        let remaining_tokens = completion.output_tokens - completion.resume_from_tokens;
+        let prompt_tokens = completion.prompt_tokens;
+        lock(&shared.load).update(shared.clock.now(), |load| {
             load.waiting += 1;
             load.waiting_prefill_tokens += prompt_tokens;
             load.remaining_output_tokens += remaining_tokens;
@@ -50,37 +51,37 @@
         }
     }
 
-    /// Notes that the request has a place in the batch.
-    pub(super) fn start(&mut self) {
+    /// Moves the request from waiting to running.
+    pub(super) fn mark_started(&mut self) {
         self.is_waiting = false;
         lock(&self.shared.counts).started += 1;
         let prompt_tokens = self.prompt_tokens;
-        lock(&self.shared.load).change(self.shared.clock.now(), |load| {
+        lock(&self.shared.load).update(self.shared.clock.now(), |load| {
             load.waiting -= 1;
             load.waiting_prefill_tokens -= prompt_tokens;
             load.running += 1;
         });
     }
 
-    /// Notes that the answer was sent to its end.
-    pub(super) fn complete(&mut self) {
+    /// Counts the request as completed.
+    pub(super) fn mark_completed(&mut self) {
         self.has_ended = true;
         lock(&self.shared.counts).completed += 1;
     }
 
-    /// Notes that a fault broke the answer off.
-    pub(super) fn fail(&mut self) {
+    /// Counts the request as failed by an injected fault.
+    pub(super) fn mark_failed(&mut self) {
         self.has_ended = true;
         lock(&self.shared.counts).failed += 1;
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for RequestTracker<'_> {
     fn drop(&mut self) {
         if !self.has_ended {
             lock(&self.shared.counts).cancelled += 1;
         }
-        lock(&self.shared.load).change(self.shared.clock.now(), |load| {
+        lock(&self.shared.load).update(self.shared.clock.now(), |load| {
             load.remaining_output_tokens -= self.remaining_tokens;
             if self.is_waiting {
                 load.waiting -= 1;
--- a/crates/standin/src/engine/encoding.rs
+++ b/crates/standin/src/engine/encoding.rs
@@ -1,6 +1,6 @@
-//! The forms of answers.
+//! Encoding of answers as JSON and server-sent events.
 
-use super::{completion::Job, Shared};
+use super::{completion::CompletionRequest, Shared};
 use carobwheel_wire::openai::{
     AssistantMessage, ChatAnswer, ChatChoice, ChatChunk, ChunkChoice, Completion, CompletionChoice,
     Delta, Usage, DONE,
@@ -8,37 +8,53 @@
 use serde::Serialize;
 use std::io;
 
-/// The events that end a stream.
-pub(super) fn last_events(shared: &Shared, job: &Job) -> io::Result<Vec<u8>> {
+/// Encodes the events that end a stream.
+pub(super) fn last_events(shared: &Shared, completion: &CompletionRequest) -> io::Result<Vec<u8>> {
     let mut events = Vec::new();
     push_event(
         &mut events,
-        &chunk(shared, job, None, Some(job.finish_reason), None),
+        &chunk(
+            shared,
+            completion,
+            None,
+            Some(completion.finish_reason),
+            None,
+        ),
     )?;
-    if job.wants_usage {
-        let usage = Usage::new(job.prompt_tokens, job.total);
-        push_event(&mut events, &chunk(shared, job, None, None, Some(usage)))?;
+    if completion.wants_usage {
+        let usage = Usage::new(completion.prompt_tokens, completion.output_tokens);
+        push_event(
+            &mut events,
+            &chunk(shared, completion, None, None, Some(usage)),
+        )?;
     }
     events.extend(format!("data: {DONE}\n\n").bytes());
     Ok(events)
 }
 
-/// The event of one token.
-pub(super) fn token_event(shared: &Shared, job: &Job, text: String) -> io::Result<Vec<u8>> {
+/// Encodes the event of one token.
+pub(super) fn token_event(
+    shared: &Shared,
+    completion: &CompletionRequest,
+    text: String,
+) -> io::Result<Vec<u8>> {
     let mut event = Vec::new();
-    push_event(&mut event, &chunk(shared, job, Some(text), None, None))?;
+    push_event(
+        &mut event,
+        &chunk(shared, completion, Some(text), None, None),
+    )?;
     Ok(event)
 }
 
-/// An event of a stream in either of its forms.
+/// Event of a chat or a plain completion stream.
 #[derive(Serialize)]
 #[serde(untagged)]
-enum Chunk {
+enum StreamChunk {
     Chat(ChatChunk),
     Plain(Completion),
 }
 
-fn push_event(events: &mut Vec<u8>, chunk: &Chunk) -> io::Result<()> {
+fn push_event(events: &mut Vec<u8>, chunk: &StreamChunk) -> io::Result<()> {
     events.extend(b"data: ");
     serde_json::to_writer(&mut *events, chunk)?;
     events.extend(b"\n\n");
@@ -47,15 +63,15 @@
 
 fn chunk(
     shared: &Shared,
-    job: &Job,
+    completion: &CompletionRequest,
     text: Option<String>,
     finish_reason: Option<&str>,
     usage: Option<Usage>,
-) -> Chunk {
+) -> StreamChunk {
     let finish_reason = finish_reason.map(str::to_owned);
-    let id = job.id.clone();
+    let id = completion.id.clone();
     let model = shared.options.model.clone();
-    if job.is_chat {
+    if completion.is_chat {
         let delta = Delta {
             role: None,
             content: text,
@@ -65,7 +81,7 @@
             delta,
             finish_reason,
         };
-        return Chunk::Chat(ChatChunk {
+        return StreamChunk::Chat(ChatChunk {
             id,
             object: "chat.completion.chunk".to_owned(),
             created: 0,
@@ -83,7 +99,7 @@
         text: text.unwrap_or_default(),
         finish_reason,
     };
-    Chunk::Plain(Completion {
+    StreamChunk::Plain(Completion {
         id,
         object: "text_completion".to_owned(),
         created: 0,
@@ -97,13 +113,20 @@
     })
 }
 
-/// The body of a whole answer.
-pub(super) fn whole_body(shared: &Shared, job: &Job, text: String) -> io::Result<Vec<u8>> {
-    let id = job.id.clone();
+/// Encodes the body of an answer that is not streamed.
+pub(super) fn whole_body(
+    shared: &Shared,
+    completion: &CompletionRequest,
+    text: String,
+) -> io::Result<Vec<u8>> {
+    let id = completion.id.clone();
     let model = shared.options.model.clone();
-    let usage = Some(Usage::new(job.prompt_tokens, job.total));
-    let finish_reason = Some(job.finish_reason.to_owned());
-    if job.is_chat {
+    let usage = Some(Usage::new(
+        completion.prompt_tokens,
+        completion.output_tokens,
+    ));
+    let finish_reason = Some(completion.finish_reason.to_owned());
+    if completion.is_chat {
         let message = AssistantMessage {
             role: "assistant".to_owned(),
             content: Some(text),
--- a/crates/standin/src/engine/fault.rs
+++ b/crates/standin/src/engine/fault.rs
@@ -1,51 +1,51 @@
-//! Faults of an engine.
+//! Injected faults of an engine.
 
 use rand::{rngs::StdRng, Rng, SeedableRng};
 
-/// One million parts make a whole.
-const WHOLE_PPM: u32 = 1_000_000;
+/// Denominator of probabilities in parts per million.
+const PPM_DENOMINATOR: u32 = 1_000_000;
 
-/// What goes wrong with a request.
+/// Fault injected into the handling of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It is answered with this status instead, and not run.
+    /// The request is answered with this status and not run.
     Status(u16),
     /// The connection closes before the first byte of the answer.
     CloseBeforeFirstByte,
-    /// The connection closes once this many bytes of the body are sent.
+    /// The connection closes after this many bytes of the body.
     CloseAfterBytes(usize),
-    /// A whole answer ends short of its announced length; a stream ends in good form but without
-    /// its last tokens and its final event.
+    /// The end of the answer is missing. A non-streamed answer stops short of its announced length;
+    /// a stream ends cleanly but without its last token and its final events.
     Truncated,
-    /// The answer begins later than usual, in milliseconds.
+    /// The request starts after an additional delay, in milliseconds.
     Delayed(u64),
 }
 
-/// When a fault comes about.
+/// Rule that decides which requests a fault applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultRule {
-    /// What goes wrong.
+    /// Fault to inject.
     pub fault: Fault,
-    /// Chance for each request, out of 1,000,000.
+    /// Probability for each request, in parts per 1,000,000.
     pub ppm: u32,
-    /// Requests that still meet with the fault.
+    /// Maximum number of further requests that get the fault.
     pub remaining: u64,
-    /// Running requests from which on the fault comes about.
+    /// Minimum number of running requests for the fault to apply.
     pub min_running: u32,
 }
 
 impl FaultRule {
-    /// A fault of the next `count` requests.
+    /// Creates a rule for the next `count` requests.
     pub fn for_next(fault: Fault, count: u64) -> Self {
         Self {
             fault,
-            ppm: WHOLE_PPM,
+            ppm: PPM_DENOMINATOR,
             remaining: count,
             min_running: 0,
         }
     }
 
-    /// A fault of requests at random, `ppm` out of 1,000,000.
+    /// Creates a rule for random requests, with a probability of `ppm` parts per 1,000,000.
     pub fn random(fault: Fault, ppm: u32) -> Self {
         Self {
             fault,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The same fault, but only while at least `running` requests run.
+    /// Restricts the rule to times when at least `running` requests run.
     pub fn under_load(self, running: u32) -> Self {
         Self {
             min_running: running,
@@ -64,7 +64,7 @@
     }
 }
 
-/// The faults in force.
+/// Active fault rules and slowdown of an engine.
 pub(super) struct Faults {
     rules: Vec<FaultRule>,
     pub(super) slowdown_pct: u64,
@@ -89,11 +89,11 @@
         self.slowdown_pct = 100;
     }
 
-    /// The fault of a request that comes in while `running` requests run.
+    /// Chooses the fault of a request that arrives while `running` requests run.
     pub(super) fn choose(&mut self, running: u32) -> Option<Fault> {
         for rule in &mut self.rules {
             let applies = rule.remaining > 0 && running >= rule.min_running;
-            if applies && self.rng.random_range(0..WHOLE_PPM) < rule.ppm {
+            if applies && self.rng.random_range(0..PPM_DENOMINATOR) < rule.ppm {
                 rule.remaining = rule.remaining.saturating_sub(1);
                 return Some(rule.fault);
             }
--- a/crates/standin/src/engine/generate.rs
+++ b/crates/standin/src/engine/generate.rs
@@ -1,105 +1,114 @@
-//! Generating answers.
+//! Generation of answers.
 
 use super::{
-    completion::{Job, Running},
+    completion::{CompletionRequest, RequestTracker},
     encoding,
     fault::Fault,
     output,
-    pacer::Pace,
+    pacer::TokenPacer,
     Shared,
 };
 use crate::{
-    http::{BodyWriter, Ending, Responder},
+    http::{BodyWriter, ConnectionState, Responder},
     lock,
 };
 use std::{io, ops::Range, time::Duration};
 use tokio::time::sleep;
 
-/// Runs a request from its place in the queue to the end of its answer.
+/// Runs a request: waits in the queue, then generates and sends the answer.
 pub(super) async fn run(
     shared: &Shared,
-    job: &Job,
+    completion: &CompletionRequest,
     fault: Option<Fault>,
     responder: Responder,
-) -> Ending {
-    let mut running = Running::new(shared, job);
+) -> ConnectionState {
+    let mut tracker = RequestTracker::new(shared, completion);
     if let Some(Fault::Delayed(ms)) = fault {
         sleep(Duration::from_millis(ms)).await;
     }
-    let Some(pace) = Pace::start(shared, job, || running.start()).await else {
-        return Ending::Closed;
+    let Some(pacer) = TokenPacer::start(shared, completion, || tracker.mark_started()).await else {
+        return ConnectionState::Closed;
     };
-    let ending = if job.is_stream {
-        send_stream(shared, job, fault, pace, responder).await
+    let connection = if completion.is_stream {
+        send_stream(shared, completion, fault, pacer, responder).await
     } else {
-        send_whole(shared, job, fault, pace, responder).await
+        send_whole(shared, completion, fault, pacer, responder).await
     };
     if matches!(fault, Some(Fault::CloseAfterBytes(_) | Fault::Truncated)) {
-        running.fail();
-    } else if ending.is_ok() {
-        running.complete();
+        tracker.mark_failed();
+    } else if connection.is_ok() {
+        tracker.mark_completed();
     }
-    ending.unwrap_or(Ending::Closed)
+    connection.unwrap_or(ConnectionState::Closed)
 }
 
 async fn send_whole(
     shared: &Shared,
-    job: &Job,
+    completion: &CompletionRequest,
     fault: Option<Fault>,
-    mut pace: Pace<'_>,
+    mut pacer: TokenPacer<'_>,
     responder: Responder,
-) -> io::Result<Ending> {
-    let tokens = job.total - job.first;
-    pace.wait(tokens.saturating_sub(1)).await;
+) -> io::Result<ConnectionState> {
+    let tokens = completion.output_tokens - completion.resume_from_tokens;
+    pacer.wait_for_tokens(tokens.saturating_sub(1)).await;
     lock(&shared.counts).tokens += tokens;
-    let text = (job.first..job.total).map(|index| output::token(job.prompt, index));
-    let body = encoding::whole_body(shared, job, text.collect())?;
+    let text = (completion.resume_from_tokens..completion.output_tokens)
+        .map(|position| output::token(completion.prompt_hash, position));
+    let body = encoding::whole_body(shared, completion, text.collect())?;
     let sent = match fault {
         Some(Fault::CloseAfterBytes(bytes)) => bytes,
         Some(Fault::Truncated) => body.len() - 1,
         _ => body.len(),
     };
     Ok(responder
-        .cut_off(200, "application/json", &body, sent)
+        .send_truncated(200, "application/json", &body, sent)
         .await)
 }
 
 async fn send_stream(
     shared: &Shared,
-    job: &Job,
+    completion: &CompletionRequest,
     fault: Option<Fault>,
-    pace: Pace<'_>,
+    pacer: TokenPacer<'_>,
     responder: Responder,
-) -> io::Result<Ending> {
-    let mut body = responder.stream("text/event-stream").await?;
-    let mut last = job.total;
+) -> io::Result<ConnectionState> {
+    let mut body = responder.start_stream("text/event-stream").await?;
+    let mut end = completion.output_tokens;
     match fault {
-        Some(Fault::CloseAfterBytes(bytes)) => body.cut_after(Some(bytes)),
-        Some(Fault::Truncated) => last = last.saturating_sub(1).max(job.first),
+        Some(Fault::CloseAfterBytes(bytes)) => body.abort_after(Some(bytes)),
+        Some(Fault::Truncated) => end = end.saturating_sub(1).max(completion.resume_from_tokens),
         _ => {}
     }
-    send_tokens(shared, job, job.first..last, pace, &mut body).await?;
+    send_tokens(
+        shared,
+        completion,
+        completion.resume_from_tokens..end,
+        pacer,
+        &mut body,
+    )
+    .await?;
     if fault != Some(Fault::Truncated) {
-        body.send(&encoding::last_events(shared, job)?).await?;
+        body.send(&encoding::last_events(shared, completion)?)
+            .await?;
     }
     Ok(body.finish().await)
 }
 
 async fn send_tokens(
     shared: &Shared,
-    job: &Job,
-    places: Range<u64>,
-    mut pace: Pace<'_>,
+    completion: &CompletionRequest,
+    positions: Range<u64>,
+    mut pacer: TokenPacer<'_>,
     body: &mut BodyWriter,
 ) -> io::Result<()> {
     let mut pending = Vec::new();
-    for index in places {
-        if index > job.first && !pace.is_instant() {
+    for position in positions {
+        if position > completion.resume_from_tokens && !pacer.is_instant() {
             body.send(&std::mem::take(&mut pending)).await?;
-            pace.wait(1).await;
+            pacer.wait_for_tokens(1).await;
         }
-        let text = output::token(job.prompt, index);
-        pending.extend(encoding::token_event(shared, job, text)?);
+        let text = output::token(completion.prompt_hash, position);
+        pending.extend(encoding::token_event(shared, completion, text)?);
         lock(&shared.counts).tokens += 1;
     }
     body.send(&pending).await
--- a/crates/standin/src/engine/load.rs
+++ b/crates/standin/src/engine/load.rs
@@ -1,55 +1,55 @@
-//! The load report and its lag.
+//! Delayed load report of an engine.
 
 use carobwheel_core::time::Millis;
 use carobwheel_wire::platform::LoadReport;
 use std::collections::VecDeque;
 
-/// The load now and as it stood before.
-pub(super) struct Load {
+/// Current load of an engine and its recent history.
+pub(super) struct LaggedLoad {
     lag_ms: u64,
-    now: LoadReport,
-    past: VecDeque<(Millis, LoadReport)>,
+    current: LoadReport,
+    history: VecDeque<(Millis, LoadReport)>,
 }
 
-impl Load {
+impl LaggedLoad {
     pub(super) fn new(lag_ms: u64) -> Self {
         Self {
             lag_ms,
-            now: LoadReport::default(),
-            past: VecDeque::new(),
+            current: LoadReport::default(),
+            history: VecDeque::new(),
         }
     }
 
-    pub(super) fn now(&self) -> LoadReport {
-        self.now
+    pub(super) fn current(&self) -> LoadReport {
+        self.current
     }
 
-    pub(super) fn change(&mut self, now: Millis, change: impl FnOnce(&mut LoadReport)) {
-        change(&mut self.now);
+    pub(super) fn update(&mut self, now: Millis, update: impl FnOnce(&mut LoadReport)) {
+        update(&mut self.current);
         if self.lag_ms > 0 {
-            self.past.push_back((now, self.now));
-            self.forget(now);
+            self.history.push_back((now, self.current));
+            self.discard_old(now);
         }
     }
 
-    /// The report that the engine publishes at `now`.
+    /// Returns the load report that the engine publishes at `now`, delayed by the lag.
     pub(super) fn published(&mut self, now: Millis) -> LoadReport {
         if self.lag_ms == 0 {
-            return self.now;
+            return self.current;
         }
-        self.forget(now);
-        let oldest = self.past.front();
-        let known = oldest.filter(|(at, _)| now.since(*at) >= self.lag_ms);
+        self.discard_old(now);
+        let oldest = self.history.front();
+        let published = oldest.filter(|(at, _)| now.since(*at) >= self.lag_ms);
         LoadReport {
             age_ms: self.lag_ms,
-            ..known.map_or(LoadReport::default(), |(_, load)| *load)
+            ..published.map_or(LoadReport::default(), |(_, load)| *load)
         }
     }
 
-    /// Keeps one state that is older than the lag, and all younger ones.
-    fn forget(&mut self, now: Millis) {
-        while self.past.len() > 1 && now.since(self.past[1].0) >= self.lag_ms {
-            self.past.pop_front();
+    /// Drops all states older than the lag except the newest of them.
+    fn discard_old(&mut self, now: Millis) {
+        while self.history.len() > 1 && now.since(self.history[1].0) >= self.lag_ms {
+            self.history.pop_front();
         }
     }
 }
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,8 +1,9 @@
-//! A model engine with the OpenAI-compatible interface.
+//! Stand-in for an inference engine with an OpenAI-compatible API.
 //!
-//! Its answers are a function of the prompt and the place of each token, so that a caller can check
-//! that it got the whole answer to its own request, also when another engine has resumed it. It
-//! records what it saw and can be made to fail in the ways that engines do.
+//! Each token of an answer is a function of the prompt and the token's position, so that a caller
+//! can verify that it received the complete answer to its own request, also when another engine
+//! resumed it. The engine records the requests that it receives, and faults that occur in real
+//! engines can be injected.
 
 mod api;
 mod batch_runner;
@@ -22,11 +23,11 @@
     http::{RecordedRequest, Server},
     lock,
 };
-use batch_runner::Batching;
+use batch_runner::BatchRunner;
 use carobwheel_core::time::Clock;
 use carobwheel_wire::platform::LoadReport;
 use fault::Faults;
-use load::Load;
+use load::LaggedLoad;
 use std::{
     io,
     net::{Ipv4Addr, SocketAddr},
@@ -34,40 +35,40 @@
 };
 use tokio::sync::Semaphore;
 
-/// Header with the number of tokens that the caller has already.
+/// Request header with the number of answer tokens that the caller already has.
 pub const RESUME_HEADER: &str = "carobwheel-resume-from";
 
-/// How to start an engine.
+/// Options of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub addr: SocketAddr,
-    /// Threads that serve requests.
+    /// Number of threads that serve requests.
     pub workers: usize,
     /// Name of the model.
     pub model: String,
     /// Version of the model, reported in the header `x-model-version`.
     pub version: String,
-    /// Credential that requests have to carry as a bearer token; none accepts all.
+    /// Bearer token that requests must carry; `None` accepts all requests.
     pub credential: Option<String>,
     /// Time from the start of a request to its first token, in milliseconds.
     pub first_token_ms: u64,
     /// Time between two tokens, in milliseconds.
     pub token_ms: u64,
-    /// Prompt tokens read in a second; 0 reads them in no time.
+    /// Prefill throughput, in prompt tokens per second; 0 disables the prefill delay.
     pub prefill_tokens_per_s: u64,
-    /// Requests decoded together at most.
+    /// Maximum number of requests decoded at the same time.
     pub batch_slots: u32,
-    /// Longest answer, in tokens. A request's own bound may make it shorter.
+    /// Length of answers, in tokens, unless the request sets a lower limit.
     pub answer_tokens: u64,
-    /// Model of a batch that decides when tokens come, in place of the times above; its slots are
-    /// set to `batch_slots`.
+    /// Settings of a simulated batch that determines the token times in place of the fixed delays
+    /// above. Its slots and report lag are set from `batch_slots` and `load_lag_ms`.
     pub batch: Option<BatchSettings>,
     /// Age of load reports, in milliseconds.
     pub load_lag_ms: u64,
-    /// Most requests to record; later ones are only counted.
+    /// Maximum number of recorded requests; later ones are only counted.
     pub max_records: usize,
-    /// Seed of the random faults.
+    /// Seed of the random number generator for faults.
     pub seed: u64,
 }
 
@@ -92,20 +93,20 @@
     }
 }
 
-/// What an engine has counted.
+/// Counters of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineCounts {
-    /// Requests that came in, refused ones included.
+    /// Completion requests received, including refused ones.
     pub requests: u64,
-    /// Requests that got a place in the batch.
+    /// Requests that started running.
     pub started: u64,
-    /// Answers sent to their end.
+    /// Answers sent completely.
     pub completed: u64,
-    /// Requests whose caller left before the end.
+    /// Requests whose caller disconnected before the end of the answer.
     pub cancelled: u64,
-    /// Requests refused or broken off by a fault.
+    /// Requests refused or aborted by an injected fault.
     pub failed: u64,
-    /// Requests without the right credential.
+    /// Requests without a valid credential.
     pub unauthorized: u64,
     /// Tokens generated.
     pub tokens: u64,
@@ -115,14 +116,14 @@
     options: EngineOptions,
     clock: Clock,
     slots: Semaphore,
-    batching: Option<Arc<Batching>>,
+    batch_runner: Option<Arc<BatchRunner>>,
     counts: Mutex<EngineCounts>,
-    records: Mutex<Vec<RecordedRequest>>,
+    recorded_requests: Mutex<Vec<RecordedRequest>>,
     faults: Mutex<Faults>,
-    load: Mutex<Load>,
+    load: Mutex<LaggedLoad>,
 }
 
-/// A running engine; dropping it stops it.
+/// Handle of a running engine. Dropping it stops the engine.
 pub struct Engine {
     server: Server,
     shared: Arc<Shared>,
@@ -135,8 +136,8 @@
 /// Fails when the address cannot be bound.
 pub fn start(options: EngineOptions) -> io::Result<Engine> {
     let (addr, workers) = (options.addr, options.workers);
-    let batching = options.batch.map(|settings| {
-        Arc::new(Batching::new(BatchSettings {
+    let batch_runner = options.batch.map(|settings| {
+        Arc::new(BatchRunner::new(BatchSettings {
             slots: options.batch_slots as usize,
             report_lag_us: options.load_lag_ms * 1_000,
             ..settings
@@ -144,17 +145,17 @@
     });
     let shared = Arc::new(Shared {
         clock: Clock::default(),
-        batching,
+        batch_runner,
         slots: Semaphore::new(options.batch_slots as usize),
         counts: Mutex::default(),
-        records: Mutex::default(),
+        recorded_requests: Mutex::default(),
         faults: Mutex::new(Faults::new(options.seed)),
-        load: Mutex::new(Load::new(options.load_lag_ms)),
+        load: Mutex::new(LaggedLoad::new(options.load_lag_ms)),
         options,
     });
-    let of_handler = shared.clone();
+    let handler_shared = shared.clone();
     let handler = move |request: RecordedRequest, responder| {
-        let answer = api::answer(of_handler.clone(), request, responder);
+        let answer = api::answer(handler_shared.clone(), request, responder);
         Box::pin(answer) as futures::future::BoxFuture<'static, _>
     };
     let server = Server::start("engine", addr, workers, Arc::new(handler))?;
@@ -172,27 +173,27 @@
         format!("http://{}", self.server.addr)
     }
 
-    /// Adds a fault. Rules are looked at in the order in which they were added.
+    /// Adds a fault rule. Rules are evaluated in the order in which they were added.
     pub fn add_fault(&self, rule: FaultRule) {
         lock(&self.shared.faults).add(rule);
     }
 
-    /// Lets the next `count` requests meet with `fault`.
+    /// Injects `fault` into the next `count` requests.
     pub fn fail_next(&self, fault: Fault, count: u64) {
         self.add_fault(FaultRule::for_next(fault, count));
     }
 
-    /// Takes all faults back, the slowdown too.
+    /// Removes all fault rules and resets the slowdown.
     pub fn clear_faults(&self) {
         lock(&self.shared.faults).clear();
         self.set_slowdown_pct(100);
     }
 
-    /// Makes all waits or steps longer, in percent; 100 is the usual speed.
+    /// Scales the duration of all delays or steps, in percent; 100 is the normal speed.
     pub fn set_slowdown_pct(&self, pct: u64) {
         lock(&self.shared.faults).slowdown_pct = pct;
-        if let Some(batching) = &self.shared.batching {
-            batching.set_slowdown_pct(pct);
+        if let Some(batch_runner) = &self.shared.batch_runner {
+            batch_runner.set_slowdown_pct(pct);
         }
     }
 
@@ -201,30 +202,33 @@
         self.server.set_refusing(is_refusing);
     }
 
-    /// Cuts all open connections.
+    /// Closes all open connections.
     pub fn close_connections(&self) {
         self.server.close_connections();
     }
 
-    /// What the engine has counted so far.
+    /// Returns the current counters.
     pub fn counts(&self) -> EngineCounts {
         *lock(&self.shared.counts)
     }
 
-    /// The load as it stands now.
+    /// Returns the current load, without the lag of load reports.
     pub fn load(&self) -> LoadReport {
-        lock(&self.shared.load).now()
+        lock(&self.shared.load).current()
     }
 
-    /// The requests recorded so far, with all headers, in order of arrival.
+    /// Returns the recorded requests with all headers, in order of arrival.
     pub fn requests(&self) -> Vec<RecordedRequest> {
-        lock(&self.shared.records).clone()
+        lock(&self.shared.recorded_requests).clone()
     }
 
-    /// Requests recorded so far that contain `text` in their target, headers or body.
+    /// Counts the recorded requests that contain `text` in their target, headers or body.
     pub fn count_containing(&self, text: &str) -> usize {
-        let records = lock(&self.shared.records);
-        records.iter().filter(|seen| seen.contains(text)).count()
+        let recorded = lock(&self.shared.recorded_requests);
+        recorded
+            .iter()
+            .filter(|request| request.contains(text))
+            .count()
     }
 
     /// Stops the engine and waits for its thread.
--- a/crates/standin/src/http/mod.rs
+++ b/crates/standin/src/http/mod.rs
@@ -1,14 +1,14 @@
-//! A small HTTP/1.1 server whose connections can be made to fail at any byte.
+//! Minimal HTTP/1.1 server that can close a connection at any byte of an answer.
 //!
-//! Server libraries end a body cleanly even when its source has failed, so they cannot stand in for
-//! an upstream that dies in the middle of an answer.
+//! Server libraries end a body cleanly even when its source fails, so they cannot simulate an
+//! upstream that crashes in the middle of an answer.
 
 mod request;
 mod responder;
 
 pub use request::RecordedRequest;
-pub(crate) use request::{Reader, Request};
-pub(crate) use responder::{BodyWriter, Ending, Responder};
+pub(crate) use request::{Request, RequestReader};
+pub(crate) use responder::{BodyWriter, ConnectionState, Responder};
 
 use futures::future::BoxFuture;
 use std::{
@@ -24,14 +24,14 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1_024;
+/// Maximum number of connections waiting to be accepted.
+const LISTEN_BACKLOG: u32 = 1_024;
 
-/// Answers one request. Dropping the future means that the caller has left.
+/// Handler of one request. Its future is dropped when the caller disconnects.
 pub(crate) type Handler =
-    Arc<dyn Fn(Request, Responder) -> BoxFuture<'static, Ending> + Send + Sync>;
+    Arc<dyn Fn(Request, Responder) -> BoxFuture<'static, ConnectionState> + Send + Sync>;
 
-/// Switches of a running server.
+/// State shared by the handle and the thread of a server.
 struct Control {
     stop: CancellationToken,
     is_refusing: watch::Sender<bool>,
@@ -39,7 +39,7 @@
 }
 
 impl Control {
-    /// The token that open connections run under.
+    /// Returns the token that is cancelled when the connections open now are closed.
     fn connections(&self) -> CancellationToken {
         self.lock_connections().clone()
     }
@@ -49,7 +49,7 @@
     }
 }
 
-/// A running server; dropping it stops it.
+/// Handle of a running server. Dropping it stops the server.
 pub(crate) struct Server {
     pub(crate) addr: SocketAddr,
     control: Arc<Control>,
@@ -57,7 +57,7 @@
 }
 
 impl Server {
-    /// Starts a server on a thread of its own with `workers` threads for its requests.
+    /// Starts a server on a separate thread, with `workers` threads that serve requests.
     pub(crate) fn start(
         name: &str,
         addr: SocketAddr,
@@ -96,12 +96,12 @@
         })
     }
 
-    /// Closes the listening socket, or opens it again. Open connections stay.
+    /// Closes the listening socket, or opens it again. Open connections are kept.
     pub(crate) fn set_refusing(&self, is_refusing: bool) {
         self.control.is_refusing.send_replace(is_refusing);
     }
 
-    /// Cuts all open connections.
+    /// Closes all open connections.
     pub(crate) fn close_connections(&self) {
         let old = std::mem::take(&mut *self.control.lock_connections());
         old.cancel();
@@ -111,7 +111,7 @@
     pub(crate) fn stop(&mut self) {
         self.control.stop.cancel();
         if let Some(thread) = self.thread.take() {
-            assert!(thread.join().is_ok(), "a stand-in's thread panicked");
+            assert!(thread.join().is_ok(), "stand-in thread panicked");
         }
     }
 }
@@ -141,7 +141,7 @@
     };
     socket.set_reuseaddr(true)?;
     socket.bind(addr)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
 async fn accept_all(
@@ -177,9 +177,9 @@
     }
 }
 
-async fn serve(stream: TcpStream, cut: CancellationToken, handler: Handler) {
+async fn serve(stream: TcpStream, cancel: CancellationToken, handler: Handler) {
     tokio::select! {
-        () = cut.cancelled() => {}
+        () = cancel.cancelled() => {}
         () = serve_requests(stream, &handler) => {}
     }
 }
@@ -188,18 +188,18 @@
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    let (reading, mut writing) = stream.into_split();
-    let mut reader = Reader::new(reading);
-    while let Ok(Some(request)) = reader.next_request(&mut writing).await {
-        let responder = Responder::new(writing, request.keeps_alive());
-        let ending = tokio::select! {
+    let (read_half, mut write_half) = stream.into_split();
+    let mut reader = RequestReader::new(read_half);
+    while let Ok(Some(request)) = reader.next_request(&mut write_half).await {
+        let responder = Responder::new(write_half, request.keeps_alive());
+        let connection = tokio::select! {
             biased;
-            ending = handler(request, responder) => ending,
+            connection = handler(request, responder) => connection,
             () = reader.closed() => return,
         };
-        match ending {
-            Ending::Reusable(half) => writing = half,
-            Ending::Closed => return,
+        match connection {
+            ConnectionState::Reusable(half) => write_half = half,
+            ConnectionState::Closed => return,
         }
     }
 }
--- a/crates/standin/src/http/request.rs
+++ b/crates/standin/src/http/request.rs
@@ -1,4 +1,4 @@
-//! Reading requests.
+//! Parsing of requests.
 
 use bytes::{Buf, BytesMut};
 use std::io;
@@ -7,31 +7,31 @@
     net::tcp::{OwnedReadHalf, OwnedWriteHalf},
 };
 
-/// Longest head, in bytes.
+/// Maximum size of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 65_536;
-/// Longest body, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
-/// Room made before each read, in bytes.
-const READ_BYTES: usize = 16_384;
+/// Buffer space reserved before each read, in bytes.
+const READ_BUFFER_BYTES: usize = 16_384;
 
-/// A request as it came in.
+/// Request as received by a stand-in.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecordedRequest {
-    /// Method in capital letters.
+    /// Method in upper case.
     pub method: String,
-    /// Path and query.
+    /// Path and query of the URL.
     pub target: String,
-    /// Names in lower case and values, in order of arrival.
+    /// Header names in lower case and values, in the order received.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// Body without its framing.
     pub body: Vec<u8>,
 }
 
-/// The crate's own name of a request.
+/// Shorter name of a request within this crate.
 pub(crate) type Request = RecordedRequest;
 
 impl RecordedRequest {
-    /// First value of the header `name`, which is given in lower case.
+    /// Returns the first value of the header `name`, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -39,12 +39,12 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// The path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// The text occurs in the target, a header or the body.
+    /// Returns true if `text` occurs in the target, a header or the body.
     pub fn contains(&self, text: &str) -> bool {
         let body = String::from_utf8_lossy(&self.body);
         let is_in_headers =
@@ -59,37 +59,39 @@
     }
 }
 
-/// How the body of a request is framed.
+/// Framing of a request body.
 enum Framing {
     Length(usize),
     Chunked,
 }
 
-/// Reads requests from one connection.
-pub(crate) struct Reader {
-    half: OwnedReadHalf,
+/// Reader of the requests of one connection.
+pub(crate) struct RequestReader {
+    read_half: OwnedReadHalf,
     buffer: BytesMut,
 }
 
-impl Reader {
-    pub(crate) fn new(half: OwnedReadHalf) -> Self {
+impl RequestReader {
+    pub(crate) fn new(read_half: OwnedReadHalf) -> Self {
         Self {
-            half,
+            read_half,
             buffer: BytesMut::new(),
         }
     }
 
-    /// Reads the next request; `None` when the caller has closed the connection between requests.
+    /// Reads the next request. Returns `None` if the caller closed the connection between requests.
     pub(crate) async fn next_request(
         &mut self,
-        writing: &mut OwnedWriteHalf,
+        write_half: &mut OwnedWriteHalf,
     ) -> io::Result<Option<Request>> {
         let Some(head) = self.read_head().await? else {
             return Ok(None);
         };
         let mut request = parse_head(&head)?;
         if request.header("expect").is_some() {
-            writing.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
+            write_half
+                .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
+                .await?;
         }
         request.body = match framing(&request)? {
             Framing::Length(length) => self.read_exact(length).await?,
@@ -98,7 +100,7 @@
         Ok(Some(request))
     }
 
-    /// Completes when the caller has closed the connection. Bytes of a next request are kept.
+    /// Completes when the caller closes the connection. Bytes of a pipelined request are kept.
     pub(crate) async fn closed(&mut self) {
         while self.buffer.len() < MAX_HEAD_BYTES {
             if self.fill().await.is_err() {
@@ -109,8 +111,8 @@
     }
 
     async fn fill(&mut self) -> io::Result<()> {
-        self.buffer.reserve(READ_BYTES);
-        match self.half.read_buf(&mut self.buffer).await? {
+        self.buffer.reserve(READ_BUFFER_BYTES);
+        match self.read_half.read_buf(&mut self.buffer).await? {
             0 => Err(io::ErrorKind::UnexpectedEof.into()),
             _ => Ok(()),
         }
@@ -118,7 +120,7 @@
 
     async fn read_head(&mut self) -> io::Result<Option<BytesMut>> {
         loop {
-            if let Some(end) = find(&self.buffer, b"\r\n\r\n") {
+            if let Some(end) = find_bytes(&self.buffer, b"\r\n\r\n") {
                 let head = self.buffer.split_to(end);
                 self.buffer.advance(4);
                 return Ok(Some(head));
@@ -144,7 +146,7 @@
 
     async fn read_line(&mut self) -> io::Result<String> {
         loop {
-            if let Some(end) = find(&self.buffer, b"\r\n") {
+            if let Some(end) = find_bytes(&self.buffer, b"\r\n") {
                 let line = String::from_utf8_lossy(&self.buffer.split_to(end)).into_owned();
                 self.buffer.advance(2);
                 return Ok(line);
@@ -172,7 +174,7 @@
     }
 }
 
-fn find(buffer: &[u8], wanted: &[u8]) -> Option<usize> {
+fn find_bytes(buffer: &[u8], wanted: &[u8]) -> Option<usize> {
     buffer
         .windows(wanted.len())
         .position(|window| window == wanted)
--- a/crates/standin/src/http/responder.rs
+++ b/crates/standin/src/http/responder.rs
@@ -1,4 +1,4 @@
-//! Writing answers.
+//! Writing of answers.
 
 use serde::Serialize;
 use std::{fmt::Write, io};
@@ -6,25 +6,25 @@
 
 const JSON: &str = "application/json";
 
-/// What becomes of a connection after an answer.
-pub(crate) enum Ending {
-    /// The answer is complete; the connection takes another request.
+/// State of a connection after an answer.
+pub(crate) enum ConnectionState {
+    /// The answer is complete and the connection can serve another request.
     Reusable(OwnedWriteHalf),
-    /// The connection closes.
+    /// The connection must be closed.
     Closed,
 }
 
-/// The writing end of a connection that owes an answer. Dropping it closes the connection.
+/// Write half of a connection with an unanswered request. Dropping it closes the connection.
 pub(crate) struct Responder {
-    half: OwnedWriteHalf,
+    write_half: OwnedWriteHalf,
     keeps_alive: bool,
     headers: String,
 }
 
 impl Responder {
-    pub(crate) fn new(half: OwnedWriteHalf, keeps_alive: bool) -> Self {
+    pub(crate) fn new(write_half: OwnedWriteHalf, keeps_alive: bool) -> Self {
         Self {
-            half,
+            write_half,
             keeps_alive,
             headers: String::new(),
         }
@@ -37,44 +37,50 @@
     }
 
     /// Answers with a JSON body.
-    pub(crate) async fn json(self, status: u16, body: &impl Serialize) -> Ending {
+    pub(crate) async fn send_json(self, status: u16, body: &impl Serialize) -> ConnectionState {
         let body = serde_json::to_vec(body).unwrap_or_default();
-        self.whole(status, JSON, &body).await
+        self.send_body(status, JSON, &body).await
     }
 
-    /// Answers with a body whose length is announced.
-    pub(crate) async fn whole(self, status: u16, content_type: &str, body: &[u8]) -> Ending {
-        self.cut_off(status, content_type, body, body.len()).await
+    /// Answers with a body and its content length.
+    pub(crate) async fn send_body(
+        self,
+        status: u16,
+        content_type: &str,
+        body: &[u8],
+    ) -> ConnectionState {
+        self.send_truncated(status, content_type, body, body.len())
+            .await
     }
 
-    /// Announces the whole body but sends only its first `sent` bytes. The connection closes when
-    /// bytes are missing.
-    pub(crate) async fn cut_off(
+    /// Answers with the content length of the complete body but sends only its first `sent` bytes.
+    /// The connection is closed if bytes are missing.
+    pub(crate) async fn send_truncated(
         mut self,
         status: u16,
         content_type: &str,
         body: &[u8],
         sent: usize,
-    ) -> Ending {
+    ) -> ConnectionState {
         let framing = format!("content-length: {}", body.len());
         let mut answer = self.head(status, content_type, &framing);
         answer.extend(&body[..sent.min(body.len())]);
-        let written = self.half.write_all(&answer).await;
+        let written = self.write_half.write_all(&answer).await;
         if written.is_err() || sent < body.len() || !self.keeps_alive {
-            return Ending::Closed;
+            return ConnectionState::Closed;
         }
-        Ending::Reusable(self.half)
+        ConnectionState::Reusable(self.write_half)
     }
 
-    /// Begins an answer in chunks.
-    pub(crate) async fn stream(mut self, content_type: &str) -> io::Result<BodyWriter> {
+    /// Begins an answer with chunked transfer encoding.
+    pub(crate) async fn start_stream(mut self, content_type: &str) -> io::Result<BodyWriter> {
         let head = self.head(200, content_type, "transfer-encoding: chunked");
-        self.half.write_all(&head).await?;
+        self.write_half.write_all(&head).await?;
         Ok(BodyWriter {
-            half: self.half,
+            write_half: self.write_half,
             keeps_alive: self.keeps_alive,
             sent_bytes: 0,
-            cut_after_bytes: None,
+            abort_after_bytes: None,
         })
     }
 
@@ -93,45 +99,45 @@
     }
 }
 
-/// Writes a body in chunks. Dropping it without [`BodyWriter::finish`] cuts the body off.
+/// Writer of a chunked body. Dropping it without [`BodyWriter::finish`] leaves the body truncated.
 pub(crate) struct BodyWriter {
-    half: OwnedWriteHalf,
+    write_half: OwnedWriteHalf,
     keeps_alive: bool,
     sent_bytes: usize,
-    cut_after_bytes: Option<usize>,
+    abort_after_bytes: Option<usize>,
 }
 
 impl BodyWriter {
-    /// Lets the connection die once `bytes` of the body are sent.
-    pub(crate) fn cut_after(&mut self, bytes: Option<usize>) {
-        self.cut_after_bytes = bytes;
+    /// Makes sending fail after `bytes` bytes of the body, so that the connection is closed there.
+    pub(crate) fn abort_after(&mut self, bytes: Option<usize>) {
+        self.abort_after_bytes = bytes;
     }
 
     /// Sends one chunk.
     pub(crate) async fn send(&mut self, data: &[u8]) -> io::Result<()> {
-        let room = self
-            .cut_after_bytes
+        let remaining = self
+            .abort_after_bytes
             .map_or(data.len(), |limit| limit - self.sent_bytes);
-        let data = &data[..room.min(data.len())];
+        let data = &data[..remaining.min(data.len())];
         if !data.is_empty() {
             let mut chunk = format!("{:x}\r\n", data.len()).into_bytes();
             chunk.extend(data);
             chunk.extend(b"\r\n");
-            self.half.write_all(&chunk).await?;
+            self.write_half.write_all(&chunk).await?;
             self.sent_bytes += data.len();
         }
-        if self.cut_after_bytes == Some(self.sent_bytes) {
+        if self.abort_after_bytes == Some(self.sent_bytes) {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         Ok(())
     }
 
     /// Ends the body.
-    pub(crate) async fn finish(mut self) -> Ending {
-        let written = self.half.write_all(b"0\r\n\r\n").await;
+    pub(crate) async fn finish(mut self) -> ConnectionState {
+        let written = self.write_half.write_all(b"0\r\n\r\n").await;
         if written.is_err() || !self.keeps_alive {
-            return Ending::Closed;
+            return ConnectionState::Closed;
         }
-        Ending::Reusable(self.half)
+        ConnectionState::Reusable(self.write_half)
     }
 }
--- a/crates/standin/src/livelist/mod.rs
+++ b/crates/standin/src/livelist/mod.rs
@@ -1,7 +1,8 @@
-//! The platform's lagging list of instances and its directory for callers.
+//! Stand-in for the platform's list of live instances, which lags behind, and for its directory for
+//! callers.
 
 use crate::{
-    http::{Ending, Request, Responder, Server},
+    http::{ConnectionState, Request, Responder, Server},
     lock,
 };
 use carobwheel_core::time::{Clock, Millis};
@@ -16,12 +17,12 @@
     sync::{Arc, Mutex},
 };
 
-/// How to start a live list.
+/// Options of a live list.
 #[derive(Clone, Copy, Debug)]
 pub struct LiveListOptions {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub addr: SocketAddr,
-    /// Time after which a change shows in the list, in milliseconds.
+    /// Delay after which a change appears in the list, in milliseconds.
     pub lag_ms: u64,
 }
 
@@ -37,8 +38,8 @@
 #[derive(Default)]
 struct State {
     lag_ms: u64,
-    /// The list after each change, with the time of the change.
-    changes: VecDeque<(Millis, InstanceList)>,
+    /// List after each unpublished change, with the time of the change.
+    pending_changes: VecDeque<(Millis, InstanceList)>,
     published: InstanceList,
     directory: BTreeMap<String, (DirectoryEntry, Millis)>,
     calls: u64,
@@ -46,25 +47,27 @@
 }
 
 impl State {
-    /// The list as it will stand once all changes show.
-    fn newest(&self) -> &InstanceList {
-        self.changes
+    /// Returns the list with all pending changes applied.
+    fn latest(&self) -> &InstanceList {
+        self.pending_changes
             .back()
             .map_or(&self.published, |(_, list)| list)
     }
 
-    fn publish(&mut self, now: Millis) {
-        while let Some((at, _)) = self.changes.front() {
+    /// Publishes the changes that are older than the lag.
+    fn publish_due(&mut self, now: Millis) {
+        while let Some((at, _)) = self.pending_changes.front() {
             if now.since(*at) < self.lag_ms {
                 return;
             }
-            if let Some((_, list)) = self.changes.pop_front() {
+            if let Some((_, list)) = self.pending_changes.pop_front() {
                 self.published = list;
             }
         }
     }
 
-    fn forget_lapsed_entries(&mut self, now: Millis) {
+    /// Removes directory entries whose TTL has passed.
+    fn remove_expired_entries(&mut self, now: Millis) {
         self.directory
             .retain(|_, (entry, at)| now.since(*at) < entry.ttl_s.saturating_mul(1_000));
     }
@@ -75,7 +78,7 @@
     state: Mutex<State>,
 }
 
-/// A running live list; dropping it stops it.
+/// Handle of a running live list. Dropping it stops the list.
 pub struct LiveList {
     server: Server,
     shared: Arc<Shared>,
@@ -95,9 +98,9 @@
         clock: Clock::default(),
         state: Mutex::new(state),
     });
-    let of_handler = shared.clone();
+    let handler_shared = shared.clone();
     let handler = move |request: Request, responder| {
-        let answer = answer(of_handler.clone(), request, responder);
+        let answer = answer(handler_shared.clone(), request, responder);
         Box::pin(answer) as futures::future::BoxFuture<'static, _>
     };
     let server = Server::start("live-list", options.addr, 1, Arc::new(handler))?;
@@ -115,18 +118,18 @@
         format!("http://{}", self.server.addr)
     }
 
-    /// Enters an instance, or replaces its entry.
+    /// Adds an instance, or replaces its entry.
     pub fn add(&self, instance: LiveInstance) {
         self.change(|list| {
-            list.instances.retain(|known| known.id != instance.id);
+            list.instances.retain(|listed| listed.id != instance.id);
             list.instances.push(instance);
             list.instances.sort_by(|a, b| a.id.cmp(&b.id));
         });
     }
 
-    /// Takes an instance out.
+    /// Removes an instance.
     pub fn remove(&self, id: &str) {
-        self.change(|list| list.instances.retain(|known| known.id.as_str() != id));
+        self.change(|list| list.instances.retain(|listed| listed.id.as_str() != id));
     }
 
     /// Marks an instance as leaving.
@@ -135,32 +138,32 @@
             let found = list
                 .instances
                 .iter_mut()
-                .find(|known| known.id.as_str() == id);
+                .find(|listed| listed.id.as_str() == id);
             if let Some(instance) = found {
                 instance.state = InstanceState::Leaving;
             }
         });
     }
 
-    /// Changes the time after which changes show, in milliseconds.
+    /// Sets the delay after which changes appear in the list, in milliseconds.
     pub fn set_lag_ms(&self, lag_ms: u64) {
         lock(&self.shared.state).lag_ms = lag_ms;
     }
 
-    /// Answers 503 to every call, or serves again.
+    /// Answers every call with 503, or resumes normal service.
     pub fn set_down(&self, is_down: bool) {
         lock(&self.shared.state).is_down = is_down;
     }
 
-    /// Entries of the directory, in order of the instances' names.
+    /// Returns the entries of the directory, ordered by instance name.
     pub fn directory(&self) -> Vec<DirectoryEntry> {
         let mut state = lock(&self.shared.state);
-        state.forget_lapsed_entries(self.shared.clock.now());
+        state.remove_expired_entries(self.shared.clock.now());
         let entries = state.directory.values();
         entries.map(|(entry, _)| entry.clone()).collect()
     }
 
-    /// Calls counted so far.
+    /// Returns the number of calls received.
     pub fn calls(&self) -> u64 {
         lock(&self.shared.state).calls
     }
@@ -173,23 +176,23 @@
     fn change(&self, change: impl FnOnce(&mut InstanceList)) {
         let now = self.shared.clock.now();
         let mut state = lock(&self.shared.state);
-        let mut list = state.newest().clone();
+        let mut list = state.latest().clone();
         change(&mut list);
-        state.changes.push_back((now, list));
+        state.pending_changes.push_back((now, list));
     }
 }
 
-async fn answer(shared: Arc<Shared>, request: Request, responder: Responder) -> Ending {
+async fn answer(shared: Arc<Shared>, request: Request, responder: Responder) -> ConnectionState {
     let is_down = {
         let mut state = lock(&shared.state);
         let now = shared.clock.now();
         state.calls += 1;
-        state.publish(now);
-        state.forget_lapsed_entries(now);
+        state.publish_due(now);
+        state.remove_expired_entries(now);
         state.is_down
     };
     if is_down {
-        return responder.whole(503, "text/plain", b"down").await;
+        return responder.send_body(503, "text/plain", b"down").await;
     }
     let entry_name = request
         .path()
@@ -198,7 +201,7 @@
     match (request.method.as_str(), entry_name) {
         ("GET", None) if request.path() == INSTANCES_PATH => {
             let list = lock(&shared.state).published.clone();
-            responder.json(200, &list).await
+            responder.send_json(200, &list).await
         }
         ("GET", Some(name)) if name.is_empty() => {
             let entries = lock(&shared.state)
@@ -206,32 +209,45 @@
                 .values()
                 .map(|(entry, _)| entry.clone())
                 .collect();
-            responder.json(200, &Directory { entries }).await
+            responder.send_json(200, &Directory { entries }).await
+        }
+        ("PUT", Some(name)) if !name.is_empty() => {
+            put_entry(&shared, name, &request, responder).await
         }
-        ("PUT", Some(name)) if !name.is_empty() => enter(&shared, name, &request, responder).await,
         ("DELETE", Some(name)) => {
             lock(&shared.state).directory.remove(&name);
-            responder.whole(200, "application/json", b"{}").await
+            responder.send_body(200, "application/json", b"{}").await
+        }
+        _ => {
+            responder
+                .send_body(404, "text/plain", b"no such path")
+                .await
         }
-        _ => responder.whole(404, "text/plain", b"no such path").await,
     }
 }
 
-async fn enter(shared: &Shared, name: String, request: &Request, responder: Responder) -> Ending {
+async fn put_entry(
+    shared: &Shared,
+    name: String,
+    request: &Request,
+    responder: Responder,
+) -> ConnectionState {
     match serde_json::from_slice::<DirectoryEntry>(&request.body) {
         Ok(entry) if entry.id.as_str() == name => {
             let now = shared.clock.now();
             lock(&shared.state).directory.insert(name, (entry, now));
-            responder.whole(200, "application/json", b"{}").await
+            responder.send_body(200, "application/json", b"{}").await
         }
         Ok(_) => {
             responder
-                .whole(400, "text/plain", b"path and entry differ")
+                .send_body(400, "text/plain", b"entry id differs from path")
                 .await
         }
         Err(err) => {
             let message = err.to_string();
-            responder.whole(400, "text/plain", message.as_bytes()).await
+            responder
+                .send_body(400, "text/plain", message.as_bytes())
+                .await
         }
     }
 }
--- a/crates/standin/src/service/mod.rs
+++ b/crates/standin/src/service/mod.rs
@@ -1,7 +1,7 @@
-//! A plain service, such as a ledger, that counts how often each action ran.
+//! Stand-in for a plain service, such as a ledger, that counts how often each action ran.
 
 use crate::{
-    http::{Ending, RecordedRequest, Request, Responder, Server},
+    http::{ConnectionState, RecordedRequest, Request, Responder, Server},
     lock,
 };
 use serde::{Deserialize, Serialize};
@@ -14,29 +14,29 @@
 };
 use tokio::time::sleep;
 
-/// Header that names an action.
+/// Request header with the key of an action.
 pub const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 
 const JSON: &str = "application/json";
 
-/// How to start a service.
+/// Options of a service.
 #[derive(Clone, Debug)]
 pub struct ServiceOptions {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub addr: SocketAddr,
-    /// Threads that serve requests.
+    /// Number of threads that serve requests.
     pub workers: usize,
-    /// Credential that requests have to carry as a bearer token; none accepts all.
+    /// Bearer token that requests must carry; `None` accepts all requests.
     pub credential: Option<String>,
-    /// Time that an action takes, in milliseconds.
+    /// Duration of an action, in milliseconds.
     pub latency_ms: u64,
-    /// An action whose key has run already is answered without running again.
+    /// Answers an action whose key has already run without running it again.
     pub deduplicates: bool,
-    /// Length of the padding in each answer, in bytes.
+    /// Length of the padding in every answer, in bytes.
     pub padding_bytes: usize,
-    /// Answers come in chunks, without their length.
+    /// Sends answers with chunked transfer encoding, without a content length.
     pub is_chunked: bool,
-    /// Most requests to record; later ones are only counted.
+    /// Maximum number of recorded requests; later ones are only counted.
     pub max_records: usize,
 }
 
@@ -55,10 +55,10 @@
     }
 }
 
-/// What goes wrong with a request.
+/// Fault injected into the handling of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceFault {
-    /// It is answered with this status and not run.
+    /// The request is answered with this status and its action does not run.
     Status(u16),
     /// The connection closes before the action runs.
     CloseBeforeRunning,
@@ -68,18 +68,18 @@
     CloseInAnswer,
 }
 
-/// Body of an answer.
+/// Body of a successful answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Receipt {
     /// Path of the request.
     pub path: String,
     /// Key of the action.
     pub key: Option<String>,
-    /// Number of the action among all that this service ran.
+    /// Number of actions that the service has run so far.
     pub number: u64,
-    /// The body of the request, as text.
+    /// Body of the request, as text.
     pub body: String,
-    /// Spaces that make the answer longer.
+    /// Padding of spaces.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub padding: String,
 }
@@ -87,14 +87,14 @@
 #[derive(Default)]
 struct State {
     latency_ms: u64,
-    next_faults: VecDeque<ServiceFault>,
+    pending_faults: VecDeque<ServiceFault>,
     is_leaving: bool,
-    /// Times that each key's action ran.
+    /// Number of runs of each key's action.
     runs: BTreeMap<String, u64>,
     keyless_runs: u64,
     total_runs: u64,
     requests: u64,
-    records: Vec<RecordedRequest>,
+    recorded_requests: Vec<RecordedRequest>,
 }
 
 struct Shared {
@@ -102,7 +102,7 @@
     state: Mutex<State>,
 }
 
-/// A running service; dropping it stops it.
+/// Handle of a running service. Dropping it stops the service.
 pub struct Service {
     server: Server,
     shared: Arc<Shared>,
@@ -123,9 +123,9 @@
         options,
         state: Mutex::new(state),
     });
-    let of_handler = shared.clone();
+    let handler_shared = shared.clone();
     let handler = move |request: Request, responder| {
-        let answer = answer(of_handler.clone(), request, responder);
+        let answer = answer(handler_shared.clone(), request, responder);
         Box::pin(answer) as futures::future::BoxFuture<'static, _>
     };
     let server = Server::start("service", addr, workers, Arc::new(handler))?;
@@ -143,43 +143,43 @@
         format!("http://{}", self.server.addr)
     }
 
-    /// Times that the action with the key `key` ran.
+    /// Returns how often the action with the key `key` ran.
     pub fn runs(&self, key: &str) -> u64 {
         let state = lock(&self.shared.state);
         state.runs.get(key).copied().unwrap_or(0)
     }
 
-    /// Times that each key's action ran.
+    /// Returns how often each key's action ran.
     pub fn all_runs(&self) -> BTreeMap<String, u64> {
         lock(&self.shared.state).runs.clone()
     }
 
-    /// Actions without a key that ran.
+    /// Returns the number of runs of actions without a key.
     pub fn keyless_runs(&self) -> u64 {
         lock(&self.shared.state).keyless_runs
     }
 
-    /// Requests that came in.
+    /// Returns the number of requests received.
     pub fn request_count(&self) -> u64 {
         lock(&self.shared.state).requests
     }
 
-    /// The requests recorded so far, with all headers, in order of arrival.
+    /// Returns the recorded requests with all headers, in order of arrival.
     pub fn requests(&self) -> Vec<RecordedRequest> {
-        lock(&self.shared.state).records.clone()
+        lock(&self.shared.state).recorded_requests.clone()
     }
 
-    /// Lets the next requests meet with `faults`, one each.
+    /// Injects `faults` into the next requests, one fault per request.
     pub fn fail_next(&self, faults: &[ServiceFault]) {
-        lock(&self.shared.state).next_faults.extend(faults);
+        lock(&self.shared.state).pending_faults.extend(faults);
     }
 
-    /// Changes the time that an action takes, in milliseconds.
+    /// Sets the duration of an action, in milliseconds.
     pub fn set_latency_ms(&self, latency_ms: u64) {
         lock(&self.shared.state).latency_ms = latency_ms;
     }
 
-    /// Answers 503 to every request, or serves again.
+    /// Answers every request with 503, or resumes normal service.
     pub fn set_leaving(&self, is_leaving: bool) {
         lock(&self.shared.state).is_leaving = is_leaving;
     }
@@ -189,7 +189,7 @@
         self.server.set_refusing(is_refusing);
     }
 
-    /// Cuts all open connections.
+    /// Closes all open connections.
     pub fn close_connections(&self) {
         self.server.close_connections();
     }
@@ -200,48 +200,48 @@
     }
 }
 
-async fn answer(shared: Arc<Shared>, request: Request, responder: Responder) -> Ending {
-    let (fault, latency_ms) = enter(&shared, &request);
+async fn answer(shared: Arc<Shared>, request: Request, responder: Responder) -> ConnectionState {
+    let (fault, latency_ms) = record_request(&shared, &request);
     match fault {
         Some(ServiceFault::Status(status)) => {
-            return responder.whole(status, "text/plain", b"").await
+            return responder.send_body(status, "text/plain", b"").await
         }
-        Some(ServiceFault::CloseBeforeRunning) => return Ending::Closed,
+        Some(ServiceFault::CloseBeforeRunning) => return ConnectionState::Closed,
         _ => {}
     }
     if latency_ms > 0 {
         sleep(Duration::from_millis(latency_ms)).await;
     }
-    let receipt = run(&shared, &request);
+    let receipt = run_action(&shared, &request);
     let body = serde_json::to_vec(&receipt).unwrap_or_default();
     let sent = match fault {
-        Some(ServiceFault::CloseAfterRunning) => return Ending::Closed,
+        Some(ServiceFault::CloseAfterRunning) => return ConnectionState::Closed,
         Some(ServiceFault::CloseInAnswer) => body.len() / 2,
         _ => body.len(),
     };
     if shared.options.is_chunked {
         return send_chunked(responder, &body, sent).await;
     }
-    responder.cut_off(200, JSON, &body, sent).await
+    responder.send_truncated(200, JSON, &body, sent).await
 }
 
-/// Sends the first `sent` bytes of a body in one chunk, and its end if that is all.
-async fn send_chunked(responder: Responder, body: &[u8], sent: usize) -> Ending {
-    let Ok(mut writer) = responder.stream(JSON).await else {
-        return Ending::Closed;
+/// Sends the first `sent` bytes of a body in one chunk, and ends the body only if it is complete.
+async fn send_chunked(responder: Responder, body: &[u8], sent: usize) -> ConnectionState {
+    let Ok(mut writer) = responder.start_stream(JSON).await else {
+        return ConnectionState::Closed;
     };
     match writer.send(&body[..sent]).await {
         Ok(()) if sent == body.len() => writer.finish().await,
-        _ => Ending::Closed,
+        _ => ConnectionState::Closed,
     }
 }
 
-/// Counts a request and chooses its fault.
-fn enter(shared: &Shared, request: &Request) -> (Option<ServiceFault>, u64) {
+/// Counts and records a request. Returns its fault and the duration of its action.
+fn record_request(shared: &Shared, request: &Request) -> (Option<ServiceFault>, u64) {
     let mut state = lock(&shared.state);
     state.requests += 1;
-    if state.records.len() < shared.options.max_records {
-        state.records.push(request.clone());
+    if state.recorded_requests.len() < shared.options.max_records {
+        state.recorded_requests.push(request.clone());
     }
     if state.is_leaving {
         return (Some(ServiceFault::Status(503)), 0);
@@ -249,18 +249,18 @@
     if !is_authorized(shared, request) {
         return (Some(ServiceFault::Status(401)), 0);
     }
-    (state.next_faults.pop_front(), state.latency_ms)
+    (state.pending_faults.pop_front(), state.latency_ms)
 }
 
 fn is_authorized(shared: &Shared, request: &Request) -> bool {
     let Some(credential) = &shared.options.credential else {
         return true;
     };
-    let given = request.header("authorization").unwrap_or_default();
-    given.strip_prefix("Bearer ") == Some(credential)
+    let header = request.header("authorization").unwrap_or_default();
+    header.strip_prefix("Bearer ") == Some(credential)
 }
 
-fn run(shared: &Shared, request: &Request) -> Receipt {
+fn run_action(shared: &Shared, request: &Request) -> Receipt {
     let key = request.header(IDEMPOTENCY_HEADER).map(str::to_owned);
     let mut state = lock(&shared.state);
     let has_run = key.as_ref().is_some_and(|key| state.runs.contains_key(key));
--- a/crates/standin/src/store/mod.rs
+++ b/crates/standin/src/store/mod.rs
@@ -1,7 +1,7 @@
-//! An in-memory store that answers the published JSON interface of etcd v3.
+//! In-memory store with the JSON API of etcd v3.
 //!
-//! It counts every call and can be made to fail in the ways that a real store does: refuse, answer
-//! late, lose the answer of a write that took effect, or let a watch fall silent.
+//! It counts every call. Faults of a real store can be injected: refused connections, slow answers,
+//! lost answers to writes that took effect, and watches that send nothing.
 
 mod api;
 mod counts;
@@ -21,21 +21,21 @@
     sync::{Arc, Mutex, MutexGuard},
 };
 
-/// One million parts make a whole.
-const WHOLE_PPM: u32 = 1_000_000;
+/// Denominator of probabilities in parts per million.
+const PPM_DENOMINATOR: u32 = 1_000_000;
 
-/// How to start a store.
+/// Options of a store.
 #[derive(Clone, Debug)]
 pub struct StoreOptions {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub addr: SocketAddr,
-    /// Changes that the store remembers for watches and reads of old revisions.
+    /// Maximum number of changes kept for watches and reads of old revisions.
     pub max_history: usize,
-    /// Time between two messages of an idle watch that asked for them, in milliseconds.
+    /// Interval of progress notifications on idle watches that request them, in milliseconds.
     pub progress_interval_ms: u64,
-    /// Seed of the random faults.
+    /// Seed of the random number generator for faults.
     pub seed: u64,
-    /// Threads that serve calls.
+    /// Number of threads that serve calls.
     pub workers: usize,
 }
 
@@ -51,21 +51,21 @@
     }
 }
 
-/// How the store answers while it is down.
+/// Availability of the store, with the way in which it fails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Availability {
-    /// The store answers.
+    /// Calls are answered normally.
     #[default]
     Up,
-    /// Connections are refused and open ones are cut.
+    /// Connections are refused and open ones are closed.
     Refusing,
     /// Calls are answered with 503.
     Unavailable,
-    /// Calls are taken and never answered, and have no effect; watches are silent.
+    /// Calls are accepted but never answered and have no effect; watches send nothing.
     Hanging,
 }
 
-/// Faults in force.
+/// Active faults.
 #[derive(Clone, Debug, Default)]
 struct Faults {
     availability: Availability,
@@ -95,10 +95,10 @@
         lock(&self.faults).clone()
     }
 
-    /// Ends leases that are over and tells the watches about changes.
-    fn settle(&self) {
+    /// Expires leases and notifies watches when the revision has changed.
+    fn expire_and_notify(&self) {
         let mut state = self.state();
-        state.expire(self.clock.now());
+        state.expire_leases(self.clock.now());
         let revision = state.revision();
         self.revision
             .send_if_modified(|seen| std::mem::replace(seen, revision) != revision);
@@ -109,18 +109,18 @@
         faults.is_watch_silent || faults.availability == Availability::Hanging
     }
 
-    /// Decides whether the answer of the write that just took effect is lost.
+    /// Returns true if the answer to the write that just took effect must be dropped.
     fn loses_answer(&self) -> bool {
         let mut faults = lock(&self.faults);
         if faults.lost_answers > 0 {
             faults.lost_answers -= 1;
             return true;
         }
-        lock(&self.rng).random_range(0..WHOLE_PPM) < faults.lost_answers_ppm
+        lock(&self.rng).random_range(0..PPM_DENOMINATOR) < faults.lost_answers_ppm
     }
 }
 
-/// A running store; dropping it stops it.
+/// Handle of a running store. Dropping it stops the store.
 pub struct Store {
     server: Server,
     shared: Arc<Shared>,
@@ -141,9 +141,9 @@
         revision: tokio::sync::watch::Sender::new(0),
         progress_interval_ms: options.progress_interval_ms,
     });
-    let of_handler = shared.clone();
+    let handler_shared = shared.clone();
     let handler = move |request: RecordedRequest, responder| {
-        let answer = api::answer(of_handler.clone(), request, responder);
+        let answer = api::answer(handler_shared.clone(), request, responder);
         Box::pin(answer) as futures::future::BoxFuture<'static, _>
     };
     let server = Server::start("store", options.addr, options.workers, Arc::new(handler))?;
@@ -161,7 +161,7 @@
         format!("http://{}", self.server.addr)
     }
 
-    /// Takes the store down in the given way, or up again. Leases run on meanwhile.
+    /// Sets the availability of the store. Leases continue to expire while it is down.
     pub fn set_availability(&self, availability: Availability) {
         lock(&self.shared.faults).availability = availability;
         self.server
@@ -181,32 +181,33 @@
         faults.write_delay_ms = write_ms;
     }
 
-    /// Loses the answers of the next `count` writes after they took effect.
+    /// Drops the answers to the next `count` writes after they take effect.
     pub fn lose_answers(&self, count: u32) {
         lock(&self.shared.faults).lost_answers = count;
     }
 
-    /// Loses the answers of writes at random, `ppm` out of 1,000,000, after they took effect.
+    /// Drops the answers to random writes after they take effect, with a probability of `ppm` parts
+    /// per 1,000,000.
     pub fn set_lost_answers_ppm(&self, ppm: u32) {
         lock(&self.shared.faults).lost_answers_ppm = ppm;
     }
 
-    /// Lets watches fall silent, those that exist and those to come, or speak again.
+    /// Stops or resumes the messages of all watches, both open and new ones.
     pub fn set_watch_silent(&self, is_silent: bool) {
         lock(&self.shared.faults).is_watch_silent = is_silent;
     }
 
-    /// Cuts all open connections.
+    /// Closes all open connections.
     pub fn close_connections(&self) {
         self.server.close_connections();
     }
 
-    /// Calls counted so far.
+    /// Returns the current counters.
     pub fn counts(&self) -> StoreCounts {
         lock(&self.shared.counts).clone()
     }
 
-    /// The value of `key`, read without a call.
+    /// Reads `key` directly, without a counted call.
     pub fn value(&self, key: &str) -> Option<Vec<u8>> {
         let request = carobwheel_wire::etcd::RangeRequest {
             key: key.as_bytes().to_vec(),
@@ -216,7 +217,7 @@
         found.kvs.into_iter().next().map(|kv| kv.value)
     }
 
-    /// Writes `key` without a call.
+    /// Writes `key` directly, without a counted call.
     pub fn set_value(&self, key: &str, value: &[u8]) {
         let request = carobwheel_wire::etcd::PutRequest {
             key: key.as_bytes().to_vec(),
@@ -225,10 +226,10 @@
         };
         let written = self.shared.state().put(&request);
         assert!(written.is_ok(), "the value of `{key}` is too large");
-        self.shared.settle();
+        self.shared.expire_and_notify();
     }
 
-    /// Revision of the last change.
+    /// Returns the current revision, that of the last change.
     pub fn revision(&self) -> i64 {
         self.shared.state().revision()
     }
--- a/crates/standin/src/store/state.rs
+++ b/crates/standin/src/store/state.rs
@@ -1,4 +1,4 @@
-//! The keys, leases and history of the store, without I/O.
+//! Keys, leases and history of the store, without I/O.
 
 use carobwheel_core::time::Millis;
 use carobwheel_wire::etcd::{
@@ -12,50 +12,50 @@
     ops::{Bound, RangeBounds},
 };
 
-/// Why the store refuses a call.
+/// Reason for rejecting a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Refusal {
+pub(super) enum CallError {
     /// The value is longer than [`MAX_VALUE_BYTES`].
     ValueTooLarge,
-    /// The revision is no longer in the history.
+    /// The revision has been compacted.
     Compacted,
-    /// The revision is still to come.
+    /// The revision is newer than the current one.
     FutureRevision,
-    /// No lease has this number.
+    /// No lease has this identifier.
     LeaseNotFound,
 }
 
 struct Lease {
     ttl_s: i64,
-    ends: Millis,
+    expires_at: Millis,
     keys: BTreeSet<Vec<u8>>,
 }
 
-/// State of the store.
+/// Contents of the store.
 pub(super) struct State {
     revision: i64,
     keys: BTreeMap<Vec<u8>, KeyValue>,
-    /// Keys as they stood at the revision `compacted`.
-    base: BTreeMap<Vec<u8>, KeyValue>,
-    compacted: i64,
+    /// Keys and values at the revision `compact_revision`.
+    compacted_keys: BTreeMap<Vec<u8>, KeyValue>,
+    compact_revision: i64,
     history: VecDeque<Event>,
     max_history: usize,
     leases: BTreeMap<i64, Lease>,
-    next_lease: i64,
+    next_lease_id: i64,
 }
 
 impl State {
-    /// An empty store that remembers `max_history` changes.
+    /// Creates an empty store that keeps the last `max_history` changes.
     pub(super) fn new(max_history: usize) -> Self {
         Self {
             revision: 1,
             keys: BTreeMap::new(),
-            base: BTreeMap::new(),
-            compacted: 0,
+            compacted_keys: BTreeMap::new(),
+            compact_revision: 0,
             history: VecDeque::new(),
             max_history,
             leases: BTreeMap::new(),
-            next_lease: 1,
+            next_lease_id: 1,
         }
     }
 
@@ -63,8 +63,8 @@
         self.revision
     }
 
-    pub(super) fn compacted(&self) -> i64 {
-        self.compacted
+    pub(super) fn compact_revision(&self) -> i64 {
+        self.compact_revision
     }
 
     pub(super) fn header(&self) -> Header {
@@ -73,23 +73,23 @@
         }
     }
 
-    pub(super) fn range(&self, request: &RangeRequest) -> Result<RangeResponse, Refusal> {
+    pub(super) fn range(&self, request: &RangeRequest) -> Result<RangeResponse, CallError> {
         if request.revision > self.revision {
-            return Err(Refusal::FutureRevision);
+            return Err(CallError::FutureRevision);
         }
-        if request.revision > 0 && request.revision < self.compacted {
-            return Err(Refusal::Compacted);
+        if request.revision > 0 && request.revision < self.compact_revision {
+            return Err(CallError::Compacted);
         }
-        let past;
+        let old_keys;
         let keys = if request.revision > 0 {
-            past = self.keys_at(request.revision);
-            &past
+            old_keys = self.keys_at(request.revision);
+            &old_keys
         } else {
             &self.keys
         };
         let limit = usize::try_from(request.limit).unwrap_or(0);
         let limit = if limit == 0 { usize::MAX } else { limit };
-        let found = || keys.range(bounds(&request.key, &request.range_end));
+        let found = || keys.range(key_bounds(&request.key, &request.range_end));
         let kvs: Vec<_> = found().take(limit).map(|(_, kv)| kv.clone()).collect();
         let count = found().count();
         Ok(RangeResponse {
@@ -100,16 +100,17 @@
         })
     }
 
+    /// Returns all keys at an earlier revision.
     fn keys_at(&self, revision: i64) -> BTreeMap<Vec<u8>, KeyValue> {
-        let mut keys = self.base.clone();
+        let mut keys = self.compacted_keys.clone();
         self.history
             .iter()
             .take_while(|event| event.kv.mod_revision <= revision)
-            .for_each(|event| apply(&mut keys, event));
+            .for_each(|event| apply_event(&mut keys, event));
         keys
     }
 
-    pub(super) fn put(&mut self, request: &PutRequest) -> Result<PutResponse, Refusal> {
+    pub(super) fn put(&mut self, request: &PutRequest) -> Result<PutResponse, CallError> {
         self.check_put(request)?;
         let revision = self.revision + 1;
         self.put_at(request, revision);
@@ -119,12 +120,12 @@
         })
     }
 
-    fn check_put(&self, request: &PutRequest) -> Result<(), Refusal> {
+    fn check_put(&self, request: &PutRequest) -> Result<(), CallError> {
         if request.value.len() > MAX_VALUE_BYTES {
-            return Err(Refusal::ValueTooLarge);
+            return Err(CallError::ValueTooLarge);
         }
         if request.lease != 0 && !self.leases.contains_key(&request.lease) {
-            return Err(Refusal::LeaseNotFound);
+            return Err(CallError::LeaseNotFound);
         }
         Ok(())
     }
@@ -146,7 +147,7 @@
         if let Some(lease) = self.leases.get_mut(&request.lease) {
             lease.keys.insert(request.key.clone());
         }
-        self.record(Event {
+        self.append_event(Event {
             kind: EventKind::Put,
             kv,
         });
@@ -165,7 +166,9 @@
     }
 
     fn delete_at(&mut self, request: &DeleteRangeRequest, revision: i64) -> i64 {
-        let found = self.keys.range(bounds(&request.key, &request.range_end));
+        let found = self
+            .keys
+            .range(key_bounds(&request.key, &request.range_end));
         let keys: Vec<_> = found.map(|(key, _)| key.clone()).collect();
         for key in &keys {
             self.delete_key_at(key, revision);
@@ -178,7 +181,7 @@
         if let Some(lease) = self.leases.get_mut(&lease) {
             lease.keys.remove(key);
         }
-        self.record(Event {
+        self.append_event(Event {
             kind: EventKind::Delete,
             kv: KeyValue {
                 key: key.to_vec(),
@@ -188,8 +191,11 @@
         });
     }
 
-    pub(super) fn txn(&mut self, request: &TxnRequest) -> Result<TxnResponse, Refusal> {
-        let succeeded = request.compare.iter().all(|compare| self.holds(compare));
+    pub(super) fn txn(&mut self, request: &TxnRequest) -> Result<TxnResponse, CallError> {
+        let succeeded = request
+            .compare
+            .iter()
+            .all(|compare| self.is_satisfied(compare));
         let ops = if succeeded {
             &request.success
         } else {
@@ -229,7 +235,9 @@
         })
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    /// Returns true if the comparison of a transaction holds. A missing key compares as an empty
+    /// value with zero revisions.
+    fn is_satisfied(&self, compare: &Compare) -> bool {
         let absent = KeyValue::default();
         let kv = self.keys.get(&compare.key).unwrap_or(&absent);
         let order = match compare.target {
@@ -252,29 +260,29 @@
         }
     }
 
-    pub(super) fn grant(&mut self, id: i64, ttl_s: i64, now: Millis) -> i64 {
-        let id = if id == 0 { self.next_lease } else { id };
-        self.next_lease = self.next_lease.max(id) + 1;
+    pub(super) fn grant_lease(&mut self, id: i64, ttl_s: i64, now: Millis) -> i64 {
+        let id = if id == 0 { self.next_lease_id } else { id };
+        self.next_lease_id = self.next_lease_id.max(id) + 1;
         let lease = Lease {
             ttl_s,
-            ends: now.plus(ttl_ms(ttl_s)),
+            expires_at: now.plus(ttl_ms(ttl_s)),
             keys: BTreeSet::new(),
         };
         self.leases.insert(id, lease);
         id
     }
 
-    /// Renews a lease and returns its lifetime in seconds; 0 when it has expired.
-    pub(super) fn keep_alive(&mut self, id: i64, now: Millis) -> i64 {
+    /// Renews a lease and returns its lifetime in seconds, or 0 if the lease does not exist.
+    pub(super) fn renew_lease(&mut self, id: i64, now: Millis) -> i64 {
         let Some(lease) = self.leases.get_mut(&id) else {
             return 0;
         };
-        lease.ends = now.plus(ttl_ms(lease.ttl_s));
+        lease.expires_at = now.plus(ttl_ms(lease.ttl_s));
         lease.ttl_s
     }
 
-    pub(super) fn revoke(&mut self, id: i64) -> Result<(), Refusal> {
-        let lease = self.leases.remove(&id).ok_or(Refusal::LeaseNotFound)?;
+    pub(super) fn revoke_lease(&mut self, id: i64) -> Result<(), CallError> {
+        let lease = self.leases.remove(&id).ok_or(CallError::LeaseNotFound)?;
         if lease.keys.is_empty() {
             return Ok(());
         }
@@ -286,23 +294,23 @@
         Ok(())
     }
 
-    /// Ends the leases whose lifetime is over.
-    pub(super) fn expire(&mut self, now: Millis) {
-        let is_over = |(_, lease): &(&i64, &Lease)| lease.ends <= now;
-        let over: Vec<_> = self
+    /// Revokes all leases whose lifetime has ended.
+    pub(super) fn expire_leases(&mut self, now: Millis) {
+        let is_expired = |(_, lease): &(&i64, &Lease)| lease.expires_at <= now;
+        let expired: Vec<_> = self
             .leases
             .iter()
-            .filter(is_over)
+            .filter(is_expired)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
-            self.revoke(id).unwrap_or_default();
+        for id in expired {
+            self.revoke_lease(id).unwrap_or_default();
         }
     }
 
-    /// Changes of the range from revision `from` on.
+    /// Returns the changes in a range of keys from revision `from` on.
     pub(super) fn events(&self, key: &[u8], range_end: &[u8], from: i64) -> Vec<Event> {
-        let range = bounds(key, range_end);
+        let range = key_bounds(key, range_end);
         let start = self
             .history
             .partition_point(|event| event.kv.mod_revision < from);
@@ -314,20 +322,22 @@
             .collect()
     }
 
-    fn record(&mut self, event: Event) {
-        apply(&mut self.keys, &event);
+    /// Applies a change and appends it to the history, compacting the oldest changes beyond
+    /// `max_history`.
+    fn append_event(&mut self, event: Event) {
+        apply_event(&mut self.keys, &event);
         self.history.push_back(event);
         while self.history.len() > self.max_history {
             let Some(oldest) = self.history.pop_front() else {
                 return;
             };
-            self.compacted = oldest.kv.mod_revision;
-            apply(&mut self.base, &oldest);
+            self.compact_revision = oldest.kv.mod_revision;
+            apply_event(&mut self.compacted_keys, &oldest);
         }
     }
 }
 
-fn apply(keys: &mut BTreeMap<Vec<u8>, KeyValue>, event: &Event) {
+fn apply_event(keys: &mut BTreeMap<Vec<u8>, KeyValue>, event: &Event) {
     match event.kind {
         EventKind::Put => {
             keys.insert(event.kv.key.clone(), event.kv.clone());
@@ -342,8 +352,8 @@
     u64::try_from(ttl_s).unwrap_or(0) * 1_000
 }
 
-/// The range of keys that `key` and `range_end` name by the rules of etcd.
-fn bounds(key: &[u8], range_end: &[u8]) -> (Bound<Vec<u8>>, Bound<Vec<u8>>) {
+/// Returns the range of keys that `key` and `range_end` select by the rules of etcd.
+fn key_bounds(key: &[u8], range_end: &[u8]) -> (Bound<Vec<u8>>, Bound<Vec<u8>>) {
     let first = Bound::Included(key.to_vec());
     let last = match range_end {
         [] => Bound::Included(key.to_vec()),
--- a/crates/standin/src/store/watch.rs
+++ b/crates/standin/src/store/watch.rs
@@ -1,58 +1,58 @@
-//! Answering watches.
+//! Streaming answers of watches.
 
 use super::Shared;
-use crate::http::{BodyWriter, Ending, Responder};
+use crate::http::{BodyWriter, ConnectionState, Responder};
 use crate::lock;
 use carobwheel_wire::etcd::{StreamItem, WatchCreateRequest, WatchResponse};
 use std::{io, sync::Arc, time::Duration};
 use tokio::time::{timeout, Instant};
 
-/// Time between two looks at leases that are over, in milliseconds.
-const TICK_MS: u64 = 50;
+/// Interval at which an open watch checks for expired leases, in milliseconds.
+const LEASE_CHECK_INTERVAL_MS: u64 = 50;
 
-/// Counts a watch as waiting for as long as it lives.
-struct Waiting<'a>(&'a Shared);
+/// Counts a watch as open until it is dropped.
+struct OpenWatchGuard<'a>(&'a Shared);
 
-impl<'a> Waiting<'a> {
+impl<'a> OpenWatchGuard<'a> {
     fn new(shared: &'a Shared) -> Self {
         lock(&shared.counts).open_watches += 1;
         Self(shared)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for OpenWatchGuard<'_> {
     fn drop(&mut self) {
         lock(&self.0.counts).open_watches -= 1;
     }
 }
 
-/// Sends changes until the caller leaves.
+/// Sends changes until the caller disconnects.
 pub(super) async fn answer(
     shared: &Arc<Shared>,
-    wanted: WatchCreateRequest,
+    request: WatchCreateRequest,
     responder: Responder,
-) -> Ending {
-    let _waiting = Waiting::new(shared);
+) -> ConnectionState {
+    let _guard = OpenWatchGuard::new(shared);
     if shared.is_watch_silent() {
         return futures::future::pending().await;
     }
-    let Ok(mut body) = responder.stream("application/json").await else {
-        return Ending::Closed;
+    let Ok(mut body) = responder.start_stream("application/json").await else {
+        return ConnectionState::Closed;
     };
-    match send_changes(shared, wanted, &mut body).await {
+    match send_changes(shared, request, &mut body).await {
         Ok(()) => body.finish().await,
-        Err(_) => Ending::Closed,
+        Err(_) => ConnectionState::Closed,
     }
 }
 
 async fn send_changes(
     shared: &Shared,
-    wanted: WatchCreateRequest,
+    request: WatchCreateRequest,
     body: &mut BodyWriter,
 ) -> io::Result<()> {
-    let (header, compacted) = {
+    let (header, compact_revision) = {
         let state = shared.state();
-        (state.header(), state.compacted())
+        (state.header(), state.compact_revision())
     };
     let created = WatchResponse {
         header,
@@ -60,36 +60,36 @@
         ..WatchResponse::default()
     };
     send(body, created).await?;
-    if wanted.start_revision > 0 && wanted.start_revision <= compacted {
-        let cancelled = WatchResponse {
+    if request.start_revision > 0 && request.start_revision <= compact_revision {
+        let canceled = WatchResponse {
             header,
             canceled: true,
-            compact_revision: compacted,
+            compact_revision,
             ..WatchResponse::default()
         };
-        return send(body, cancelled).await;
+        return send(body, canceled).await;
     }
-    let mut next = match wanted.start_revision {
+    let mut next_revision = match request.start_revision {
         0 => header.revision + 1,
         start => start,
     };
     let mut revision = shared.revision.subscribe();
-    let progress = Duration::from_millis(shared.progress_interval_ms);
-    let mut spoke = Instant::now();
+    let progress_interval = Duration::from_millis(shared.progress_interval_ms);
+    let mut last_sent = Instant::now();
     loop {
         revision.borrow_and_update();
         let (header, events) = {
             let state = shared.state();
             (
                 state.header(),
-                state.events(&wanted.key, &wanted.range_end, next),
+                state.events(&request.key, &request.range_end, next_revision),
             )
         };
-        let is_progress_due = wanted.progress_notify && spoke.elapsed() >= progress;
+        let is_progress_due = request.progress_notify && last_sent.elapsed() >= progress_interval;
         let is_silent = shared.is_watch_silent();
         if !is_silent && (!events.is_empty() || is_progress_due) {
-            next = next.max(header.revision + 1);
-            spoke = Instant::now();
+            next_revision = next_revision.max(header.revision + 1);
+            last_sent = Instant::now();
             let changes = WatchResponse {
                 header,
                 events,
@@ -97,11 +97,14 @@
             };
             send(body, changes).await?;
         }
-        if timeout(Duration::from_millis(TICK_MS), revision.changed())
-            .await
-            .is_err()
+        if timeout(
+            Duration::from_millis(LEASE_CHECK_INTERVAL_MS),
+            revision.changed(),
+        )
+        .await
+        .is_err()
         {
-            shared.settle();
+            shared.expire_and_notify();
         }
     }
 }
