--- a/crates/standin/tests/batch_engine.rs
+++ b/crates/standin/tests/batch_engine.rs
@@ -1,4 +1,5 @@
-//! The engine model: batching, priorities, cache, cancel, resume, lag.
+//! Tests of the simulated engine: batching, priorities, prefix cache, cancellation, resumption and
+//! report lag.
 
 use carobwheel_standin::batch::{
     BatchEngine, BatchRequest, BatchRequestId, BatchSettings, CacheEvent, PrefixCache, Token,
@@ -7,7 +8,7 @@
 
 const PREFIX: [u64; 2] = [11, 12];
 
-fn job(id: u64, prompt_tokens: u64, output_tokens: u64, priority: u8) -> BatchRequest {
+fn request(id: u64, prompt_tokens: u64, output_tokens: u64, priority: u8) -> BatchRequest {
     BatchRequest {
         id: BatchRequestId(id),
         prompt_tokens,
@@ -27,7 +28,7 @@
     }
 }
 
-/// Runs the engine until it is idle; gives each token with the time of its step's end.
+/// Runs the engine until it is idle. Returns each token with the end time of its step.
 fn run(engine: &mut BatchEngine, now_us: &mut u64) -> Vec<(u64, Token)> {
     let mut tokens = Vec::new();
     while let Some(step_us) = engine.begin_step() {
@@ -43,7 +44,7 @@
 fn token_time_grows_with_the_batch(requests: u64, expected_us: u64) {
     let mut engine = BatchEngine::new(BatchSettings::default());
     for id in 0..requests {
-        engine.submit(job(id, 1, 3, 0));
+        engine.submit(request(id, 1, 3, 0));
     }
     engine.begin_step();
     assert_eq!(engine.end_step(0).len() as u64, requests);
@@ -53,10 +54,10 @@
 #[test]
 fn an_urgent_request_overtakes_a_long_prompt() {
     let mut engine = BatchEngine::new(settings());
-    engine.submit(job(1, 1_000, 1, 1));
+    engine.submit(request(1, 1_000, 1, 1));
     engine.begin_step();
     engine.end_step(0);
-    engine.submit(job(2, 100, 1, 0));
+    engine.submit(request(2, 100, 1, 0));
     let mut now_us = 0;
     let order: Vec<_> = run(&mut engine, &mut now_us)
         .iter()
@@ -66,11 +67,11 @@
 }
 
 #[test]
-fn a_cached_prefix_is_not_read_again() {
+fn a_cached_prefix_needs_no_prefill() {
     let mut engine = BatchEngine::new(settings());
     let prompt = |id| BatchRequest {
         prefix_hashes: PREFIX.to_vec(),
-        ..job(id, 600, 1, 0)
+        ..request(id, 600, 1, 0)
     };
     let mut cold_us = 0;
     engine.submit(prompt(1));
@@ -83,11 +84,11 @@
 }
 
 #[test]
-fn a_resumed_request_goes_on_behind_its_last_token() {
+fn a_resumed_request_continues_after_its_last_token() {
     let mut engine = BatchEngine::new(settings());
     engine.submit(BatchRequest {
         resume_from_tokens: 3,
-        ..job(1, 10, 5, 0)
+        ..request(1, 10, 5, 0)
     });
     let positions: Vec<_> = run(&mut engine, &mut 0)
         .iter()
@@ -97,9 +98,9 @@
 }
 
 #[test]
-fn a_cancelled_request_gives_no_further_token() {
+fn a_cancelled_request_generates_no_further_token() {
     let mut engine = BatchEngine::new(settings());
-    (0..3).for_each(|id| engine.submit(job(id, 10, 4, 0)));
+    (0..3).for_each(|id| engine.submit(request(id, 10, 4, 0)));
     engine.begin_step();
     engine.end_step(0);
     assert!(engine.cancel(BatchRequestId(0)));
@@ -113,9 +114,9 @@
 }
 
 #[test]
-fn a_report_shows_the_load_of_an_earlier_time() {
+fn a_report_is_delayed_by_the_lag() {
     let mut engine = BatchEngine::new(settings());
-    engine.submit(job(1, 100, 2, 0));
+    engine.submit(request(1, 100, 2, 0));
     engine.begin_step();
     engine.end_step(1_000);
     engine.begin_step();
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn the_least_recently_used_block_is_evicted_and_events_come_late_with_gaps() {
+fn the_least_recently_used_block_is_evicted_and_events_are_delayed_and_dropped() {
     let mut cache = PrefixCache::new(2);
     cache.store(&[1], 0);
     cache.store(&[2], 10);
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -1,4 +1,4 @@
-//! Tests of the model engine.
+//! Tests of the stand-in for an inference engine.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,11 +17,11 @@
 use support::{client, eventually};
 use test_case::test_case;
 
-const TOKENS: u64 = 12;
+const ANSWER_TOKENS: u64 = 12;
 
 fn start(options: EngineOptions) -> engine::Engine {
     engine::start(EngineOptions {
-        answer_tokens: TOKENS,
+        answer_tokens: ANSWER_TOKENS,
         ..options
     })
     .unwrap()
@@ -33,12 +33,12 @@
     )
 }
 
-fn expected() -> String {
+fn expected_answer() -> String {
     let body = request_body(false);
-    answer_text(&RequestView::parse(body.as_bytes()).unwrap(), TOKENS)
+    answer_text(&RequestView::parse(body.as_bytes()).unwrap(), ANSWER_TOKENS)
 }
 
-async fn ask(engine: &engine::Engine, stream: bool) -> reqwest::Result<(u16, String)> {
+async fn send_request(engine: &engine::Engine, stream: bool) -> reqwest::Result<(u16, String)> {
     let url = format!("{}{CHAT_PATH}", engine.url());
     let response = client().post(url).body(request_body(stream)).send().await?;
     let status = response.status().as_u16();
@@ -63,32 +63,32 @@
 }
 
 #[tokio::test]
-async fn whole_answer_is_the_one_expected() {
+async fn non_streamed_answer_matches_the_prompt() {
     let engine = start(EngineOptions::default());
-    let (status, body) = ask(&engine, false).await.unwrap();
+    let (status, body) = send_request(&engine, false).await.unwrap();
     let answer: ChatAnswer = serde_json::from_str(&body).unwrap();
     assert_eq!(status, 200);
     assert_eq!(
         answer.choices[0].message.content.as_deref(),
-        Some(expected().as_str())
+        Some(expected_answer().as_str())
     );
-    assert_eq!(answer.usage.unwrap().completion_tokens, TOKENS);
+    assert_eq!(answer.usage.unwrap().completion_tokens, ANSWER_TOKENS);
 }
 
 #[test_case(0; "all at once")]
 #[test_case(1; "token by token")]
 #[tokio::test]
-async fn streamed_answer_is_the_one_expected(token_ms: u64) {
+async fn streamed_answer_matches_the_prompt(token_ms: u64) {
     let engine = start(EngineOptions {
         token_ms,
         ..EngineOptions::default()
     });
-    let (_, body) = ask(&engine, true).await.unwrap();
-    assert_eq!(streamed_text(&body), (expected(), true));
+    let (_, body) = send_request(&engine, true).await.unwrap();
+    assert_eq!(streamed_text(&body), (expected_answer(), true));
 }
 
 #[tokio::test]
-async fn another_engine_resumes_without_a_seam() {
+async fn another_engine_resumes_without_gap_or_overlap() {
     let engine = start(EngineOptions::default());
     let url = format!("{}{CHAT_PATH}", engine.url());
     let request = client().post(url).header(engine::RESUME_HEADER, "5");
@@ -102,22 +102,22 @@
         .unwrap();
     let (rest, is_done) = streamed_text(&body);
     assert!(is_done);
-    let first: String = expected().split_inclusive(' ').take(5).collect();
-    assert_eq!(first + &rest, expected());
+    let first: String = expected_answer().split_inclusive(' ').take(5).collect();
+    assert_eq!(first + &rest, expected_answer());
 }
 
-#[test_case(Fault::CloseBeforeFirstByte, false; "dies before the first byte, whole")]
-#[test_case(Fault::CloseBeforeFirstByte, true; "dies before the first byte, streamed")]
-#[test_case(Fault::CloseAfterBytes(100), false; "dies in a whole answer")]
-#[test_case(Fault::CloseAfterBytes(100), true; "dies in a stream")]
-#[test_case(Fault::Truncated, false; "short whole answer")]
+#[test_case(Fault::CloseBeforeFirstByte, false; "close before the first byte, not streamed")]
+#[test_case(Fault::CloseBeforeFirstByte, true; "close before the first byte, streamed")]
+#[test_case(Fault::CloseAfterBytes(100), false; "close within a non-streamed answer")]
+#[test_case(Fault::CloseAfterBytes(100), true; "close within a stream")]
+#[test_case(Fault::Truncated, false; "truncated non-streamed answer")]
 #[tokio::test]
 async fn fault_breaks_the_connection(fault: Fault, stream: bool) {
     let engine = start(EngineOptions::default());
     engine.fail_next(fault, 1);
-    assert!(ask(&engine, stream).await.is_err());
+    assert!(send_request(&engine, stream).await.is_err());
     assert_eq!(
-        ask(&engine, stream).await.unwrap().0,
+        send_request(&engine, stream).await.unwrap().0,
         200,
         "only one request fails"
     );
@@ -125,17 +125,17 @@
 }
 
 #[tokio::test]
-async fn short_stream_lacks_its_end() {
+async fn truncated_stream_lacks_its_end() {
     let engine = start(EngineOptions::default());
     engine.fail_next(Fault::Truncated, 1);
-    let (_, body) = ask(&engine, true).await.unwrap();
+    let (_, body) = send_request(&engine, true).await.unwrap();
     let (text, is_done) = streamed_text(&body);
     assert!(!is_done);
-    assert!(expected().starts_with(&text) && text.len() < expected().len());
+    assert!(expected_answer().starts_with(&text) && text.len() < expected_answer().len());
 }
 
 #[tokio::test]
-async fn caller_that_leaves_a_stream_is_noticed() {
+async fn caller_disconnect_cancels_a_streamed_request() {
     let engine = start(EngineOptions {
         token_ms: 3_600_000,
         ..EngineOptions::default()
@@ -157,19 +157,19 @@
 }
 
 #[tokio::test]
-async fn requests_beyond_the_batch_wait_and_show_in_the_load() {
+async fn requests_beyond_the_batch_wait_and_appear_in_the_load() {
     let engine = start(EngineOptions {
         first_token_ms: 3_600_000,
         batch_slots: 2,
         ..EngineOptions::default()
     });
     let pending = (0..5)
-        .map(|_| ask(&engine, true))
+        .map(|_| send_request(&engine, true))
         .collect::<futures::stream::FuturesUnordered<_>>();
     let mut pending = pending;
     tokio::select! {
-        _ = pending.next() => panic!("no request can be done"),
-        () = eventually("three wait", || engine.load().waiting == 3) => {}
+        _ = pending.next() => panic!("a request completed before its first token was due"),
+        () = eventually("three requests wait", || engine.load().waiting == 3) => {}
     }
     let url = format!("{}{LOAD_PATH}", engine.url());
     let report = client()
@@ -185,12 +185,12 @@
 }
 
 #[tokio::test]
-async fn credential_is_required_and_every_header_recorded() {
+async fn credential_is_required_and_all_headers_are_recorded() {
     let engine = start(EngineOptions {
         credential: Some("engine-credential".to_owned()),
         ..EngineOptions::default()
     });
-    assert_eq!(ask(&engine, false).await.unwrap().0, 401);
+    assert_eq!(send_request(&engine, false).await.unwrap().0, 401);
     let url = format!("{}{CHAT_PATH}?q=querysecret", engine.url());
     let request = client()
         .post(url)
@@ -210,19 +210,21 @@
 }
 
 #[tokio::test]
-async fn refusing_engine_accepts_again_on_the_same_address() {
+async fn engine_accepts_connections_again_after_refusing_them() {
     let engine = start(EngineOptions::default());
     engine.set_refusing(true);
     let mut is_refused = false;
     while !is_refused {
-        is_refused = ask(&engine, false).await.is_err_and(|err| err.is_connect());
+        is_refused = send_request(&engine, false)
+            .await
+            .is_err_and(|err| err.is_connect());
     }
     engine.set_refusing(false);
-    while ask(&engine, false).await.is_err() {}
+    while send_request(&engine, false).await.is_err() {}
 }
 
 #[tokio::test]
-async fn random_faults_follow_their_rate() {
+async fn random_faults_occur_at_their_configured_rate() {
     const REQUESTS: u64 = 400;
     let engine = start(EngineOptions {
         seed: 7,
@@ -248,7 +250,7 @@
     );
 }
 
-fn batched(batch: BatchSettings) -> engine::Engine {
+fn start_batched(batch: BatchSettings) -> engine::Engine {
     start(EngineOptions {
         batch: Some(batch),
         batch_slots: 4,
@@ -256,47 +258,50 @@
     })
 }
 
-#[test_case(false; "whole")]
+#[test_case(false; "not streamed")]
 #[test_case(true; "streamed")]
 #[tokio::test]
-async fn batched_answers_are_whole_and_their_own(stream: bool) {
+async fn batched_answers_are_complete_and_match_the_prompt(stream: bool) {
     const REQUESTS: usize = 12;
-    let engine = batched(BatchSettings {
+    let engine = start_batched(BatchSettings {
         step_us: 1_000,
         ..BatchSettings::default()
     });
-    let asked = (0..REQUESTS).map(|_| ask(&engine, stream));
-    for answer in futures::future::join_all(asked).await {
+    let answers = (0..REQUESTS).map(|_| send_request(&engine, stream));
+    for answer in futures::future::join_all(answers).await {
         let (_, body) = answer.unwrap();
         if stream {
-            assert_eq!(streamed_text(&body), (expected(), true));
+            assert_eq!(streamed_text(&body), (expected_answer(), true));
         } else {
             let answer: ChatAnswer = serde_json::from_str(&body).unwrap();
             let text = answer.choices[0].message.content.as_deref();
-            assert_eq!(text, Some(expected().as_str()));
+            assert_eq!(text, Some(expected_answer().as_str()));
         }
     }
-    // The caller has the last byte before the engine counts the answer.
-    eventually("all are counted", || {
+    // The caller can receive the last byte before the engine counts the answer.
+    eventually("all answers are counted", || {
         engine.counts().completed == REQUESTS as u64
     })
     .await;
 }
 
 #[tokio::test]
-async fn caller_that_leaves_a_batch_makes_room_for_the_next() {
-    let engine = batched(BatchSettings {
+async fn caller_disconnect_frees_a_slot_of_the_batch() {
+    let engine = start_batched(BatchSettings {
         step_us: 500_000,
         ..BatchSettings::default()
     });
     let url = format!("{}{CHAT_PATH}", engine.url());
     let http = client();
     let sends = (0..4).map(|_| http.post(&url).body(request_body(true)).send());
-    let left: Vec<_> = futures::future::join_all(sends).await;
-    assert!(left.iter().all(Result::is_ok));
-    drop(left);
-    eventually("four are cancelled", || engine.counts().cancelled == 4).await;
+    let responses: Vec<_> = futures::future::join_all(sends).await;
+    assert!(responses.iter().all(Result::is_ok));
+    drop(responses);
+    eventually("four requests are cancelled", || {
+        engine.counts().cancelled == 4
+    })
+    .await;
     engine.set_slowdown_pct(1);
-    let (_, body) = ask(&engine, true).await.unwrap();
-    assert_eq!(streamed_text(&body), (expected(), true));
+    let (_, body) = send_request(&engine, true).await.unwrap();
+    assert_eq!(streamed_text(&body), (expected_answer(), true));
 }
--- a/crates/standin/tests/proxy.rs
+++ b/crates/standin/tests/proxy.rs
@@ -11,7 +11,7 @@
     net::{Ipv4Addr, SocketAddr},
     time::{Duration, Instant},
 };
-use support::{eventually, PATIENCE};
+use support::{eventually, CONDITION_TIMEOUT};
 use test_case::test_case;
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -19,8 +19,8 @@
     time::timeout,
 };
 
-/// Time without an answer that counts as silence.
-const SILENCE: Duration = Duration::from_millis(150);
+/// Timeout after which a connection or flow counts as silent.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(150);
 
 async fn tcp_echo() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn tcp_bytes_pass_and_ends_are_passed_on() {
+async fn tcp_bytes_and_end_of_stream_are_forwarded() {
     let proxy = tcp_proxy().await;
     let mut stream = TcpStream::connect(proxy.addr()).await.unwrap();
     echo(&mut stream).await.unwrap();
@@ -98,11 +98,11 @@
     let mut stream = TcpStream::connect(proxy.addr()).await.unwrap();
     stream.write_all(b"x").await.unwrap();
     let mut buffer = [0; 1];
-    assert!(timeout(SILENCE, stream.read_exact(&mut buffer))
+    assert!(timeout(SILENCE_TIMEOUT, stream.read_exact(&mut buffer))
         .await
         .is_err());
     proxy.heal();
-    timeout(PATIENCE, stream.read_exact(&mut buffer))
+    timeout(CONDITION_TIMEOUT, stream.read_exact(&mut buffer))
         .await
         .unwrap()
         .unwrap();
@@ -114,23 +114,25 @@
     let mut old = TcpStream::connect(proxy.addr()).await.unwrap();
     echo(&mut old).await.unwrap();
     proxy.freeze_existing();
-    assert!(timeout(SILENCE, echo(&mut old)).await.is_err());
+    assert!(timeout(SILENCE_TIMEOUT, echo(&mut old)).await.is_err());
     let mut new = TcpStream::connect(proxy.addr()).await.unwrap();
     echo(&mut new).await.unwrap();
     proxy.heal();
-    assert!(timeout(SILENCE, echo(&mut old)).await.is_err());
+    assert!(timeout(SILENCE_TIMEOUT, echo(&mut old)).await.is_err());
 }
 
 #[tokio::test]
-async fn cut_ends_connections_and_refusal_keeps_new_ones_out() {
+async fn connections_are_closed_and_new_ones_are_refused() {
     let proxy = tcp_proxy().await;
     let mut stream = TcpStream::connect(proxy.addr()).await.unwrap();
     echo(&mut stream).await.unwrap();
     proxy.set_refusing(true);
     proxy.close_connections();
-    timeout(PATIENCE, async { while echo(&mut stream).await.is_ok() {} })
-        .await
-        .unwrap();
+    timeout(CONDITION_TIMEOUT, async {
+        while echo(&mut stream).await.is_ok() {}
+    })
+    .await
+    .unwrap();
     let refused = async {
         loop {
             match TcpStream::connect(proxy.addr()).await {
@@ -139,14 +141,14 @@
             }
         }
     };
-    timeout(PATIENCE, refused).await.unwrap();
+    timeout(CONDITION_TIMEOUT, refused).await.unwrap();
     proxy.set_refusing(false);
     let accepted = async { while TcpStream::connect(proxy.addr()).await.is_err() {} };
-    timeout(PATIENCE, accepted).await.unwrap();
+    timeout(CONDITION_TIMEOUT, accepted).await.unwrap();
 }
 
 #[tokio::test]
-async fn source_with_its_own_switches_is_partitioned_alone() {
+async fn partition_of_one_source_does_not_affect_others() {
     let proxy = tcp_proxy().await;
     let south = Ipv4Addr::new(127, 0, 2, 1);
     proxy.set_both_for(south.into(), Impairment::partitioned());
@@ -155,44 +157,52 @@
     let mut from_south = socket.connect(proxy.addr()).await.unwrap();
     let mut from_north = TcpStream::connect(proxy.addr()).await.unwrap();
     echo(&mut from_north).await.unwrap();
-    assert!(timeout(SILENCE, echo(&mut from_south)).await.is_err());
+    assert!(timeout(SILENCE_TIMEOUT, echo(&mut from_south))
+        .await
+        .is_err());
 }
 
-/// Sends `count` numbered datagrams and returns the numbers that come back: at least `expected`,
-/// and any more that follow closely.
-async fn volley(proxy: &Proxy, count: u8, expected: usize) -> Vec<u8> {
+/// Sends `count` numbered datagrams and returns the numbers of the echoed ones. Waits for at least
+/// `expected` datagrams and then until none arrives for [`SILENCE_TIMEOUT`].
+async fn echo_datagrams(proxy: &Proxy, count: u8, expected: usize) -> Vec<u8> {
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     socket.connect(proxy.addr()).await.unwrap();
     for number in 0..count {
         socket.send(&[number]).await.unwrap();
     }
-    let mut back = Vec::new();
+    let mut echoed = Vec::new();
     let mut buffer = [0; 16];
-    while back.len() < expected {
-        timeout(PATIENCE, socket.recv(&mut buffer))
+    while echoed.len() < expected {
+        timeout(CONDITION_TIMEOUT, socket.recv(&mut buffer))
             .await
             .unwrap()
             .unwrap();
-        back.push(buffer[0]);
+        echoed.push(buffer[0]);
     }
-    while timeout(SILENCE, socket.recv(&mut buffer)).await.is_ok() {
-        back.push(buffer[0]);
+    while timeout(SILENCE_TIMEOUT, socket.recv(&mut buffer))
+        .await
+        .is_ok()
+    {
+        echoed.push(buffer[0]);
     }
-    back
+    echoed
 }
 
 #[tokio::test]
 async fn datagrams_pass_in_order_by_default() {
     let proxy = udp_proxy(1).await;
-    assert_eq!(volley(&proxy, 100, 100).await, (0..100).collect::<Vec<_>>());
+    assert_eq!(
+        echo_datagrams(&proxy, 100, 100).await,
+        (0..100).collect::<Vec<_>>()
+    );
 }
 
 #[tokio::test]
-async fn datagrams_are_lost_doubled_and_reordered() {
+async fn datagrams_are_dropped_duplicated_and_reordered() {
     let proxy = udp_proxy(3).await;
     proxy.set(Direction::ToUpstream, Impairment::lossy(300_000));
-    let with_loss = volley(&proxy, 200, 100).await.len();
-    assert!(with_loss < 180, "{with_loss} of 200 came back");
+    let echoed = echo_datagrams(&proxy, 200, 100).await.len();
+    assert!(echoed < 180, "{echoed} of 200 datagrams were echoed");
     proxy.set(
         Direction::ToUpstream,
         Impairment {
@@ -200,7 +210,7 @@
             ..Impairment::default()
         },
     );
-    assert_eq!(volley(&proxy, 50, 100).await.len(), 100);
+    assert_eq!(echo_datagrams(&proxy, 50, 100).await.len(), 100);
     proxy.set(
         Direction::ToUpstream,
         Impairment {
@@ -208,9 +218,9 @@
             ..Impairment::default()
         },
     );
-    assert!(!volley(&proxy, 50, 50).await.is_sorted());
+    assert!(!echo_datagrams(&proxy, 50, 50).await.is_sorted());
     proxy.set(Direction::ToCaller, Impairment::partitioned());
-    assert!(volley(&proxy, 10, 0).await.is_empty());
+    assert!(echo_datagrams(&proxy, 10, 0).await.is_empty());
 }
 
 #[tokio::test]
@@ -220,12 +230,14 @@
     old.connect(proxy.addr()).await.unwrap();
     let mut buffer = [0; 16];
     old.send(b"a").await.unwrap();
-    timeout(PATIENCE, old.recv(&mut buffer))
+    timeout(CONDITION_TIMEOUT, old.recv(&mut buffer))
         .await
         .unwrap()
         .unwrap();
     proxy.freeze_existing();
     old.send(b"a").await.unwrap();
-    assert!(timeout(SILENCE, old.recv(&mut buffer)).await.is_err());
-    assert_eq!(volley(&proxy, 3, 3).await, [0, 1, 2]);
+    assert!(timeout(SILENCE_TIMEOUT, old.recv(&mut buffer))
+        .await
+        .is_err());
+    assert_eq!(echo_datagrams(&proxy, 3, 3).await, [0, 1, 2]);
 }
--- a/crates/standin/tests/service.rs
+++ b/crates/standin/tests/service.rs
@@ -1,4 +1,4 @@
-//! Tests of the plain service and the live list.
+//! Tests of the stand-ins for the plain service and the live list.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,7 +14,7 @@
 use support::client;
 use test_case::test_case;
 
-async fn confirm(service: &service::Service) -> reqwest::Result<Receipt> {
+async fn send_action(service: &service::Service) -> reqwest::Result<Receipt> {
     let request = client()
         .post(format!("{}/ledger/confirmations", service.url()))
         .header(IDEMPOTENCY_HEADER, "round-17")
@@ -27,12 +27,15 @@
 #[test_case(ServiceFault::CloseAfterRunning, 1)]
 #[test_case(ServiceFault::CloseInAnswer, 1)]
 #[tokio::test]
-async fn runs_are_counted_as_they_happen(fault: ServiceFault, runs: u64) {
+async fn fault_before_or_after_running_is_reflected_in_the_run_count(
+    fault: ServiceFault,
+    runs: u64,
+) {
     let service = service::start(ServiceOptions::default()).unwrap();
     service.fail_next(&[fault]);
-    assert!(confirm(&service).await.is_err());
+    assert!(send_action(&service).await.is_err());
     assert_eq!(service.runs("round-17"), runs);
-    assert_eq!(confirm(&service).await.unwrap().body, "two sacks");
+    assert_eq!(send_action(&service).await.unwrap().body, "two sacks");
     assert_eq!(service.runs("round-17"), runs + 1);
 }
 
@@ -43,8 +46,8 @@
         ..ServiceOptions::default()
     };
     let service = service::start(options).unwrap();
-    confirm(&service).await.unwrap();
-    confirm(&service).await.unwrap();
+    send_action(&service).await.unwrap();
+    send_action(&service).await.unwrap();
     assert_eq!((service.runs("round-17"), service.request_count()), (1, 2));
 }
 
@@ -60,7 +63,7 @@
     }
 }
 
-async fn listed(list: &livelist::LiveList) -> Vec<(String, InstanceState)> {
+async fn fetch_instances(list: &livelist::LiveList) -> Vec<(String, InstanceState)> {
     let body = client()
         .get(format!("{}/instances", list.url()))
         .send()
@@ -69,33 +72,33 @@
     let list: InstanceList = serde_json::from_slice(&body.bytes().await.unwrap()).unwrap();
     list.instances
         .into_iter()
-        .map(|known| (known.id.to_string(), known.state))
+        .map(|instance| (instance.id.to_string(), instance.state))
         .collect()
 }
 
 #[tokio::test]
-async fn list_lags_behind() {
+async fn changes_appear_in_the_list_after_its_lag() {
     let list = livelist::start(LiveListOptions::default()).unwrap();
     list.add(instance("n1"));
     assert_eq!(
-        listed(&list).await,
+        fetch_instances(&list).await,
         [("n1".to_owned(), InstanceState::Live)]
     );
     list.set_lag_ms(3_600_000);
     list.set_leaving("n1");
     assert_eq!(
-        listed(&list).await,
+        fetch_instances(&list).await,
         [("n1".to_owned(), InstanceState::Live)]
     );
     list.set_lag_ms(0);
     assert_eq!(
-        listed(&list).await,
+        fetch_instances(&list).await,
         [("n1".to_owned(), InstanceState::Leaving)]
     );
 }
 
 #[tokio::test]
-async fn directory_takes_entries_under_their_own_name_only() {
+async fn directory_rejects_entries_under_another_name() {
     let list = livelist::start(LiveListOptions::default()).unwrap();
     let entry =
         json!({"id": "n1", "region": "north", "caller_address": "127.0.0.1:2", "ttl_s": 60});
@@ -106,7 +109,7 @@
     assert_eq!(put("n2").await.unwrap().status(), 400);
     assert_eq!(put("n1").await.unwrap().status(), 200);
     assert_eq!(list.directory().len(), 1);
-    let gone = client().delete(format!("{}/directory/n1", list.url()));
-    assert_eq!(gone.send().await.unwrap().status(), 200);
+    let deleted = client().delete(format!("{}/directory/n1", list.url()));
+    assert_eq!(deleted.send().await.unwrap().status(), 200);
     assert!(list.directory().is_empty());
 }
--- a/crates/standin/tests/support/mod.rs
+++ b/crates/standin/tests/support/mod.rs
@@ -1,13 +1,13 @@
-//! Helpers of the stand-ins' tests.
+//! Helpers for the tests of the stand-ins.
 
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
 
-/// Longest wait for a condition before a test fails.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for a condition before a test fails.
+pub(crate) const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A client that repeats and redirects nothing.
+/// Returns an HTTP client without proxy, redirects and retries.
 pub(crate) fn client() -> reqwest::Client {
     let _ = rustls::crypto::ring::default_provider().install_default();
     reqwest::Client::builder()
@@ -18,13 +18,13 @@
         .unwrap()
 }
 
-/// Waits until `condition` holds.
+/// Waits until `condition` returns true. Panics after [`CONDITION_TIMEOUT`].
 pub(crate) async fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
     let start = std::time::Instant::now();
     while !condition() {
         assert!(
-            start.elapsed() < PATIENCE,
-            "not within {PATIENCE:?}: {what}"
+            start.elapsed() < CONDITION_TIMEOUT,
+            "not within {CONDITION_TIMEOUT:?}: {what}"
         );
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
