--- a/crates/edge/src/member/mod.rs
+++ b/crates/edge/src/member/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     limit::Fleet,
-    place::{Kind, Outlook},
+    place::{JobKind, LatencyForecast},
 };
 use carobwheel_core::time::Millis;
 use serde::{Deserialize, Serialize};
@@ -70,7 +70,7 @@
     /// Revisions up to which it knows the followed parts of the store.
     pub revisions: Vec<u64>,
     /// What jobs have to expect in its region, by a hash of the service's name and their kind.
-    pub outlooks: HashMap<(u32, Kind), Outlook>,
+    pub forecasts: HashMap<(u32, JobKind), LatencyForecast>,
 }
 
 impl Member {
@@ -109,7 +109,7 @@
             heard_at: None,
             entry_at: now,
             revisions: Vec::new(),
-            outlooks: HashMap::new(),
+            forecasts: HashMap::new(),
             entry,
         };
         self.by_name.insert(Arc::clone(&member.entry.name), member);
--- a/crates/edge/src/model/mod.rs
+++ b/crates/edge/src/model/mod.rs
@@ -76,7 +76,7 @@
     /// Requests in one batch.
     pub slots: u32,
     /// Tokens that an engine's memory holds.
-    pub memory_tokens: u64,
+    pub kv_cache_tokens: u64,
 }
 
 /// One service.
--- a/crates/edge/src/node/apply.rs
+++ b/crates/edge/src/node/apply.rs
@@ -125,7 +125,7 @@
             let engine = service.and_then(|service| service.engine);
             upstream
                 .cache
-                .set_capacity(engine.map_or(0, |engine| engine.memory_tokens));
+                .set_capacity(engine.map_or(0, |engine| engine.kv_cache_tokens));
         }
         state.config = Some(config);
     }
@@ -216,7 +216,7 @@
         let engine = state
             .service(&seen.service)
             .and_then(|service| service.engine);
-        let memory_tokens = engine.map_or(0, |engine| engine.memory_tokens);
+        let kv_cache_tokens = engine.map_or(0, |engine| engine.kv_cache_tokens);
         let version = (Arc::clone(&seen.service), Arc::clone(&seen.version));
         let first_at = if state.replica.is_complete() {
             now
@@ -226,7 +226,7 @@
         state.versions.entry(version).or_insert(first_at);
         let logged = seen.clone();
         let is_new = !state.upstreams.by_id.contains_key(&seen.id);
-        if state.upstreams.saw(seen, &region, memory_tokens, now) {
+        if state.upstreams.saw(seen, &region, kv_cache_tokens, now) {
             self.log.event(Event::UpstreamSeen {
                 upstream: &logged.id,
                 service: &logged.service,
--- a/crates/edge/src/node/gossip.rs
+++ b/crates/edge/src/node/gossip.rs
@@ -4,7 +4,7 @@
 use crate::hash::short_hash;
 use crate::{
     log::Event,
-    place::{Kind, Outlook},
+    place::{JobKind, LatencyForecast},
     rollout::{RouteEvidence, Verdict},
     upstream::Load,
 };
@@ -36,7 +36,7 @@
     /// Hash of the service's name.
     pub service: u32,
     /// Kind of job.
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Wait for the first token, in milliseconds.
     pub wait_ms: u32,
     /// Time for each token, in microseconds.
@@ -44,21 +44,21 @@
 }
 
 impl OutlookNews {
-    fn new(service: &str, kind: Kind, outlook: Outlook) -> Self {
+    fn new(service: &str, kind: JobKind, outlook: LatencyForecast) -> Self {
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let bounded = |value: f64| value.clamp(0.0, MOST_TOLD) as u32;
         Self {
             service: short_hash(service),
             kind,
             wait_ms: bounded(outlook.wait_ms),
-            pace_us: bounded(outlook.pace_ms * 1_000.0),
+            pace_us: bounded(outlook.time_per_token_ms * 1_000.0),
         }
     }
 
-    fn outlook(self) -> Outlook {
-        Outlook {
+    fn outlook(self) -> LatencyForecast {
+        LatencyForecast {
             wait_ms: f64::from(self.wait_ms),
-            pace_ms: f64::from(self.pace_us) / 1_000.0,
+            time_per_token_ms: f64::from(self.pace_us) / 1_000.0,
         }
     }
 }
@@ -103,7 +103,7 @@
                 .collect()
         };
         let outlooks = services.iter().flat_map(|service| {
-            Kind::ALL.into_iter().filter_map(move |kind| {
+            JobKind::ALL.into_iter().filter_map(move |kind| {
                 let outlook = self.region_outlook(service, kind)?;
                 Some(OutlookNews::new(service, kind, outlook))
             })
@@ -166,7 +166,7 @@
             state.hear_loads(name, &gossip, now);
             if let Some(member) = state.members.by_name.get_mut(name) {
                 let told = gossip.outlooks.iter();
-                member.outlooks = told
+                member.forecasts = told
                     .map(|news| ((news.service, news.kind), news.outlook()))
                     .collect();
                 member.revisions.clone_from(&gossip.revisions);
--- a/crates/edge/src/node/state.rs
+++ b/crates/edge/src/node/state.rs
@@ -11,7 +11,10 @@
     model::{Account, Config, Route, Service},
     names::HeaderNames,
     peers::Links,
-    place::{choose, region_outlook, Choice, Job, Kind, Mix, Outlook, Placed, Rules},
+    place::{
+        choose, forecast_region, Choice, InferenceJob, JobKind, JobMix, LatencyForecast, Placement,
+        PlacementRules,
+    },
     retry::{RetryBounds, RetryBudget},
     rollout::{Trial, TrialBounds, Verdict},
     settings::Settings,
@@ -86,7 +89,7 @@
     /// Tokens of accounts.
     pub buckets: HashMap<Arc<str>, Bucket>,
     /// Work that callers have asked for lately, by service.
-    pub mixes: HashMap<Arc<str>, Mix>,
+    pub mixes: HashMap<Arc<str>, JobMix>,
     /// Budgets of repeats by service.
     pub budgets: HashMap<Arc<str>, RetryBudget>,
     /// Data centres that must get nothing.
@@ -114,7 +117,7 @@
     /// Service.
     pub service: &'a Arc<str>,
     /// Request.
-    pub job: &'a Job,
+    pub job: &'a InferenceJob,
     /// Upstreams that have had it.
     pub tried: &'a [Arc<str>],
     /// Whether it goes to the version on trial, by a draw from 0 up to 1.
@@ -159,17 +162,17 @@
     }
 
     /// What a job of the service has to expect in the own region.
-    pub fn region_outlook(&self, service: &Arc<str>, kind: Kind) -> Option<Outlook> {
+    pub fn region_outlook(&self, service: &Arc<str>, kind: JobKind) -> Option<LatencyForecast> {
         let now = self.now();
         let state = self.state.borrow();
         let offered = Offered {
             service,
-            job: &Job::default(),
+            job: &InferenceJob::default(),
             tried: &[],
             draw: 1.0,
         };
         state.with_rules(self, &offered, now, |rules| {
-            region_outlook(&state.upstreams, kind, rules, now)
+            forecast_region(&state.upstreams, kind, rules, now)
         })
     }
 
@@ -221,7 +224,7 @@
     }
 
     /// Takes note of a request to `service` that is to run in the own region.
-    pub fn note_request(&self, service: &Arc<str>, job: &Job) {
+    pub fn note_request(&self, service: &Arc<str>, job: &InferenceJob) {
         let (bounds, now) = (self.retry_bounds(), self.now());
         let mut state = self.state.borrow_mut();
         let budget = state.budgets.entry(Arc::clone(service)).or_default();
@@ -243,7 +246,7 @@
     }
 
     /// Takes note that a request goes to an upstream.
-    pub fn note_sent(&self, placed: &Placed, job: &Job, cold_per_s: f64) {
+    pub fn note_sent(&self, placed: &Placement, job: &InferenceJob, cold_per_s: f64) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let users = state.cold_users(self, now);
@@ -256,7 +259,7 @@
             upstream.health.sent(expected_ms * 2 + 500, now);
             upstream.own += placed.load;
             upstream
-                .reads
+                .prefill_rate
                 .add(f64::from(placed.load.unread_tokens), now);
             upstream.cache.insert(&job.parts);
         }
@@ -272,10 +275,12 @@
     }
 
     /// What takes most of an upstream's time for a job.
-    pub fn kind_of(&self, service: &str, job: &Job) -> Kind {
+    pub fn kind_of(&self, service: &str, job: &InferenceJob) -> JobKind {
         let service = self.service(service);
         let engine = service.as_ref().and_then(|service| service.engine);
-        engine.map_or(Kind::Reading, |engine| Kind::of(job, engine.slots))
+        engine.map_or(JobKind::PrefillHeavy, |engine| {
+            JobKind::of(job, engine.slots)
+        })
     }
 
     /// How many instances of the region use one cold upstream.
@@ -306,26 +311,26 @@
         node: &Node,
         offered: &Offered<'_>,
         now: Millis,
-        decide: impl FnOnce(&Rules<'_>) -> T,
+        decide: impl FnOnce(&PlacementRules<'_>) -> T,
     ) -> T {
         let is_version_allowed =
             |version: &str| self.is_version_allowed(node, offered, version, now);
         let is_cold_user = |id: &str| self.is_cold_user(node, id, now);
         let service = self.service(offered.service);
         let engine = service.as_ref().and_then(|service| service.engine);
-        let rules = Rules {
+        let rules = PlacementRules {
             service: offered.service,
             region: &node.region,
             evacuated: &self.evacuated,
             is_version_allowed: &is_version_allowed,
             is_cold_user: &is_cold_user,
-            memory_tokens: engine.map_or(0, |engine| engine.memory_tokens),
+            kv_cache_tokens: engine.map_or(0, |engine| engine.kv_cache_tokens),
             tried: offered.tried,
-            answering_part: self
+            decode_share: self
                 .mixes
                 .get(offered.service)
-                .and_then(Mix::answering_part),
-            sampled: if self.region_members(node, now).len() < SMALL_REGION {
+                .and_then(JobMix::decode_share),
+            sample_size: if self.region_members(node, now).len() < SMALL_REGION {
                 0
             } else {
                 SAMPLED
--- a/crates/edge/src/pipeline/forward.rs
+++ b/crates/edge/src/pipeline/forward.rs
@@ -6,7 +6,7 @@
     log::Event,
     node::Node,
     peers::{exchange, ExchangeError, REFUSED_HEADER, TICKET_HEADER},
-    place::{cost_ms, Placed},
+    place::{cost_ms, Placement},
     relay::AnswerBody,
 };
 use bytes::Bytes;
@@ -44,7 +44,7 @@
     }
 
     /// Whether the request should rather go there than to where it was placed in the own region.
-    pub(super) fn is_better(&self, ticket: &Ticket, local: &Placed) -> bool {
+    pub(super) fn is_better(&self, ticket: &Ticket, local: &Placement) -> bool {
         #[allow(clippy::cast_precision_loss)]
         let aim_ms = ticket.far.aim_ms as f64;
         local.cost_ms > aim_ms * STAY_PART && self.cost_ms + FAR_MS < local.cost_ms * FAR_PART
@@ -66,14 +66,14 @@
     let mut best: Option<(f64, Far)> = None;
     for region in regions.iter().filter(|region| ***region != *node.region) {
         for member in state.members.up_in(region, now) {
-            let Some(outlook) = member.outlooks.get(&(service, kind)) else {
+            let Some(outlook) = member.forecasts.get(&(service, kind)) else {
                 continue;
             };
             let is_linked = node.links.connection(&member.entry.name).is_some();
             if !is_linked || tried.contains(&member.entry.name) {
                 continue;
             }
-            let cost_ms = cost_ms(&ticket.job, outlook.wait_ms, outlook.pace_ms);
+            let cost_ms = cost_ms(&ticket.job, outlook.wait_ms, outlook.time_per_token_ms);
             // Instances of a region report nearly the same; the draw spreads requests.
             let rank = cost_ms + rand::random::<f64>() * (10.0 + cost_ms / 4.0);
             if best.as_ref().is_none_or(|(known, _)| rank < *known) {
--- a/crates/edge/src/pipeline/identify.rs
+++ b/crates/edge/src/pipeline/identify.rs
@@ -7,7 +7,7 @@
     model::{allowed_regions, split_service, Account, Config, Route, RouteMatch},
     names::HeaderNames,
     node::{urgency, Node},
-    place::{Job, Part},
+    place::{InferenceJob, PromptPart},
 };
 use bytes::Bytes;
 use carobwheel_core::time::Millis;
@@ -197,17 +197,17 @@
 }
 
 /// The prompt that a request's headers describe.
-pub(super) fn job(names: &HeaderNames, headers: &HeaderMap, is_yielding: bool) -> Job {
-    let (prompt_tokens, answer_tokens) = text(headers, &names.token_use)
+pub(super) fn job(names: &HeaderNames, headers: &HeaderMap, is_yielding: bool) -> InferenceJob {
+    let (prompt_tokens, max_output_tokens) = text(headers, &names.token_use)
         .and_then(parse_token_use)
         .unwrap_or_default();
     let parts = text(headers, &names.prompt_parts)
         .map(parse_parts)
         .unwrap_or_default();
-    Job {
+    InferenceJob {
         parts,
         prompt_tokens,
-        answer_tokens,
+        max_output_tokens,
         is_yielding,
     }
 }
@@ -251,11 +251,11 @@
     Some((prompt.trim().parse().ok()?, answer.trim().parse().ok()?))
 }
 
-fn parse_parts(text: &str) -> Vec<Part> {
+fn parse_parts(text: &str) -> Vec<PromptPart> {
     let part = |entry: &str| {
         let (id, tokens) = entry.trim().split_once(':')?;
         let id = u64::from_str_radix(id, 16).ok()?;
-        Some(Part {
+        Some(PromptPart {
             id,
             tokens: tokens.parse().ok()?,
         })
--- a/crates/edge/src/pipeline/run.rs
+++ b/crates/edge/src/pipeline/run.rs
@@ -25,17 +25,17 @@
     let far = forward::best_far(node, &ticket, &caller.regions, &[]);
     let local = if is_home {
         node.place(&offered(&ticket, &[]))
-            .unless_queued(&ticket.job, ticket.far.aim_ms)
+            .reject_long_queue(&ticket.job, ticket.far.aim_ms)
     } else {
         Choice::NoUpstream
     };
     let local_wait_ms = match &local {
         Choice::Placed(placed) => Some(placed.wait_ms),
-        Choice::Crowded | Choice::NoUpstream => None,
+        Choice::Saturated | Choice::NoUpstream => None,
     };
     let is_far_better = |far: &forward::Far| match &local {
         Choice::Placed(placed) => far.is_better(&ticket, placed),
-        Choice::Crowded => far.is_roomy(&ticket),
+        Choice::Saturated => far.is_roomy(&ticket),
         Choice::NoUpstream => true,
     };
     if let Some(far) = far.filter(is_far_better) {
--- a/crates/edge/src/pipeline/send_once.rs
+++ b/crates/edge/src/pipeline/send_once.rs
@@ -10,7 +10,7 @@
     log::Event,
     model::RouteKind,
     node::{Node, Sent},
-    place::Placed,
+    place::Placement,
     upstream::Outcome,
 };
 use bytes::Bytes;
@@ -44,7 +44,7 @@
 pub(super) async fn send_once(
     node: &Rc<Node>,
     ticket: &Ticket,
-    placed: &Placed,
+    placed: &Placement,
     attempt: u32,
 ) -> Sending {
     let (target, waiting_tokens, at_upstream, cold_per_s) = {
--- a/crates/edge/src/pipeline/take.rs
+++ b/crates/edge/src/pipeline/take.rs
@@ -10,7 +10,7 @@
     dispatch::{Keep, Work},
     log::Event,
     node::{Node, Offered},
-    place::{Choice, Placed},
+    place::{Choice, Placement},
 };
 use bytes::Bytes;
 use hyper::{body::Incoming, http::response::Parts};
@@ -135,17 +135,17 @@
 }
 
 /// Finds an upstream that can answer in time.
-async fn place(node: &Node, ticket: &Ticket, tries: &Tries) -> Result<Placed, Refusal> {
+async fn place(node: &Node, ticket: &Ticket, tries: &Tries) -> Result<Placement, Refusal> {
     let wait_until = node
         .now()
         .plus(NO_UPSTREAM_WAIT_MS.min(ticket.left_ms(node)));
     loop {
         match node
             .place(&offered(ticket, &tries.tried))
-            .unless_queued(&ticket.job, ticket.far.aim_ms)
+            .reject_long_queue(&ticket.job, ticket.far.aim_ms)
         {
             Choice::Placed(placed) => return in_time(node, ticket, tries, placed),
-            Choice::Crowded => {
+            Choice::Saturated => {
                 let waited_ms = node.now().since(ticket.started_at);
                 if waited_ms >= ticket.far.aim_ms / CROWDED_AIM_PARTS {
                     let refusal = Refusal::not_run("all upstreams are crowded", CROWDED_RETRY_MS);
@@ -164,7 +164,12 @@
     }
 }
 
-fn in_time(node: &Node, ticket: &Ticket, tries: &Tries, placed: Placed) -> Result<Placed, Refusal> {
+fn in_time(
+    node: &Node,
+    ticket: &Ticket,
+    tries: &Tries,
+    placed: Placement,
+) -> Result<Placement, Refusal> {
     let spent_ms = node.now().since(ticket.started_at);
     let patience_ms = ticket.patience_ms();
     #[allow(clippy::cast_precision_loss)]
--- a/crates/edge/src/pipeline/ticket.rs
+++ b/crates/edge/src/pipeline/ticket.rs
@@ -1,7 +1,7 @@
 //! A request after it was identified and admitted.
 
 use super::identify::{job, text};
-use crate::{model::RouteKind, node::Node, place::Job};
+use crate::{model::RouteKind, node::Node, place::InferenceJob};
 use bytes::Bytes;
 use carobwheel_core::time::Millis;
 use hyper::{http::request::Parts, HeaderMap, Method, Uri};
@@ -28,7 +28,7 @@
     /// Body.
     pub body: Bytes,
     /// Prompt.
-    pub job: Job,
+    pub job: InferenceJob,
     /// When the request was read.
     pub started_at: Millis,
     /// When the time for it ends.
--- a/crates/edge/src/place/cache.rs
+++ b/crates/edge/src/place/cache.rs
@@ -4,7 +4,7 @@
 
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptPart {
     /// Identifier of the part.
     pub id: u64,
     /// Its length.
@@ -13,7 +13,7 @@
 
 /// Parts that were sent to one engine, the least recently used forgotten first.
 #[derive(Clone, Debug, Default)]
-pub struct PartCache {
+pub struct PrefixCache {
     capacity_tokens: u64,
     held_tokens: u64,
     parts: HashMap<u64, (u32, u64)>,
@@ -21,7 +21,7 @@
     uses: u64,
 }
 
-impl PartCache {
+impl PrefixCache {
     /// An empty cache for an engine whose memory holds `capacity_tokens`.
     pub fn new(capacity_tokens: u64) -> Self {
         Self {
@@ -36,7 +36,7 @@
     }
 
     /// Tokens of the leading parts that the engine probably holds.
-    pub fn held_prefix_tokens(&self, parts: &[Part]) -> u32 {
+    pub fn held_prefix_tokens(&self, parts: &[PromptPart]) -> u32 {
         let held = parts
             .iter()
             .take_while(|part| self.parts.contains_key(&part.id));
@@ -44,7 +44,7 @@
     }
 
     /// Takes note that the engine reads a prompt with these parts.
-    pub fn insert(&mut self, parts: &[Part]) {
+    pub fn insert(&mut self, parts: &[PromptPart]) {
         for part in parts {
             self.uses += 1;
             let before = self.parts.insert(part.id, (part.tokens, self.uses));
--- a/crates/edge/src/place/choose.rs
+++ b/crates/edge/src/place/choose.rs
@@ -1,6 +1,6 @@
 //! The choice among the upstreams of one service in one region.
 
-use super::{cost_ms, pace::pace_ms, set_apart, Kind, Part};
+use super::{cost_ms, engines_for_other_kind, pace::time_per_token_ms, JobKind, PromptPart};
 use crate::{
     hash::rendezvous,
     upstream::{Load, Upstream, Upstreams},
@@ -45,18 +45,18 @@
 
 /// A request as far as placing is concerned.
 #[derive(Clone, Debug, Default)]
-pub struct Job {
+pub struct InferenceJob {
     /// Parts of its prompt, in order.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PromptPart>,
     /// Prompt tokens.
     pub prompt_tokens: u32,
     /// Most tokens of the answer.
-    pub answer_tokens: u32,
+    pub max_output_tokens: u32,
     /// It yields to requests of a higher rank at the same upstreams.
     pub is_yielding: bool,
 }
 
-impl Job {
+impl InferenceJob {
     /// Tokens of the parts that other requests may share.
     pub fn shared_tokens(&self) -> u32 {
         let shared = self
@@ -73,7 +73,7 @@
 }
 
 /// What may be used at the moment.
-pub struct Rules<'a> {
+pub struct PlacementRules<'a> {
     /// Service that the request belongs to.
     pub service: &'a str,
     /// Region to look in.
@@ -85,19 +85,19 @@
     /// Whether this instance may use a cold upstream.
     pub is_cold_user: &'a dyn Fn(&str) -> bool,
     /// Memory of each engine, in tokens; 0 where there is no bound.
-    pub memory_tokens: u64,
+    pub kv_cache_tokens: u64,
     /// Upstreams that have had the request.
     pub tried: &'a [Arc<str>],
     /// Upstreams that are looked at besides the preferred ones; the draws differ between
     /// instances, so that many of them do not all choose the same one. 0: all are looked at.
-    pub sampled: usize,
+    pub sample_size: usize,
     /// Part of the engines that is set apart for long answers, if any.
-    pub answering_part: Option<f64>,
+    pub decode_share: Option<f64>,
 }
 
 /// The upstream that takes a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Placed {
+pub struct Placement {
     /// Identifier of the upstream.
     pub id: Arc<str>,
     /// Predicted time to the first byte, in milliseconds.
@@ -114,9 +114,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
     /// An upstream was found.
-    Placed(Placed),
+    Placed(Placement),
     /// All upstreams read prompts for as much of their time as they should.
-    Crowded,
+    Saturated,
     /// No upstream may be used.
     NoUpstream,
 }
@@ -125,19 +125,24 @@
     /// The choice, or that all are crowded if the job yields and would stand in a queue that is
     /// long beside its aim: a longer queue would only make all of them late. Its own prompt does
     /// not count, so that large ones are not refused for their size.
-    pub fn unless_queued(self, job: &Job, aim_ms: u64) -> Self {
+    pub fn reject_long_queue(self, job: &InferenceJob, aim_ms: u64) -> Self {
         #[allow(clippy::cast_precision_loss)]
         let most_ms = aim_ms as f64 * QUEUE_AIM_PART;
         let yields = job.is_yielding && job.prompt_tokens > 0;
         match self {
-            Self::Placed(placed) if yields && placed.queue_ms > most_ms => Self::Crowded,
+            Self::Placed(placed) if yields && placed.queue_ms > most_ms => Self::Saturated,
             choice => choice,
         }
     }
 }
 
 /// Chooses the upstream at which the job costs least: mostly its wait for the first byte.
-pub fn choose(upstreams: &Upstreams, job: &Job, rules: &Rules<'_>, now: Millis) -> Choice {
+pub fn choose(
+    upstreams: &Upstreams,
+    job: &InferenceJob,
+    rules: &PlacementRules<'_>,
+    now: Millis,
+) -> Choice {
     for is_last_resort in [false, true] {
         let usable = usable(upstreams, rules, is_last_resort, now);
         let has_any = !usable.is_empty();
@@ -147,11 +152,11 @@
             .into_iter()
             .filter(|up| has_room(up, job, is_apart(up), rules, now))
             .partition(|up| is_apart(up));
-        let mut looked_at = sample(own, job, rules.sampled);
-        looked_at.extend(sample(others, job, rules.sampled));
+        let mut looked_at = sample(own, job, rules.sample_size);
+        looked_at.extend(sample(others, job, rules.sample_size));
         match cheapest(&looked_at, job, &is_apart, rules, now) {
             Some(placed) => return Choice::Placed(placed),
-            None if has_any => return Choice::Crowded,
+            None if has_any => return Choice::Saturated,
             None => {}
         }
     }
@@ -159,18 +164,22 @@
 }
 
 /// Identifiers of the engines that are set apart for other jobs than this one.
-fn apart(usable: &[&Upstream], job: &Job, rules: &Rules<'_>) -> HashSet<Arc<str>> {
-    let Some(first) = usable.first().filter(|_| rules.memory_tokens > 0) else {
+fn apart(
+    usable: &[&Upstream],
+    job: &InferenceJob,
+    rules: &PlacementRules<'_>,
+) -> HashSet<Arc<str>> {
+    let Some(first) = usable.first().filter(|_| rules.kv_cache_tokens > 0) else {
         return HashSet::new();
     };
-    let kind = Kind::of(job, first.seen.slots);
-    set_apart(usable, kind, rules.answering_part)
+    let kind = JobKind::of(job, first.seen.slots);
+    engines_for_other_kind(usable, kind, rules.decode_share)
 }
 
 /// The upstreams that may be used at the moment.
 pub(super) fn usable<'a>(
     upstreams: &'a Upstreams,
-    rules: &Rules<'_>,
+    rules: &PlacementRules<'_>,
     is_last_resort: bool,
     now: Millis,
 ) -> Vec<&'a Upstream> {
@@ -199,14 +208,18 @@
 }
 
 /// The upstreams that are preferred for the prompt, and some others by chance.
-fn sample<'a>(mut all: Vec<&'a Upstream>, job: &Job, sampled: usize) -> Vec<&'a Upstream> {
-    if sampled == 0 || all.len() <= sampled + PREFERRED {
+fn sample<'a>(
+    mut all: Vec<&'a Upstream>,
+    job: &InferenceJob,
+    sample_size: usize,
+) -> Vec<&'a Upstream> {
+    if sample_size == 0 || all.len() <= sample_size + PREFERRED {
         return all;
     }
     let key = affinity_key(&job.parts);
     all.sort_by_cached_key(|up| Reverse(rendezvous(&up.seen.id, key)));
     let mut chosen: Vec<&Upstream> = all.drain(..PREFERRED).collect();
-    for _ in 0..sampled {
+    for _ in 0..sample_size {
         let at = rand::random_range(0..all.len());
         chosen.push(all.swap_remove(at));
     }
@@ -216,22 +229,22 @@
 /// Whether the engine may read one more prompt.
 pub(super) fn has_room(
     up: &Upstream,
-    job: &Job,
+    job: &InferenceJob,
     is_apart: bool,
-    rules: &Rules<'_>,
+    rules: &PlacementRules<'_>,
     now: Millis,
 ) -> bool {
-    if rules.memory_tokens == 0 {
+    if rules.kv_cache_tokens == 0 {
         return true;
     }
     let most = if is_apart && job.is_yielding {
         APART_READING_PART
-    } else if job.is_yielding && rules.answering_part.is_none() {
+    } else if job.is_yielding && rules.decode_share.is_none() {
         YIELDING_READING_PART
     } else {
         READING_PART
     };
-    up.reading_part(now) < most
+    up.prefill_share(now) < most
 }
 
 /// What a job has to expect at one upstream.
@@ -245,11 +258,11 @@
 /// The upstream at which the job costs least.
 fn cheapest(
     usable: &[&Upstream],
-    job: &Job,
+    job: &InferenceJob,
     is_apart: &dyn Fn(&Upstream) -> bool,
-    rules: &Rules<'_>,
+    rules: &PlacementRules<'_>,
     now: Millis,
-) -> Option<Placed> {
+) -> Option<Placement> {
     let key = affinity_key(&job.parts);
     let weight = |up: &Upstream| rendezvous(&up.seen.id, key);
     let mut preferred: Vec<&Upstream> = usable.iter().copied().filter(|up| !is_apart(up)).collect();
@@ -262,8 +275,8 @@
     let predicted = usable.iter().map(|up| {
         let unread_tokens = unread_tokens(up, job, held_part(up));
         let wait_ms = wait_ms(up, job, unread_tokens, rules, now);
-        let pace_ms = if rules.memory_tokens > 0 {
-            pace_ms(up, now)
+        let time_per_token_ms = if rules.kv_cache_tokens > 0 {
+            time_per_token_ms(up, now)
         } else {
             0.0
         };
@@ -272,14 +285,14 @@
             up,
             unread_tokens,
             wait_ms,
-            cost_ms: cost_ms(job, wait_ms, pace_ms) + apart_ms,
+            cost_ms: cost_ms(job, wait_ms, time_per_token_ms) + apart_ms,
         }
     });
     let best = predicted.min_by(|a, b| {
         let order = a.cost_ms.total_cmp(&b.cost_ms);
         order.then_with(|| weight(b.up).cmp(&weight(a.up)))
     })?;
-    Some(Placed {
+    Some(Placement {
         id: Arc::clone(&best.up.seen.id),
         wait_ms: best.wait_ms,
         queue_ms: wait_ms(best.up, job, 0.0, rules, now),
@@ -287,14 +300,14 @@
         load: Load {
             requests: 1,
             unread_tokens: to_u32(best.unread_tokens),
-            memory_tokens: job.prompt_tokens.saturating_add(job.answer_tokens),
-            read_per_s: 0,
+            kv_cache_tokens: job.prompt_tokens.saturating_add(job.max_output_tokens),
+            prefill_tokens_per_s: 0,
         },
     })
 }
 
 /// Prompt tokens that the upstream has to read if it holds at least `held_part` of what is shared.
-fn unread_tokens(up: &Upstream, job: &Job, held_part: f64) -> f64 {
+fn unread_tokens(up: &Upstream, job: &InferenceJob, held_part: f64) -> f64 {
     let prompt = f64::from(job.prompt_tokens);
     let held = f64::from(up.cache.held_prefix_tokens(&job.parts));
     let assumed = held_part * f64::from(job.shared_tokens());
@@ -304,16 +317,16 @@
 /// Predicted time to the first byte, in milliseconds.
 pub(super) fn wait_ms(
     up: &Upstream,
-    job: &Job,
+    job: &InferenceJob,
     unread: f64,
-    rules: &Rules<'_>,
+    rules: &PlacementRules<'_>,
     now: Millis,
 ) -> f64 {
     let load = up.load(now);
     let slots = f64::from(up.seen.slots.max(1));
     let running = f64::from(load.requests);
     let errors_ms = ERROR_MS * up.health.error_share();
-    if rules.memory_tokens == 0 {
+    if rules.kv_cache_tokens == 0 {
         let answer_ms = up.health.time_ms().unwrap_or(START_ANSWER_MS);
         let turns = ((running + 1.0) / slots).max(0.2 + running / slots);
         return answer_ms * turns.max(1.0) + running + errors_ms;
@@ -329,9 +342,10 @@
         0.0
     };
     #[allow(clippy::cast_precision_loss)]
-    let room = rules.memory_tokens as f64 * MEMORY_PART;
-    let wanted =
-        f64::from(load.memory_tokens) + f64::from(job.prompt_tokens) + f64::from(job.answer_tokens);
+    let room = rules.kv_cache_tokens as f64 * MEMORY_PART;
+    let wanted = f64::from(load.kv_cache_tokens)
+        + f64::from(job.prompt_tokens)
+        + f64::from(job.max_output_tokens);
     let memory_ms = if wanted > room {
         (wanted - room) / room * TURN_MS
     } else {
@@ -341,7 +355,7 @@
 }
 
 /// The part that decides where a prompt is preferably sent: the last one that is shared.
-fn affinity_key(parts: &[Part]) -> u64 {
+fn affinity_key(parts: &[PromptPart]) -> u64 {
     match parts {
         [] => 0,
         [only] => only.id,
--- a/crates/edge/src/place/mod.rs
+++ b/crates/edge/src/place/mod.rs
@@ -11,8 +11,8 @@
 mod pace;
 mod split;
 
-pub use cache::{Part, PartCache};
-pub use choose::{choose, Choice, Job, Placed, Rules};
-pub use outlook::{region_outlook, Outlook};
+pub use cache::{PrefixCache, PromptPart};
+pub use choose::{choose, Choice, InferenceJob, Placement, PlacementRules};
+pub use outlook::{forecast_region, LatencyForecast};
 pub use pace::cost_ms;
-pub use split::{set_apart, Kind, Mix};
+pub use split::{engines_for_other_kind, JobKind, JobMix};
--- a/crates/edge/src/place/outlook.rs
+++ b/crates/edge/src/place/outlook.rs
@@ -2,8 +2,9 @@
 
 use super::{
     choose::{has_room, usable, wait_ms},
-    pace::pace_ms,
-    set_apart, Job, Kind, Rules,
+    engines_for_other_kind,
+    pace::time_per_token_ms,
+    InferenceJob, JobKind, PlacementRules,
 };
 use crate::upstream::Upstreams;
 use carobwheel_core::time::Millis;
@@ -18,25 +19,25 @@
 
 /// What a job of one kind has to expect.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Outlook {
+pub struct LatencyForecast {
     /// Wait for the first token of a job without a prompt, in milliseconds.
     pub wait_ms: f64,
     /// Time for each token, in milliseconds.
-    pub pace_ms: f64,
+    pub time_per_token_ms: f64,
 }
 
 /// The outlook of the region at its better engines; `None` without upstreams.
-pub fn region_outlook(
+pub fn forecast_region(
     upstreams: &Upstreams,
-    kind: Kind,
-    rules: &Rules<'_>,
+    kind: JobKind,
+    rules: &PlacementRules<'_>,
     now: Millis,
-) -> Option<Outlook> {
+) -> Option<LatencyForecast> {
     let usable = usable(upstreams, rules, false, now);
-    let apart = set_apart(&usable, kind, rules.answering_part);
-    let job = Job {
+    let apart = engines_for_other_kind(&usable, kind, rules.decode_share);
+    let job = InferenceJob {
         is_yielding: true,
-        ..Job::default()
+        ..InferenceJob::default()
     };
     let own = usable
         .iter()
@@ -45,31 +46,36 @@
     let roomy = own
         .iter()
         .filter(|up| has_room(up, &job, false, rules, now));
-    let is_engine = rules.memory_tokens > 0;
-    let mut outlooks: Vec<Outlook> = roomy
-        .map(|up| Outlook {
-            wait_ms: wait_ms(up, &Job::default(), 0.0, rules, now),
-            pace_ms: if is_engine { pace_ms(up, now) } else { 0.0 },
+    let is_engine = rules.kv_cache_tokens > 0;
+    let mut outlooks: Vec<LatencyForecast> = roomy
+        .map(|up| LatencyForecast {
+            wait_ms: wait_ms(up, &InferenceJob::default(), 0.0, rules, now),
+            time_per_token_ms: if is_engine {
+                time_per_token_ms(up, now)
+            } else {
+                0.0
+            },
         })
         .collect();
     if outlooks.is_empty() {
-        return (!own.is_empty()).then_some(Outlook {
+        return (!own.is_empty()).then_some(LatencyForecast {
             wait_ms: CROWDED_MS,
-            pace_ms: 0.0,
+            time_per_token_ms: 0.0,
         });
     }
-    let weight = |outlook: &Outlook| outlook.wait_ms + PACE_WEIGHT * outlook.pace_ms;
+    let weight =
+        |outlook: &LatencyForecast| outlook.wait_ms + PACE_WEIGHT * outlook.time_per_token_ms;
     outlooks.sort_by(|a, b| weight(a).total_cmp(&weight(b)));
     outlooks.truncate(outlooks.len().div_ceil(BEST_PARTS));
     Some(mean(&outlooks))
 }
 
-fn mean(outlooks: &[Outlook]) -> Outlook {
+fn mean(outlooks: &[LatencyForecast]) -> LatencyForecast {
     #[allow(clippy::cast_precision_loss)]
     let count = outlooks.len() as f64;
-    let sum = |field: fn(&Outlook) -> f64| outlooks.iter().map(field).sum::<f64>() / count;
-    Outlook {
+    let sum = |field: fn(&LatencyForecast) -> f64| outlooks.iter().map(field).sum::<f64>() / count;
+    LatencyForecast {
         wait_ms: sum(|outlook| outlook.wait_ms),
-        pace_ms: sum(|outlook| outlook.pace_ms),
+        time_per_token_ms: sum(|outlook| outlook.time_per_token_ms),
     }
 }
--- a/crates/edge/src/place/pace.rs
+++ b/crates/edge/src/place/pace.rs
@@ -1,6 +1,6 @@
 //! How fast an engine makes the tokens of answers.
 
-use super::Job;
+use super::InferenceJob;
 use crate::upstream::Upstream;
 use carobwheel_core::time::Millis;
 
@@ -19,14 +19,14 @@
 }
 
 /// Time for one token of each running answer, in milliseconds.
-pub(super) fn pace_ms(up: &Upstream, now: Millis) -> f64 {
+pub(super) fn time_per_token_ms(up: &Upstream, now: Millis) -> f64 {
     let running = f64::from(up.load(now).requests);
-    let reading = up.reading_part(now).min(MOST_READING_PART);
+    let reading = up.prefill_share(now).min(MOST_READING_PART);
     step_ms(running) / (1.0 - reading)
 }
 
 /// What a job costs its caller where it waits `wait_ms` and a token takes `pace_ms`, in
 /// milliseconds.
-pub fn cost_ms(job: &Job, wait_ms: f64, pace_ms: f64) -> f64 {
-    wait_ms + ANSWER_PART * f64::from(job.answer_tokens) * pace_ms
+pub fn cost_ms(job: &InferenceJob, wait_ms: f64, time_per_token_ms: f64) -> f64 {
+    wait_ms + ANSWER_PART * f64::from(job.max_output_tokens) * time_per_token_ms
 }
--- a/crates/edge/src/place/split.rs
+++ b/crates/edge/src/place/split.rs
@@ -7,7 +7,7 @@
 //! The engines are ranked by a hash that all instances compute alike, and divided by the work of
 //! the two kinds that callers have asked of an instance lately.
 
-use super::{pace::step_ms, Job};
+use super::{pace::step_ms, InferenceJob};
 use crate::{hash::rendezvous, upstream::Upstream};
 use carobwheel_core::time::Millis;
 use serde::{Deserialize, Serialize};
@@ -33,56 +33,56 @@
 
 /// What takes most of an engine's time for a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// Reading its prompt.
-    Reading,
+    PrefillHeavy,
     /// Making its answer.
-    Answering,
+    DecodeHeavy,
 }
 
-impl Kind {
+impl JobKind {
     /// Both kinds.
-    pub const ALL: [Self; 2] = [Self::Reading, Self::Answering];
+    pub const ALL: [Self; 2] = [Self::PrefillHeavy, Self::DecodeHeavy];
 
     /// The kind of a job at engines that run `slots` requests at once.
-    pub fn of(job: &Job, slots: u32) -> Self {
+    pub fn of(job: &InferenceJob, slots: u32) -> Self {
         let reading_ms = f64::from(job.own_tokens()) / READ_TOKENS_PER_MS;
         if answering_ms(job, slots) > reading_ms {
-            Self::Answering
+            Self::DecodeHeavy
         } else {
-            Self::Reading
+            Self::PrefillHeavy
         }
     }
 }
 
 /// Engine time that an answer takes in a well filled batch, in milliseconds.
-fn answering_ms(job: &Job, slots: u32) -> f64 {
+fn answering_ms(job: &InferenceJob, slots: u32) -> f64 {
     let batch = BATCH_PART * f64::from(slots.max(1));
-    f64::from(job.answer_tokens) * step_ms(batch) / batch
+    f64::from(job.max_output_tokens) * step_ms(batch) / batch
 }
 
 /// Work of both kinds that callers have asked for lately, in milliseconds of engine time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Mix {
+pub struct JobMix {
     reading_ms: f64,
     answering_ms: f64,
     at: Millis,
 }
 
-impl Mix {
+impl JobMix {
     /// Takes note of a job for engines that run `slots` requests at once.
-    pub fn add(&mut self, job: &Job, slots: u32, now: Millis) {
+    pub fn add(&mut self, job: &InferenceJob, slots: u32, now: Millis) {
         self.decay(now);
         let unread = f64::from(job.own_tokens()) + REREAD_PART * f64::from(job.shared_tokens());
         let work_ms = unread / READ_TOKENS_PER_MS + answering_ms(job, slots);
-        match Kind::of(job, slots) {
-            Kind::Reading => self.reading_ms += work_ms,
-            Kind::Answering => self.answering_ms += work_ms,
+        match JobKind::of(job, slots) {
+            JobKind::PrefillHeavy => self.reading_ms += work_ms,
+            JobKind::DecodeHeavy => self.answering_ms += work_ms,
         }
     }
 
     /// Part of the engines that should make long answers; `None` while they should not be divided.
-    pub fn answering_part(&self) -> Option<f64> {
+    pub fn decode_share(&self) -> Option<f64> {
         let all_ms = self.reading_ms + self.answering_ms;
         if all_ms < MIN_KNOWN_MS {
             return None;
@@ -102,12 +102,12 @@
 }
 
 /// Identifiers of the engines that are set apart for the other kind of jobs.
-pub fn set_apart(
+pub fn engines_for_other_kind(
     engines: &[&Upstream],
-    kind: Kind,
-    answering_part: Option<f64>,
+    kind: JobKind,
+    decode_share: Option<f64>,
 ) -> HashSet<Arc<str>> {
-    let Some(part) = answering_part.filter(|_| engines.len() >= MIN_ENGINES) else {
+    let Some(part) = decode_share.filter(|_| engines.len() >= MIN_ENGINES) else {
         return HashSet::new();
     };
     let mut ranked = engines.to_vec();
@@ -119,8 +119,8 @@
     )]
     let answering = ((ranked.len() as f64 * part).ceil() as usize).clamp(1, ranked.len() - 1);
     let others = match kind {
-        Kind::Answering => &ranked[answering..],
-        Kind::Reading => &ranked[..answering],
+        JobKind::DecodeHeavy => &ranked[answering..],
+        JobKind::PrefillHeavy => &ranked[..answering],
     };
     others.iter().map(|up| Arc::clone(&up.seen.id)).collect()
 }
--- a/crates/edge/src/upstream/load.rs
+++ b/crates/edge/src/upstream/load.rs
@@ -11,9 +11,9 @@
     /// Prompt tokens that are probably still to be read.
     pub unread_tokens: u32,
     /// Tokens of memory that the requests may take.
-    pub memory_tokens: u32,
+    pub kv_cache_tokens: u32,
     /// Prompt tokens sent for reading in a second.
-    pub read_per_s: u32,
+    pub prefill_tokens_per_s: u32,
 }
 
 impl Load {
@@ -27,8 +27,10 @@
     fn add_assign(&mut self, other: Self) {
         self.requests = self.requests.saturating_add(other.requests);
         self.unread_tokens = self.unread_tokens.saturating_add(other.unread_tokens);
-        self.memory_tokens = self.memory_tokens.saturating_add(other.memory_tokens);
-        self.read_per_s = self.read_per_s.saturating_add(other.read_per_s);
+        self.kv_cache_tokens = self.kv_cache_tokens.saturating_add(other.kv_cache_tokens);
+        self.prefill_tokens_per_s = self
+            .prefill_tokens_per_s
+            .saturating_add(other.prefill_tokens_per_s);
     }
 }
 
@@ -37,6 +39,6 @@
     fn sub_assign(&mut self, other: Self) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.unread_tokens = self.unread_tokens.saturating_sub(other.unread_tokens);
-        self.memory_tokens = self.memory_tokens.saturating_sub(other.memory_tokens);
+        self.kv_cache_tokens = self.kv_cache_tokens.saturating_sub(other.kv_cache_tokens);
     }
 }
--- a/crates/edge/src/upstream/state.rs
+++ b/crates/edge/src/upstream/state.rs
@@ -1,7 +1,7 @@
 //! The upstreams by identifier, with the decisions about when one may be used.
 
 use super::{Health, Load};
-use crate::{cold::ColdGate, hash::short_hash, place::PartCache, rate::MeanRate};
+use crate::{cold::ColdGate, hash::short_hash, place::PrefixCache, rate::MeanRate};
 use carobwheel_core::time::Millis;
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
@@ -81,13 +81,13 @@
     /// Work of this instance.
     pub own: Load,
     /// Rate of prompt tokens that this instance sends.
-    pub reads: MeanRate,
+    pub prefill_rate: MeanRate,
     /// Work of other instances, by their names, and when it was reported.
     pub others: HashMap<Arc<str>, (Load, Millis)>,
     /// Health as this instance has seen it.
     pub health: Health,
     /// Parts of prompts that it probably holds.
-    pub cache: PartCache,
+    pub cache: PrefixCache,
     /// Bound on requests while it is cold.
     pub cold: ColdGate,
     /// Prompt tokens that it reads in a millisecond.
@@ -98,16 +98,16 @@
     /// Work of this instance, with its rate.
     pub fn own_load(&self, now: Millis) -> Load {
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let read_per_s = self.reads.per_s(now) as u32;
+        let prefill_tokens_per_s = self.prefill_rate.per_s(now) as u32;
         Load {
-            read_per_s,
+            prefill_tokens_per_s,
             ..self.own
         }
     }
 
     /// Part of the time that the upstream spends reading prompts.
-    pub fn reading_part(&self, now: Millis) -> f64 {
-        f64::from(self.load(now).read_per_s) / (self.tokens_per_ms * 1_000.0)
+    pub fn prefill_share(&self, now: Millis) -> f64 {
+        f64::from(self.load(now).prefill_tokens_per_s) / (self.tokens_per_ms * 1_000.0)
     }
 
     /// Work of all instances that is known at `now`.
@@ -150,7 +150,7 @@
         &mut self,
         seen: Sighting,
         region: &Arc<str>,
-        memory_tokens: u64,
+        kv_cache_tokens: u64,
         now: Millis,
     ) -> bool {
         let leaving_at = (seen.stage == Stage::Draining).then_some(now);
@@ -179,10 +179,10 @@
             leaving_at,
             gone_at: None,
             own: Load::default(),
-            reads: MeanRate::default(),
+            prefill_rate: MeanRate::default(),
             others: HashMap::new(),
             health: Health::default(),
-            cache: PartCache::new(memory_tokens),
+            cache: PrefixCache::new(kv_cache_tokens),
             cold,
             tokens_per_ms: START_TOKENS_PER_MS,
             seen,
--- a/crates/edge/tests/place_load.rs
+++ b/crates/edge/tests/place_load.rs
@@ -4,7 +4,7 @@
 
 use carobwheel_core::time::Millis;
 use carobwheel_edge::{
-    place::{choose, Choice, Job, Mix, Part, Rules},
+    place::{choose, Choice, InferenceJob, JobMix, PlacementRules, PromptPart},
     upstream::{Outcome, Sighting, Stage, Upstreams},
 };
 use rand::{rngs::StdRng, Rng as _, SeedableRng as _};
@@ -36,41 +36,41 @@
     upstreams
 }
 
-fn briefing(session: u64, own: u64) -> Job {
-    let part = |id: u64, tokens: u32| Part { id, tokens };
-    Job {
+fn briefing(session: u64, own: u64) -> InferenceJob {
+    let part = |id: u64, tokens: u32| PromptPart { id, tokens };
+    InferenceJob {
         parts: vec![
             part(session % 4, 2_520),
             part(100 + session, 3_780),
             part(own, 2_890),
         ],
         prompt_tokens: 9_190,
-        answer_tokens: 50,
+        max_output_tokens: 50,
         is_yielding: true,
     }
 }
 
-fn place(upstreams: &Upstreams, job: &Job, now: Millis) -> Choice {
+fn place(upstreams: &Upstreams, job: &InferenceJob, now: Millis) -> Choice {
     place_with(upstreams, job, now, &HashSet::new(), &[])
 }
 
 fn place_with(
     upstreams: &Upstreams,
-    job: &Job,
+    job: &InferenceJob,
     now: Millis,
     evacuated: &HashSet<Arc<str>>,
     tried: &[Arc<str>],
 ) -> Choice {
-    let rules = Rules {
+    let rules = PlacementRules {
         service: "model",
         region: "north",
         evacuated,
         is_version_allowed: &|version| version == "v1",
         is_cold_user: &|_| true,
-        memory_tokens: MEMORY_TOKENS,
+        kv_cache_tokens: MEMORY_TOKENS,
         tried,
-        sampled: 0,
-        answering_part: None,
+        sample_size: 0,
+        decode_share: None,
     };
     choose(upstreams, job, &rules, now)
 }
@@ -116,7 +116,9 @@
         shared += f64::from(known);
         upstream.cache.insert(&job.parts);
         upstream.own += placed.load;
-        upstream.reads.add(f64::from(9_190 - held), Millis(now));
+        upstream
+            .prefill_rate
+            .add(f64::from(9_190 - held), Millis(now));
         let unread_ms = u64::from(upstream.own.unread_tokens) / 56;
         running.push((now + unread_ms + 200, Arc::clone(&placed.id), placed.load));
         counts[placed.id[2..].parse::<usize>().unwrap()] += 1;
@@ -206,10 +208,10 @@
     let mut upstreams = upstreams(1);
     let upstream = upstreams.by_id.get_mut("i-0").unwrap();
     upstream
-        .reads
+        .prefill_rate
         .add(upstream.tokens_per_ms * 1_000.0 * 0.7, Millis(0));
     let mut job = briefing(1, 1);
-    assert_eq!(place(&upstreams, &job, Millis(0)), Choice::Crowded);
+    assert_eq!(place(&upstreams, &job, Millis(0)), Choice::Saturated);
     job.is_yielding = false;
     id_of(place(&upstreams, &job, Millis(0)));
 }
@@ -220,12 +222,12 @@
     let aim_ms = 800;
     let mut job = briefing(1, 1);
     job.prompt_tokens = 45_000;
-    id_of(place(&upstreams, &job, Millis(0)).unless_queued(&job, aim_ms));
+    id_of(place(&upstreams, &job, Millis(0)).reject_long_queue(&job, aim_ms));
     upstreams.by_id.get_mut("i-0").unwrap().own.unread_tokens = 20_000;
     let choice = place(&upstreams, &job, Millis(0));
-    assert_eq!(choice.unless_queued(&job, aim_ms), Choice::Crowded);
+    assert_eq!(choice.reject_long_queue(&job, aim_ms), Choice::Saturated);
     job.is_yielding = false;
-    id_of(place(&upstreams, &job, Millis(0)).unless_queued(&job, aim_ms));
+    id_of(place(&upstreams, &job, Millis(0)).reject_long_queue(&job, aim_ms));
 }
 
 #[test]
@@ -296,12 +298,12 @@
     }
 }
 
-fn chat(own: u64) -> Job {
-    let part = |id: u64, tokens: u32| Part { id, tokens };
-    Job {
+fn chat(own: u64) -> InferenceJob {
+    let part = |id: u64, tokens: u32| PromptPart { id, tokens };
+    InferenceJob {
         parts: vec![part(1, 198), part(own, 628)],
         prompt_tokens: 826,
-        answer_tokens: 600,
+        max_output_tokens: 600,
         is_yielding: false,
     }
 }
@@ -318,8 +320,8 @@
         upstream.tokens_per_ms = 36.0;
     }
     let mut batches: Vec<Batch> = (0..ENGINES).map(|_| Batch::default()).collect();
-    let mut mix = Mix::default();
-    let mut sent: Vec<(Job, carobwheel_edge::place::Placed, u64)> = Vec::new();
+    let mut mix = JobMix::default();
+    let mut sent: Vec<(InferenceJob, carobwheel_edge::place::Placement, u64)> = Vec::new();
     let (mut chats, mut chats_in_time) = (0.0, 0.0);
     let (mut briefings, mut briefings_in_time) = (0.0, 0.0);
     for now in (0..40_000_u64).step_by(20) {
@@ -369,16 +371,16 @@
             };
             mix.add(&job, 64, Millis(now));
             mix.add(&job, 64, Millis(now));
-            let rules = Rules {
+            let rules = PlacementRules {
                 service: "model",
                 region: "north",
                 evacuated: &HashSet::new(),
                 is_version_allowed: &|_| true,
                 is_cold_user: &|_| true,
-                memory_tokens: MEMORY_TOKENS,
+                kv_cache_tokens: MEMORY_TOKENS,
                 tried: &[],
-                sampled: 0,
-                answering_part: mix.answering_part().filter(|_| is_divided),
+                sample_size: 0,
+                decode_share: mix.decode_share().filter(|_| is_divided),
             };
             if now < COUNTED_MS && is_chat {
                 chats += 1.0;
@@ -393,13 +395,13 @@
             upstream.cache.insert(&job.parts);
             upstream.own += placed.load;
             upstream
-                .reads
+                .prefill_rate
                 .add(f64::from(job.prompt_tokens - held), Millis(now));
             let engine: usize = placed.id[2..].parse().unwrap();
             batches[engine].running.push(Running {
                 id: sent.len(),
                 unread: f64::from(job.prompt_tokens - held),
-                left: job.answer_tokens,
+                left: job.max_output_tokens,
                 started: now,
             });
             sent.push((job, placed, now));
