--- a/crates/edge/src/cold/mod.rs
+++ b/crates/edge/src/cold/mod.rs
@@ -7,7 +7,7 @@
 use carobwheel_core::time::Millis;
 
 /// Most instances of a region that use one cold upstream.
-pub const COLD_USERS: usize = 2;
+pub const MAX_COLD_USERS: usize = 2;
 
 /// How many requests one instance may send to a cold upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -25,7 +25,7 @@
 
 impl ColdGate {
     /// Takes note that the upstream stays cold for `left_ms` milliseconds more.
-    pub fn set_left(&mut self, left_ms: u64, now: Millis) {
+    pub fn set_remaining(&mut self, left_ms: u64, now: Millis) {
         self.cold_until = (left_ms > 0).then(|| now.plus(left_ms));
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// Takes note that a request is sent at `now`.
-    pub fn sent(&mut self, rate: ColdRate, now: Millis) {
+    pub fn record_sent(&mut self, rate: ColdRate, now: Millis) {
         if self.is_cold(now) {
             #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
             let pause_ms = (1_000.0 / rate.per_s.max(0.1)).ceil() as u64;
--- a/crates/edge/src/daemon/mod.rs
+++ b/crates/edge/src/daemon/mod.rs
@@ -10,7 +10,7 @@
     node::{Node, State},
     peers::{self, Identity, Links},
     settings::Settings,
-    store::{self, Decoder, Keys, Replica, StoreEvent, StoreOps, StoreSettings},
+    store::{self, Decoder, Replica, StoreEvent, StoreKeys, StoreOps, StoreSettings},
 };
 use anyhow::Context as _;
 use carobwheel_core::time::Clock;
@@ -57,7 +57,7 @@
     /// Turns items of the store into news.
     pub decoder: Decoder,
     /// Where things stand in the store.
-    pub keys: Keys,
+    pub keys: StoreKeys,
     /// Settings file, read again when it may have changed.
     pub settings_path: PathBuf,
 }
@@ -228,7 +228,7 @@
     }
 }
 
-fn prefixes(keys: &Keys) -> Vec<String> {
+fn prefixes(keys: &StoreKeys) -> Vec<String> {
     let followed = keys.all_followed().into_iter();
     followed.map(|followed| followed.prefix).collect()
 }
--- a/crates/edge/src/front/side.rs
+++ b/crates/edge/src/front/side.rs
@@ -150,11 +150,14 @@
     let gauges = [
         ("carobwheel_in_flight", node.in_flight.get() as u64),
         ("carobwheel_instances", fleet.instances as u64),
-        ("carobwheel_instances_heard", fleet.heard as u64),
+        ("carobwheel_instances_heard", fleet.reachable as u64),
         ("carobwheel_upstreams", state.upstreams.by_id.len() as u64),
         ("carobwheel_upstreams_usable", usable as u64),
         ("carobwheel_store_lost_ms", lost_ms),
-        ("carobwheel_log_lines_left_out_total", node.log.left_out()),
+        (
+            "carobwheel_log_lines_left_out_total",
+            node.log.dropped_lines(),
+        ),
         (
             "carobwheel_ready",
             u64::from(state.config.is_some() && state.leaving_at.is_none()),
--- a/crates/edge/src/limit/mod.rs
+++ b/crates/edge/src/limit/mod.rs
@@ -35,13 +35,13 @@
     /// Instances that may serve requests.
     pub instances: usize,
     /// Instances that are heard, this one included.
-    pub heard: usize,
+    pub reachable: usize,
 }
 
 impl Fleet {
     #[allow(clippy::cast_precision_loss)]
     fn size(self) -> f64 {
-        self.instances.max(self.heard).max(1) as f64
+        self.instances.max(self.reachable).max(1) as f64
     }
 }
 
@@ -107,17 +107,23 @@
     }
 
     /// Gives back tokens of a request that did not run.
-    pub fn give_back(&mut self, tokens: u64) {
+    pub fn refund(&mut self, tokens: u64) {
         self.level_tokens += to_f64(tokens);
     }
 
     /// Tokens that callers have asked of this instance in its lifetime.
-    pub fn asked_tokens(&self) -> u64 {
+    pub fn requested_tokens(&self) -> u64 {
         self.asked_tokens
     }
 
     /// Takes note of the tokens that callers have asked of another instance in its lifetime `life`.
-    pub fn hear(&mut self, instance: &Arc<str>, life: u64, asked_tokens: u64, now: Millis) {
+    pub fn update_peer_demand(
+        &mut self,
+        instance: &Arc<str>,
+        life: u64,
+        asked_tokens: u64,
+        now: Millis,
+    ) {
         let report = self
             .others
             .entry(Arc::clone(instance))
--- a/crates/edge/src/log/mod.rs
+++ b/crates/edge/src/log/mod.rs
@@ -7,4 +7,4 @@
 mod writer;
 
 pub use event::Event;
-pub use writer::{Log, LogEnd};
+pub use writer::{Log, LogThread};
--- a/crates/edge/src/log/writer.rs
+++ b/crates/edge/src/log/writer.rs
@@ -44,9 +44,9 @@
 
 /// The thread that writes lines; it ends once the [`Log`] is closed.
 #[derive(Debug)]
-pub struct LogEnd(thread::JoinHandle<()>);
+pub struct LogThread(thread::JoinHandle<()>);
 
-impl LogEnd {
+impl LogThread {
     /// Waits until the last line is written, but not for a reader that has stopped.
     pub fn join(self) {
         for _ in 0..END_LOOKS {
@@ -64,7 +64,7 @@
     /// # Errors
     ///
     /// Fails if no thread can be started.
-    pub fn start(instance: &str, clock: Clock) -> io::Result<(Self, LogEnd)> {
+    pub fn start(instance: &str, clock: Clock) -> io::Result<(Self, LogThread)> {
         let (lines, waiting) = mpsc::sync_channel(RING_LINES);
         let writer = thread::Builder::new()
             .name("log".to_owned())
@@ -78,7 +78,7 @@
             left_out: Cell::new(0),
             left_out_in_all: Cell::new(0),
         };
-        Ok((log, LogEnd(writer)))
+        Ok((log, LogThread(writer)))
     }
 
     /// Logs an event, unless too many were logged within this second.
@@ -104,7 +104,7 @@
     }
 
     /// Lines that were left out since the start.
-    pub fn left_out(&self) -> u64 {
+    pub fn dropped_lines(&self) -> u64 {
         self.left_out_in_all.get()
     }
 
--- a/crates/edge/src/member/mod.rs
+++ b/crates/edge/src/member/mod.rs
@@ -94,7 +94,7 @@
 
 impl Members {
     /// Takes note of an entry. Returns true if it is a new instance or a new lifetime of one.
-    pub fn saw(&mut self, entry: MemberEntry, now: Millis) -> bool {
+    pub fn update_entry(&mut self, entry: MemberEntry, now: Millis) -> bool {
         if let Some(known) = self.by_name.get_mut(&entry.name) {
             known.has_entry = true;
             known.entry_at = now;
@@ -117,14 +117,14 @@
     }
 
     /// Takes note that the entry of `name` is gone.
-    pub fn entry_gone(&mut self, name: &str) {
+    pub fn entry_removed(&mut self, name: &str) {
         if let Some(member) = self.by_name.get_mut(name) {
             member.has_entry = false;
         }
     }
 
     /// Takes note that `name` was heard. Returns false if it is not known in this lifetime.
-    pub fn heard(&mut self, name: &str, life: u64, is_ready: bool, now: Millis) -> bool {
+    pub fn record_message(&mut self, name: &str, life: u64, is_ready: bool, now: Millis) -> bool {
         let known = self
             .by_name
             .get_mut(name)
@@ -164,7 +164,7 @@
         let heard = |member: &&Member| member.is_heard(silence_ms, now);
         Fleet {
             instances: 1 + self.by_name.values().filter(may_serve).count(),
-            heard: 1 + self.by_name.values().filter(heard).count(),
+            reachable: 1 + self.by_name.values().filter(heard).count(),
         }
     }
 
--- a/crates/edge/src/metrics/mod.rs
+++ b/crates/edge/src/metrics/mod.rs
@@ -8,9 +8,9 @@
 
 /// A number that only rises, or that is set.
 #[derive(Debug, Default)]
-pub struct Number(Cell<u64>);
+pub struct MetricValue(Cell<u64>);
 
-impl Number {
+impl MetricValue {
     /// Adds `n`.
     pub fn add(&self, n: u64) {
         self.0.set(self.0.get() + n);
@@ -45,11 +45,11 @@
 #[derive(Debug, Default)]
 pub struct Metrics {
     /// Version of the configuration in force.
-    pub config_version: Number,
+    pub config_version: MetricValue,
     /// Connections opened to upstreams.
-    pub connections_opened: Number,
+    pub connections_opened: MetricValue,
     /// Requests forwarded to other regions.
-    pub forwarded: Number,
+    pub forwarded: MetricValue,
     outcomes: RefCell<BTreeMap<(String, String, String), u64>>,
     first_byte_ms: RefCell<BTreeMap<(String, String), Histogram>>,
 }
--- a/crates/edge/src/model/mod.rs
+++ b/crates/edge/src/model/mod.rs
@@ -34,7 +34,7 @@
 
 /// One service of a route that is split, and its weight.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Share {
+pub struct ServiceShare {
     /// Name of the service.
     pub service: Arc<str>,
     /// Weight relative to the other shares.
@@ -61,7 +61,7 @@
     /// Rank; 0 is the highest.
     pub rank: u8,
     /// Services that serve the route.
-    pub shares: Vec<Share>,
+    pub shares: Vec<ServiceShare>,
     /// Most upstreams that one request may be sent to.
     pub max_attempts: u32,
     /// Requests need no key.
@@ -72,7 +72,7 @@
 
 /// Sizes of a service's model engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct EngineSizes {
+pub struct EngineCapacity {
     /// Requests in one batch.
     pub slots: u32,
     /// Tokens that an engine's memory holds.
@@ -91,7 +91,7 @@
     /// Requests a second that a cold upstream bears.
     pub cold_per_s: f64,
     /// Present where the upstreams are model engines.
-    pub engine: Option<EngineSizes>,
+    pub engine: Option<EngineCapacity>,
 }
 
 /// One client account.
--- a/crates/edge/src/node/apply.rs
+++ b/crates/edge/src/node/apply.rs
@@ -5,9 +5,9 @@
     log::Event,
     member::MemberEntry,
     model::{Config, ConfigParts},
-    rollout::{Order, Trial, Verdict},
-    store::{Fact, Facts, MemberChange, News, Replica, StoreEvent},
-    upstream::{Sighting, Stage},
+    rollout::{RolloutOrder, Trial, Verdict},
+    store::{Fact, Facts, MemberChange, Replica, StoreEvent, StoreUpdate},
+    upstream::{Stage, UpstreamEntry},
 };
 use std::{rc::Rc, sync::Arc};
 
@@ -16,29 +16,29 @@
 
 impl Node {
     /// Applies one piece of news.
-    pub fn apply(&self, news: News) {
+    pub fn apply(&self, news: StoreUpdate) {
         match news {
-            News::Config(parts) => self.apply_config(*parts),
-            News::ConfigUnusable(reason) => {
+            StoreUpdate::Config(parts) => self.apply_config(*parts),
+            StoreUpdate::ConfigInvalid(reason) => {
                 self.log.event(Event::ConfigRefused { reason: &reason })
             }
-            News::Evacuated(data_centre, is_evacuated) => {
+            StoreUpdate::Evacuated(data_centre, is_evacuated) => {
                 self.set_evacuated(&data_centre, is_evacuated)
             }
-            News::Ordered(order) => self.apply_order(order),
-            News::OrderGone(service) => {
+            StoreUpdate::Ordered(order) => self.apply_order(order),
+            StoreUpdate::OrderRemoved(service) => {
                 self.state.borrow_mut().trials.remove(&service);
             }
-            News::Verdict(service, target, verdict) => {
+            StoreUpdate::Verdict(service, target, verdict) => {
                 self.apply_verdict(&service, &target, verdict, true);
             }
-            News::Upstream(seen) => self.apply_upstream(seen),
-            News::UpstreamGone(id) => self.upstream_gone(&id),
-            News::Member(MemberChange::Seen(entry)) => self.apply_member(entry),
-            News::Member(MemberChange::Gone(name)) => {
-                self.state.borrow_mut().members.entry_gone(&name);
+            StoreUpdate::Upstream(seen) => self.apply_upstream(seen),
+            StoreUpdate::UpstreamRemoved(id) => self.upstream_gone(&id),
+            StoreUpdate::Member(MemberChange::Written(entry)) => self.apply_member(entry),
+            StoreUpdate::Member(MemberChange::Removed(name)) => {
+                self.state.borrow_mut().members.entry_removed(&name);
             }
-            News::Ignored(key, reason) => {
+            StoreUpdate::Ignored(key, reason) => {
                 self.log.event(Event::EntryIgnored {
                     key: &key,
                     reason: &reason,
@@ -63,7 +63,7 @@
                 self.apply_facts(&fresh);
             }
             StoreEvent::Lost(reason) => self.store_lost(&reason),
-            StoreEvent::Back => self.store_back(),
+            StoreEvent::Recovered => self.store_back(),
             StoreEvent::LeaseLost(reason) => self.log.event(Event::LeaseLost { reason: &reason }),
             StoreEvent::Recorded(news) => self.apply(news),
             StoreEvent::NotRecorded(service, err) => self.log.event(Event::VerdictNotRecorded {
@@ -87,7 +87,7 @@
 
     /// Takes facts that another instance has told.
     pub fn learn(&self, prefix: usize, facts: Facts) {
-        let fresh = self.state.borrow_mut().replica.learn(prefix, facts);
+        let fresh = self.state.borrow_mut().replica.merge(prefix, facts);
         self.apply_facts(&fresh);
     }
 
@@ -121,7 +121,7 @@
             .buckets
             .retain(|name, _| config.accounts.contains_key(name));
         for upstream in state.upstreams.by_id.values_mut() {
-            let service = config.services.get(&upstream.seen.service);
+            let service = config.services.get(&upstream.entry.service);
             let engine = service.and_then(|service| service.engine);
             upstream
                 .cache
@@ -145,7 +145,7 @@
         }
     }
 
-    fn apply_order(&self, order: Order) {
+    fn apply_order(&self, order: RolloutOrder) {
         let mut state = self.state.borrow_mut();
         let known = state.trials.get(&order.service);
         if known.is_some_and(|known| known.order == order) {
@@ -200,7 +200,7 @@
         });
     }
 
-    fn apply_upstream(&self, seen: Sighting) {
+    fn apply_upstream(&self, seen: UpstreamEntry) {
         let now = self.now();
         let data_centre: &str = &seen.data_centre;
         let Some(region) = self.settings.regions.get(data_centre) else {
@@ -226,7 +226,10 @@
         state.versions.entry(version).or_insert(first_at);
         let logged = seen.clone();
         let is_new = !state.upstreams.by_id.contains_key(&seen.id);
-        if state.upstreams.saw(seen, &region, kv_cache_tokens, now) {
+        if state
+            .upstreams
+            .update_entry(seen, &region, kv_cache_tokens, now)
+        {
             self.log.event(Event::UpstreamSeen {
                 upstream: &logged.id,
                 service: &logged.service,
@@ -251,7 +254,7 @@
             || state
                 .store_back_at
                 .is_some_and(|at| now.since(at) < AFTER_OUTAGE_MS);
-        state.upstreams.missing(id, is_after_outage, now);
+        state.upstreams.entry_removed(id, is_after_outage, now);
         self.log.event(Event::UpstreamMissing {
             upstream: id,
             is_after_outage,
@@ -267,7 +270,7 @@
             .state
             .borrow_mut()
             .members
-            .saw(entry.clone(), self.now());
+            .update_entry(entry.clone(), self.now());
         if is_new {
             self.log.event(Event::MemberSeen {
                 member: &name,
--- a/crates/edge/src/node/evidence.rs
+++ b/crates/edge/src/node/evidence.rs
@@ -4,7 +4,7 @@
 use crate::{
     hash::short_hash,
     log::Event,
-    rollout::Counts,
+    rollout::VersionCounts,
     upstream::{Load, Outcome},
 };
 use std::sync::Arc;
@@ -29,10 +29,10 @@
             return;
         };
         let (service, version) = (
-            Arc::clone(&upstream.seen.service),
-            Arc::clone(&upstream.seen.version),
+            Arc::clone(&upstream.entry.service),
+            Arc::clone(&upstream.entry.version),
         );
-        let is_ejected = upstream.health.note(outcome, now);
+        let is_ejected = upstream.health.record_outcome(outcome, now);
         let error_share = upstream.health.error_share();
         if outcome == Outcome::Unreachable {
             // A process that starts again at this address starts cold.
@@ -74,7 +74,7 @@
     pub fn note_cold(&self, id: &str, left_ms: u64) {
         let now = self.now();
         if let Some(upstream) = self.state.borrow_mut().upstreams.by_id.get_mut(id) {
-            upstream.cold.set_left(left_ms, now);
+            upstream.cold.set_remaining(left_ms, now);
         }
     }
 
@@ -88,12 +88,12 @@
     /// Takes note of the speed at which an upstream read prompts.
     pub fn note_speed(&self, id: &str, tokens: f64, ms: f64) {
         if let Some(upstream) = self.state.borrow_mut().upstreams.by_id.get_mut(id) {
-            upstream.note_speed(tokens, ms);
+            upstream.record_prefill_speed(tokens, ms);
         }
     }
 }
 
-fn add(counts: &mut Counts, outcome: Outcome) {
+fn add(counts: &mut VersionCounts, outcome: Outcome) {
     counts.sent += 1;
     match outcome {
         Outcome::Answered { ms } => {
@@ -102,7 +102,7 @@
             let ms = ms.max(0.0) as u32;
             counts.time_sum_ms = counts.time_sum_ms.saturating_add(ms);
         }
-        Outcome::Failed | Outcome::Unreachable => counts.bad += 1,
+        Outcome::Failed | Outcome::Unreachable => counts.failed += 1,
         Outcome::Refused => {}
     }
 }
--- a/crates/edge/src/node/gossip.rs
+++ b/crates/edge/src/node/gossip.rs
@@ -136,7 +136,7 @@
         let buckets = state
             .buckets
             .iter()
-            .filter(|(_, bucket)| bucket.asked_tokens() > 0);
+            .filter(|(_, bucket)| bucket.requested_tokens() > 0);
         Gossip {
             life: self.life,
             is_ready,
@@ -148,7 +148,7 @@
                 Vec::new()
             },
             asked: buckets
-                .map(|(name, bucket)| (short_hash(name), bucket.asked_tokens()))
+                .map(|(name, bucket)| (short_hash(name), bucket.requested_tokens()))
                 .collect(),
             outlooks,
             trials: trials.collect(),
@@ -160,7 +160,10 @@
         let now = self.now();
         let verdicts = {
             let mut state = self.state.borrow_mut();
-            if !state.members.heard(name, gossip.life, gossip.is_ready, now) {
+            if !state
+                .members
+                .record_message(name, gossip.life, gossip.is_ready, now)
+            {
                 return;
             }
             state.hear_loads(name, &gossip, now);
@@ -176,7 +179,7 @@
                 let hash = short_hash(account);
                 if let Some((_, asked)) = gossip.asked.iter().find(|(account, _)| *account == hash)
                 {
-                    bucket.hear(name, gossip.life, *asked, now);
+                    bucket.update_peer_demand(name, gossip.life, *asked, now);
                 }
             }
             state.hear_trials(self, name, gossip.trials)
@@ -217,7 +220,9 @@
             let Some(trial) = self.trials.values_mut().find(is_it) else {
                 continue;
             };
-            trial.evidence.hear(name, told.routes.into_iter().collect());
+            trial
+                .evidence
+                .update_peer(name, told.routes.into_iter().collect());
             let (service, target) = (&trial.order.service, &trial.order.target);
             if told.is_suspect && !trial.is_suspect() {
                 let ended = trial.evidence.new_ended();
@@ -226,7 +231,7 @@
                     target,
                     ended,
                 });
-                trial.suspect();
+                trial.mark_suspect();
             }
             if let Some(is_complete) = told.verdict {
                 let verdict = if is_complete {
--- a/crates/edge/src/node/state.rs
+++ b/crates/edge/src/node/state.rs
@@ -1,7 +1,7 @@
 //! What one instance knows.
 
 use crate::{
-    cold::{ColdRate, COLD_USERS},
+    cold::{ColdRate, MAX_COLD_USERS},
     dispatch::Pools,
     hash::short_hash,
     limit::{AccountLimit, Bucket},
@@ -18,7 +18,7 @@
     retry::{RetryBounds, RetryBudget},
     rollout::{Trial, TrialBounds, Verdict},
     settings::Settings,
-    store::{Decoder, Recorded, Replica},
+    store::{Decoder, Replica, VerdictRecord},
     upstream::Upstreams,
 };
 use carobwheel_core::time::{Clock, Millis};
@@ -66,7 +66,7 @@
     /// Links to other instances.
     pub links: Links,
     /// States of moves to record in the store.
-    pub record: Sender<Recorded>,
+    pub record: Sender<VerdictRecord>,
     /// Whether this instance watches the store for others of its region.
     pub is_watcher: tokio::sync::watch::Sender<bool>,
     /// Requests of callers that wait for the head of their answer.
@@ -208,7 +208,7 @@
     /// Gives back tokens of a request that did not run.
     pub fn give_back(&self, account: &Account, tokens: u64) {
         if let Some(bucket) = self.state.borrow_mut().buckets.get_mut(&account.name) {
-            bucket.give_back(tokens);
+            bucket.refund(tokens);
         }
     }
 
@@ -253,10 +253,10 @@
         if let Some(upstream) = state.upstreams.by_id.get_mut(&placed.id) {
             #[allow(clippy::cast_precision_loss)]
             let per_s = cold_per_s / users as f64;
-            upstream.cold.sent(ColdRate { per_s }, now);
+            upstream.cold.record_sent(ColdRate { per_s }, now);
             #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
             let expected_ms = placed.wait_ms.max(0.0) as u64;
-            upstream.health.sent(expected_ms * 2 + 500, now);
+            upstream.health.record_sent(expected_ms * 2 + 500, now);
             upstream.own += placed.load;
             upstream
                 .prefill_rate
@@ -286,7 +286,7 @@
     /// How many instances of the region use one cold upstream.
     fn cold_users(&self, node: &Node, now: Millis) -> usize {
         let others = self.region_members(node, now).len();
-        (others + 1).min(COLD_USERS)
+        (others + 1).min(MAX_COLD_USERS)
     }
 
     /// Other instances of the region that may be at work, heard or not.
@@ -303,7 +303,7 @@
         let weight = |name: &str| short_pair_hash(name, id);
         let own = weight(&node.name);
         let ahead = self.region_members(node, now);
-        ahead.iter().filter(|name| weight(name) > own).count() < COLD_USERS
+        ahead.iter().filter(|name| weight(name) > own).count() < MAX_COLD_USERS
     }
 
     fn with_rules<T>(
--- a/crates/edge/src/node/tick.rs
+++ b/crates/edge/src/node/tick.rs
@@ -1,7 +1,7 @@
 //! What the instance does from time to time.
 
 use super::Node;
-use crate::{log::Event, rollout::Verdict, store::Recorded};
+use crate::{log::Event, rollout::Verdict, store::VerdictRecord};
 use std::sync::Arc;
 
 /// Time that an instance leaves to those before it to record a verdict, in milliseconds.
@@ -85,7 +85,7 @@
         let mut state = self.state.borrow_mut();
         for trial in state.trials.values_mut() {
             let was_suspect = trial.is_suspect();
-            trial.step(now);
+            trial.advance(now);
             let (service, target) = (
                 Arc::clone(&trial.order.service),
                 Arc::clone(&trial.order.target),
@@ -109,7 +109,7 @@
                 continue;
             };
             if trial.try_record(verdict, VERDICT_TURN_MS * turn, now) {
-                let recorded = Recorded {
+                let recorded = VerdictRecord {
                     service: Arc::clone(&service),
                     target,
                     verdict,
--- a/crates/edge/src/pipeline/send_once.rs
+++ b/crates/edge/src/pipeline/send_once.rs
@@ -56,7 +56,7 @@
         let load = upstream.load(node.now());
         let target = Target {
             id: Arc::clone(&placed.id),
-            address: upstream.seen.address,
+            address: upstream.entry.address,
             max_idle_ms: max_idle_ms(ticket.far.kind),
         };
         let waiting_tokens = load.unread_tokens + placed.load.unread_tokens;
@@ -138,7 +138,9 @@
     let (status, headers) = (reply.head().status(), reply.head().headers());
     if status == StatusCode::MISDIRECTED_REQUEST {
         let mut state = node.state.borrow_mut();
-        state.upstreams.missing(sent.upstream, false, node.now());
+        state
+            .upstreams
+            .entry_removed(sent.upstream, false, node.now());
         return Verdict::NotRun;
     }
     if headers.contains_key(&names.not_run) {
--- a/crates/edge/src/place/choose.rs
+++ b/crates/edge/src/place/choose.rs
@@ -147,7 +147,7 @@
         let usable = usable(upstreams, rules, is_last_resort, now);
         let has_any = !usable.is_empty();
         let apart = apart(&usable, job, rules);
-        let is_apart = |up: &Upstream| apart.contains(&up.seen.id);
+        let is_apart = |up: &Upstream| apart.contains(&up.entry.id);
         let (others, own): (Vec<&Upstream>, Vec<&Upstream>) = usable
             .into_iter()
             .filter(|up| has_room(up, job, is_apart(up), rules, now))
@@ -172,7 +172,7 @@
     let Some(first) = usable.first().filter(|_| rules.kv_cache_tokens > 0) else {
         return HashSet::new();
     };
-    let kind = JobKind::of(job, first.seen.slots);
+    let kind = JobKind::of(job, first.entry.slots);
     engines_for_other_kind(usable, kind, rules.decode_share)
 }
 
@@ -186,13 +186,13 @@
     let candidates: Vec<&Upstream> = upstreams
         .by_id
         .values()
-        .filter(|up| &*up.seen.service == rules.service && &*up.region == rules.region)
-        .filter(|up| !rules.tried.contains(&up.seen.id))
-        .filter(|up| !rules.evacuated.contains(&up.seen.data_centre))
+        .filter(|up| &*up.entry.service == rules.service && &*up.region == rules.region)
+        .filter(|up| !rules.tried.contains(&up.entry.id))
+        .filter(|up| !rules.evacuated.contains(&up.entry.data_centre))
         .filter(|up| up.is_taking(is_last_resort, now))
-        .filter(|up| (rules.is_version_allowed)(&up.seen.version))
+        .filter(|up| (rules.is_version_allowed)(&up.entry.version))
         .filter(|up| {
-            !up.cold.is_cold(now) || (up.cold.is_open(now) && (rules.is_cold_user)(&up.seen.id))
+            !up.cold.is_cold(now) || (up.cold.is_open(now) && (rules.is_cold_user)(&up.entry.id))
         })
         .collect();
     let sound: Vec<&Upstream> = candidates
@@ -217,7 +217,7 @@
         return all;
     }
     let key = affinity_key(&job.parts);
-    all.sort_by_cached_key(|up| Reverse(rendezvous(&up.seen.id, key)));
+    all.sort_by_cached_key(|up| Reverse(rendezvous(&up.entry.id, key)));
     let mut chosen: Vec<&Upstream> = all.drain(..PREFERRED).collect();
     for _ in 0..sample_size {
         let at = rand::random_range(0..all.len());
@@ -264,12 +264,12 @@
     now: Millis,
 ) -> Option<Placement> {
     let key = affinity_key(&job.parts);
-    let weight = |up: &Upstream| rendezvous(&up.seen.id, key);
+    let weight = |up: &Upstream| rendezvous(&up.entry.id, key);
     let mut preferred: Vec<&Upstream> = usable.iter().copied().filter(|up| !is_apart(up)).collect();
     preferred.sort_by_cached_key(|up| Reverse(weight(up)));
     let held_part = |up: &Upstream| {
         let choices = preferred.iter().zip(PREFERRED_PARTS);
-        let mut choice = choices.filter(|(choice, _)| choice.seen.id == up.seen.id);
+        let mut choice = choices.filter(|(choice, _)| choice.entry.id == up.entry.id);
         choice.next().map_or(0.0, |(_, part)| part)
     };
     let predicted = usable.iter().map(|up| {
@@ -293,7 +293,7 @@
         order.then_with(|| weight(b.up).cmp(&weight(a.up)))
     })?;
     Some(Placement {
-        id: Arc::clone(&best.up.seen.id),
+        id: Arc::clone(&best.up.entry.id),
         wait_ms: best.wait_ms,
         queue_ms: wait_ms(best.up, job, 0.0, rules, now),
         cost_ms: best.cost_ms,
@@ -323,7 +323,7 @@
     now: Millis,
 ) -> f64 {
     let load = up.load(now);
-    let slots = f64::from(up.seen.slots.max(1));
+    let slots = f64::from(up.entry.slots.max(1));
     let running = f64::from(load.requests);
     let errors_ms = ERROR_MS * up.health.error_share();
     if rules.kv_cache_tokens == 0 {
--- a/crates/edge/src/place/outlook.rs
+++ b/crates/edge/src/place/outlook.rs
@@ -41,7 +41,7 @@
     };
     let own = usable
         .iter()
-        .filter(|up| !apart.contains(&up.seen.id))
+        .filter(|up| !apart.contains(&up.entry.id))
         .collect::<Vec<_>>();
     let roomy = own
         .iter()
--- a/crates/edge/src/place/split.rs
+++ b/crates/edge/src/place/split.rs
@@ -111,7 +111,7 @@
         return HashSet::new();
     };
     let mut ranked = engines.to_vec();
-    ranked.sort_by_cached_key(|up| Reverse(rendezvous(&up.seen.id, RANK_KEY)));
+    ranked.sort_by_cached_key(|up| Reverse(rendezvous(&up.entry.id, RANK_KEY)));
     #[allow(
         clippy::cast_precision_loss,
         clippy::cast_possible_truncation,
@@ -122,5 +122,5 @@
         JobKind::DecodeHeavy => &ranked[answering..],
         JobKind::PrefillHeavy => &ranked[..answering],
     };
-    others.iter().map(|up| Arc::clone(&up.seen.id)).collect()
+    others.iter().map(|up| Arc::clone(&up.entry.id)).collect()
 }
--- a/crates/edge/src/rollout/evidence.rs
+++ b/crates/edge/src/rollout/evidence.rs
@@ -18,29 +18,29 @@
 
 /// Counts of one version on one route, from the start of a trial.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct VersionCounts {
     /// Requests that were sent.
     pub sent: u32,
     /// Requests that failed.
-    pub bad: u32,
+    pub failed: u32,
     /// Requests that were answered.
     pub answered: u32,
     /// Sum of the times to the first byte of the answers, in milliseconds.
     pub time_sum_ms: u32,
 }
 
-impl AddAssign for Counts {
+impl AddAssign for VersionCounts {
     fn add_assign(&mut self, other: Self) {
         self.sent += other.sent;
-        self.bad += other.bad;
+        self.failed += other.failed;
         self.answered += other.answered;
         self.time_sum_ms = self.time_sum_ms.saturating_add(other.time_sum_ms);
     }
 }
 
-impl Counts {
+impl VersionCounts {
     fn ended(self) -> f64 {
-        f64::from(self.bad + self.answered)
+        f64::from(self.failed + self.answered)
     }
 
     fn mean_ms(self) -> f64 {
@@ -52,19 +52,19 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteEvidence {
     /// The version that the service had before.
-    pub old: Counts,
+    pub old: VersionCounts,
     /// The version on trial.
-    pub new: Counts,
+    pub new: VersionCounts,
 }
 
 impl RouteEvidence {
     fn is_against_new(&self) -> bool {
-        let old_share = f64::from(self.old.bad) / self.old.ended().max(1.0);
+        let old_share = f64::from(self.old.failed) / self.old.ended().max(1.0);
         let expected_share = old_share.max(MIN_FAILURE_SHARE);
         let expected = self.new.ended() * expected_share;
         let deviation = (expected * (1.0 - expected_share).max(0.0)).sqrt();
         let allowed = expected + FAILURE_DEVIATIONS * deviation + FAILURE_EXTRA;
-        f64::from(self.new.bad) > allowed || self.is_slower()
+        f64::from(self.new.failed) > allowed || self.is_slower()
     }
 
     fn is_slower(&self) -> bool {
@@ -84,7 +84,7 @@
 
 impl Evidence {
     /// Takes what another instance has seen, which replaces what it told before.
-    pub fn hear(&mut self, instance: &Arc<str>, routes: HashMap<u32, RouteEvidence>) {
+    pub fn update_peer(&mut self, instance: &Arc<str>, routes: HashMap<u32, RouteEvidence>) {
         self.others.insert(Arc::clone(instance), routes);
     }
 
@@ -105,6 +105,6 @@
             .own
             .values()
             .chain(self.others.values().flat_map(HashMap::values));
-        all.map(|seen| seen.new.bad + seen.new.answered).sum()
+        all.map(|seen| seen.new.failed + seen.new.answered).sum()
     }
 }
--- a/crates/edge/src/rollout/mod.rs
+++ b/crates/edge/src/rollout/mod.rs
@@ -7,5 +7,5 @@
 mod evidence;
 mod trial;
 
-pub use evidence::{Counts, Evidence, RouteEvidence};
-pub use trial::{Order, Trial, TrialBounds, Verdict};
+pub use evidence::{Evidence, RouteEvidence, VersionCounts};
+pub use trial::{RolloutOrder, Trial, TrialBounds, Verdict};
--- a/crates/edge/src/rollout/trial.rs
+++ b/crates/edge/src/rollout/trial.rs
@@ -22,7 +22,7 @@
 
 /// An operator's order to move a service to a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct RolloutOrder {
     /// Service.
     pub service: Arc<str>,
     /// Version that it moves to.
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 pub struct Trial {
     /// The order.
-    pub order: Order,
+    pub order: RolloutOrder,
     /// The verdict that is known.
     pub verdict: Verdict,
     /// Evidence so far.
@@ -66,7 +66,7 @@
 
 impl Trial {
     /// A trial that starts now.
-    pub fn new(order: Order, now: Millis) -> Self {
+    pub fn new(order: RolloutOrder, now: Millis) -> Self {
         Self {
             order,
             verdict: Verdict::Active,
@@ -84,12 +84,12 @@
     }
 
     /// Takes note that this or another instance has found the new version bad.
-    pub fn suspect(&mut self) {
+    pub fn mark_suspect(&mut self) {
         self.is_suspect = true;
     }
 
     /// Looks at the evidence and moves on.
-    pub fn step(&mut self, now: Millis) {
+    pub fn advance(&mut self, now: Millis) {
         if self.verdict != Verdict::Active {
             return;
         }
--- a/crates/edge/src/store/follow.rs
+++ b/crates/edge/src/store/follow.rs
@@ -1,6 +1,8 @@
 //! Following all changes below a prefix.
 
-use super::{backoff::Backoff, ops::Freshness, task::Context, Followed, StoreError, StoreEvent};
+use super::{
+    backoff::Backoff, ops::Freshness, task::Context, FollowedPrefix, StoreError, StoreEvent,
+};
 use std::{sync::atomic::Ordering, time::Duration};
 use tokio::time::sleep;
 
@@ -17,7 +19,7 @@
 /// another instance watches for this one, nothing is asked.
 pub(super) async fn follow(
     context: Context,
-    followed: Followed,
+    followed: FollowedPrefix,
     mut watching: tokio::sync::watch::Receiver<bool>,
 ) {
     let mut backoff = Backoff::default();
@@ -66,7 +68,11 @@
     Ok(revision)
 }
 
-async fn watch(context: &Context, followed: &Followed, after: u64) -> Result<u64, StoreError> {
+async fn watch(
+    context: &Context,
+    followed: &FollowedPrefix,
+    after: u64,
+) -> Result<u64, StoreError> {
     let prefix = &followed.prefix;
     let news = (context.ops.watch)(prefix, after, WATCH_MS).await?;
     let revision = news.revision.max(after);
@@ -95,7 +101,7 @@
     /// Takes note that the store has answered.
     pub(super) async fn reachable(&self) {
         if self.is_lost.swap(false, Ordering::Relaxed) {
-            self.send(StoreEvent::Back).await;
+            self.send(StoreEvent::Recovered).await;
         }
     }
 
--- a/crates/edge/src/store/mod.rs
+++ b/crates/edge/src/store/mod.rs
@@ -12,11 +12,11 @@
 mod task;
 mod verdict;
 
-pub use news::{Decoder, MemberChange, News, StoreEvent};
+pub use news::{Decoder, MemberChange, StoreEvent, StoreUpdate};
 pub use ops::{
-    ByName, ByNumber, Call, Change, Changes, Commit, Expected, Freshness, Item, List, Listing,
-    StoreError, StoreOps, StoreResult, Watch, Write,
+    Change, Changes, Commit, Expected, Freshness, Item, KeyCall, List, Listing, NumberCall,
+    StoreCall, StoreError, StoreOps, StoreResult, Watch, Write,
 };
 pub use replica::{Fact, Facts, Replica};
-pub use task::{start, Asks, Followed, Keys, StoreSettings};
-pub use verdict::Recorded;
+pub use task::{start, FollowedPrefix, StoreHandle, StoreKeys, StoreSettings};
+pub use verdict::VerdictRecord;
--- a/crates/edge/src/store/news.rs
+++ b/crates/edge/src/store/news.rs
@@ -4,8 +4,8 @@
 use crate::{
     member::MemberEntry,
     model::ConfigParts,
-    rollout::{Order, Verdict},
-    upstream::Sighting,
+    rollout::{RolloutOrder, Verdict},
+    upstream::UpstreamEntry,
 };
 use std::sync::Arc;
 
@@ -13,30 +13,30 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberChange {
     /// An entry was written.
-    Seen(MemberEntry),
+    Written(MemberEntry),
     /// The entry of this name is gone.
-    Gone(Arc<str>),
+    Removed(Arc<str>),
 }
 
 /// One piece of news.
 #[derive(Clone, Debug)]
-pub enum News {
+pub enum StoreUpdate {
     /// A version of the configuration.
     Config(Box<ConfigParts>),
     /// The configuration's entry cannot be used.
-    ConfigUnusable(String),
+    ConfigInvalid(String),
     /// A data centre is evacuated, or no longer.
     Evacuated(Arc<str>, bool),
     /// A move to a new version was ordered.
-    Ordered(Order),
+    Ordered(RolloutOrder),
     /// The order for this service was taken back.
-    OrderGone(Arc<str>),
+    OrderRemoved(Arc<str>),
     /// A verdict on a move: service, target, verdict.
     Verdict(Arc<str>, Arc<str>, Verdict),
     /// An entry of an upstream.
-    Upstream(Sighting),
+    Upstream(UpstreamEntry),
     /// The entry of this upstream is gone.
-    UpstreamGone(Arc<str>),
+    UpstreamRemoved(Arc<str>),
     /// A change of the members.
     Member(MemberChange),
     /// An entry that names nothing to use: key and reason.
@@ -53,11 +53,11 @@
     /// The store does not answer any more.
     Lost(String),
     /// The store answers again.
-    Back,
+    Recovered,
     /// This instance's lease has lapsed.
     LeaseLost(String),
     /// A verdict on a move stands.
-    Recorded(News),
+    Recorded(StoreUpdate),
     /// A verdict could not be recorded: service and reason.
     NotRecorded(Arc<str>, StoreError),
 }
@@ -66,9 +66,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Decoder {
     /// News of a written item.
-    pub written: fn(&str, &[u8]) -> News,
+    pub written: fn(&str, &[u8]) -> StoreUpdate,
     /// News of a removed key.
-    pub removed: fn(&str) -> Option<News>,
+    pub removed: fn(&str) -> Option<StoreUpdate>,
     /// The stored form of a verdict on a target.
     pub encode_verdict: fn(&str, Verdict) -> Vec<u8>,
 }
--- a/crates/edge/src/store/ops.rs
+++ b/crates/edge/src/store/ops.rs
@@ -112,7 +112,7 @@
 /// Result of a call.
 pub type StoreResult<T> = Result<T, StoreError>;
 /// A call under way.
-pub type Call<T> = BoxFuture<'static, StoreResult<T>>;
+pub type StoreCall<T> = BoxFuture<'static, StoreResult<T>>;
 
 /// How fresh an answer has to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -124,13 +124,13 @@
 }
 
 /// A call that reads all items below a prefix.
-pub type List = Box<dyn Fn(&str, Freshness) -> Call<Listing> + Send + Sync>;
+pub type List = Box<dyn Fn(&str, Freshness) -> StoreCall<Listing> + Send + Sync>;
 /// A call about a key or a prefix.
-pub type ByName<T> = Box<dyn Fn(&str) -> Call<T> + Send + Sync>;
+pub type KeyCall<T> = Box<dyn Fn(&str) -> StoreCall<T> + Send + Sync>;
 /// A call about a lease, or with a time in milliseconds.
-pub type ByNumber<T> = Box<dyn Fn(u64) -> Call<T> + Send + Sync>;
+pub type NumberCall<T> = Box<dyn Fn(u64) -> StoreCall<T> + Send + Sync>;
 /// A wait for changes: prefix, revision, time in milliseconds.
-pub type Watch = Box<dyn Fn(&str, u64, u64) -> Call<Changes> + Send + Sync>;
+pub type Watch = Box<dyn Fn(&str, u64, u64) -> StoreCall<Changes> + Send + Sync>;
 
 /// The operations of the store, each with a deadline of its own.
 pub struct StoreOps {
@@ -139,15 +139,15 @@
     /// Waits up to a time in milliseconds for changes below a prefix after a revision.
     pub watch: Watch,
     /// Reads one item.
-    pub get: ByName<Item>,
+    pub get: KeyCall<Item>,
     /// Commits a change; returns its revision.
-    pub commit: Box<dyn Fn(Commit) -> Call<u64> + Send + Sync>,
+    pub commit: Box<dyn Fn(Commit) -> StoreCall<u64> + Send + Sync>,
     /// Grants a lease for a time in milliseconds.
-    pub grant: ByNumber<u64>,
+    pub grant: NumberCall<u64>,
     /// Renews a lease.
-    pub renew: ByNumber<()>,
+    pub renew: NumberCall<()>,
     /// Ends a lease.
-    pub end: ByNumber<()>,
+    pub end: NumberCall<()>,
 }
 
 impl fmt::Debug for StoreOps {
--- a/crates/edge/src/store/replica.rs
+++ b/crates/edge/src/store/replica.rs
@@ -81,7 +81,7 @@
             value: Some(item.value.clone()),
         });
         let facts = removed.chain(written).collect();
-        self.learn(prefix, Facts { facts, revision })
+        self.merge(prefix, Facts { facts, revision })
     }
 
     /// Takes changes up to `revision`. Returns what is new.
@@ -99,11 +99,11 @@
             },
         });
         let facts = facts.collect();
-        self.learn(prefix, Facts { facts, revision })
+        self.merge(prefix, Facts { facts, revision })
     }
 
     /// Takes facts. Returns those that are new, in order of their revisions.
-    pub fn learn(&mut self, prefix: usize, news: Facts) -> Vec<Fact> {
+    pub fn merge(&mut self, prefix: usize, news: Facts) -> Vec<Fact> {
         let Some(part) = self.parts.get_mut(prefix) else {
             return Vec::new();
         };
--- a/crates/edge/src/store/task.rs
+++ b/crates/edge/src/store/task.rs
@@ -2,7 +2,7 @@
 
 use super::{
     follow, own_entry,
-    verdict::{self, Recorded},
+    verdict::{self, VerdictRecord},
     Decoder, StoreEvent, StoreOps,
 };
 use crate::member::MemberEntry;
@@ -27,7 +27,7 @@
 
 /// A prefix of which all changes are followed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Followed {
+pub struct FollowedPrefix {
     /// Prefix.
     pub prefix: String,
     /// Its changes bind from the moment at which the store has confirmed them.
@@ -36,20 +36,20 @@
 
 /// Where things stand in the store.
 #[derive(Clone, Debug)]
-pub struct Keys {
+pub struct StoreKeys {
     /// Prefixes to follow.
-    pub followed: Vec<Followed>,
+    pub followed: Vec<FollowedPrefix>,
     /// Prefix of the members' entries; it is followed as well.
     pub members: String,
     /// Prefix of the states of moves.
     pub verdicts: String,
 }
 
-impl Keys {
+impl StoreKeys {
     /// All prefixes that are followed.
-    pub fn all_followed(&self) -> Vec<Followed> {
+    pub fn all_followed(&self) -> Vec<FollowedPrefix> {
         let mut followed = self.followed.clone();
-        followed.push(Followed {
+        followed.push(FollowedPrefix {
             prefix: self.members.clone(),
             is_urgent: false,
         });
@@ -67,18 +67,18 @@
     /// Turns items into news.
     pub decoder: Decoder,
     /// Where things stand.
-    pub keys: Keys,
+    pub keys: StoreKeys,
     /// This instance's own entry.
     pub entry: MemberEntry,
 }
 
 /// Ways to and from the thread.
 #[derive(Debug)]
-pub struct Asks {
+pub struct StoreHandle {
     /// Events in the order in which they happened.
     pub events: Receiver<StoreEvent>,
     /// States to record.
-    pub record: Sender<Recorded>,
+    pub record: Sender<VerdictRecord>,
     /// Whether this instance watches the store, or hears of changes from others.
     pub is_watcher: watch::Sender<bool>,
     /// Ends once the own entry was removed.
@@ -99,7 +99,7 @@
 /// # Errors
 ///
 /// Fails if no thread or runtime can be started.
-pub fn start(settings: StoreSettings, stop: CancellationToken) -> io::Result<Asks> {
+pub fn start(settings: StoreSettings, stop: CancellationToken) -> io::Result<StoreHandle> {
     let (events_in, events) = mpsc::channel(EVENTS_RING);
     let (record, asked) = mpsc::channel(ASKS_RING);
     let (is_watcher, watching) = watch::channel(true);
@@ -109,7 +109,7 @@
     let thread = thread::Builder::new()
         .name("store".to_owned())
         .spawn(move || runtime.block_on(run(settings, events_in, asked, watching, stop)))?;
-    Ok(Asks {
+    Ok(StoreHandle {
         events,
         record,
         is_watcher,
@@ -120,7 +120,7 @@
 async fn run(
     settings: StoreSettings,
     events: Sender<StoreEvent>,
-    mut asked: Receiver<Recorded>,
+    mut asked: Receiver<VerdictRecord>,
     watching: watch::Receiver<bool>,
     stop: CancellationToken,
 ) {
--- a/crates/edge/src/store/verdict.rs
+++ b/crates/edge/src/store/verdict.rs
@@ -1,7 +1,8 @@
 //! Recording the state of a move to a new version.
 
 use super::{
-    backoff::Backoff, task::Context, Commit, Expected, Item, News, StoreError, StoreEvent, Write,
+    backoff::Backoff, task::Context, Commit, Expected, Item, StoreError, StoreEvent, StoreUpdate,
+    Write,
 };
 use crate::rollout::Verdict;
 use std::{sync::Arc, time::Duration};
@@ -12,7 +13,7 @@
 
 /// One state to record.
 #[derive(Clone, Debug)]
-pub struct Recorded {
+pub struct VerdictRecord {
     /// Service.
     pub service: Arc<str>,
     /// Version that it moves to.
@@ -22,7 +23,7 @@
 }
 
 /// Records a state, unless a verdict on the same target stands already.
-pub(super) async fn record(context: &Context, key: &str, wanted: &Recorded) {
+pub(super) async fn record(context: &Context, key: &str, wanted: &VerdictRecord) {
     let mut backoff = Backoff::default();
     for _ in 0..TRIES {
         match try_record(context, key, wanted).await {
@@ -40,7 +41,11 @@
     }
 }
 
-async fn try_record(context: &Context, key: &str, wanted: &Recorded) -> Result<News, StoreError> {
+async fn try_record(
+    context: &Context,
+    key: &str,
+    wanted: &VerdictRecord,
+) -> Result<StoreUpdate, StoreError> {
     let known = match (context.ops.get)(key).await {
         Ok(item) => Some(item),
         Err(StoreError::NotFound) => None,
@@ -68,14 +73,14 @@
     };
     (context.ops.commit)(commit).await?;
     let (service, target) = (Arc::clone(&wanted.service), Arc::clone(&wanted.target));
-    Ok(News::Verdict(service, target, wanted.verdict))
+    Ok(StoreUpdate::Verdict(service, target, wanted.verdict))
 }
 
 /// The news of what stands already, if it goes before what is wanted.
-fn standing(context: &Context, item: &Item, wanted: &Recorded) -> Option<News> {
+fn standing(context: &Context, item: &Item, wanted: &VerdictRecord) -> Option<StoreUpdate> {
     let news = (context.decoder.written)(&item.key, &item.value);
     match &news {
-        News::Verdict(_, target, verdict) if *target == wanted.target => {
+        StoreUpdate::Verdict(_, target, verdict) if *target == wanted.target => {
             let is_final = *verdict != Verdict::Active || wanted.verdict == Verdict::Active;
             is_final.then_some(news)
         }
--- a/crates/edge/src/upstream/health.rs
+++ b/crates/edge/src/upstream/health.rs
@@ -49,7 +49,7 @@
 
 impl Health {
     /// Takes note of an outcome. Returns true if the upstream is out of use from now on.
-    pub fn note(&mut self, outcome: Outcome, now: Millis) -> bool {
+    pub fn record_outcome(&mut self, outcome: Outcome, now: Millis) -> bool {
         self.probing_until = None;
         match outcome {
             Outcome::Answered { ms } => {
@@ -88,7 +88,7 @@
 
     /// Takes note that a request is sent. `expected_ms` is the time after which a probe without an
     /// outcome no longer keeps others away.
-    pub fn sent(&mut self, expected_ms: u64, now: Millis) {
+    pub fn record_sent(&mut self, expected_ms: u64, now: Millis) {
         if self.is_on_probe() {
             self.probing_until = Some(now.plus(expected_ms));
         }
--- a/crates/edge/src/upstream/state.rs
+++ b/crates/edge/src/upstream/state.rs
@@ -27,7 +27,7 @@
 
 /// What an upstream says of itself.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sighting {
+pub struct UpstreamEntry {
     /// Identifier of the upstream.
     pub id: Arc<str>,
     /// Service that it belongs to.
@@ -47,7 +47,7 @@
     /// Time until it is gone, in milliseconds, where it leaves at short notice.
     pub time_left_ms: Option<u64>,
     /// Its start in civil time, in milliseconds, where it is told.
-    pub born_unix_ms: Option<u64>,
+    pub started_unix_ms: Option<u64>,
 }
 
 /// Why an upstream is used or not.
@@ -69,7 +69,7 @@
 #[derive(Clone, Debug)]
 pub struct Upstream {
     /// What it said last.
-    pub seen: Sighting,
+    pub entry: UpstreamEntry,
     /// Short name of it in messages between instances.
     pub hash: u32,
     /// Region that it stands in.
@@ -122,7 +122,7 @@
     }
 
     /// Takes note that `tokens` were read within `ms` milliseconds.
-    pub fn note_speed(&mut self, tokens: f64, ms: f64) {
+    pub fn record_prefill_speed(&mut self, tokens: f64, ms: f64) {
         let sample = (tokens / ms.max(1.0)).clamp(5.0, 200.0);
         self.tokens_per_ms += SPEED_WEIGHT * (sample - self.tokens_per_ms);
     }
@@ -146,35 +146,35 @@
 impl Upstreams {
     /// Takes note of an entry. `memory_tokens` is the size of its cache, 0 where it has none.
     /// Returns true if anything changed that concerns requests.
-    pub fn saw(
+    pub fn update_entry(
         &mut self,
-        seen: Sighting,
+        entry: UpstreamEntry,
         region: &Arc<str>,
         kv_cache_tokens: u64,
         now: Millis,
     ) -> bool {
-        let leaving_at = (seen.stage == Stage::Draining).then_some(now);
+        let leaving_at = (entry.stage == Stage::Draining).then_some(now);
         let is_same_life = |known: &Upstream| {
-            known.seen.address == seen.address
-                && known.seen.service == seen.service
-                && known.seen.born_unix_ms == seen.born_unix_ms
+            known.entry.address == entry.address
+                && known.entry.service == entry.service
+                && known.entry.started_unix_ms == entry.started_unix_ms
         };
         if let Some(known) = self
             .by_id
-            .get_mut(&seen.id)
+            .get_mut(&entry.id)
             .filter(|known| is_same_life(known))
         {
-            let is_change = known.seen != seen || known.gone_at.is_some();
-            known.cold.set_left(seen.cold_left_ms, now);
+            let is_change = known.entry != entry || known.gone_at.is_some();
+            known.cold.set_remaining(entry.cold_left_ms, now);
             known.leaving_at = leaving_at.map(|at| known.leaving_at.unwrap_or(at));
             known.gone_at = None;
-            known.seen = seen;
+            known.entry = entry;
             return is_change;
         }
         let mut cold = ColdGate::default();
-        cold.set_left(seen.cold_left_ms, now);
+        cold.set_remaining(entry.cold_left_ms, now);
         let upstream = Upstream {
-            hash: short_hash(&seen.id),
+            hash: short_hash(&entry.id),
             region: Arc::clone(region),
             leaving_at,
             gone_at: None,
@@ -185,15 +185,15 @@
             cache: PrefixCache::new(kv_cache_tokens),
             cold,
             tokens_per_ms: START_TOKENS_PER_MS,
-            seen,
+            entry,
         };
-        self.by_id.insert(Arc::clone(&upstream.seen.id), upstream);
+        self.by_id.insert(Arc::clone(&upstream.entry.id), upstream);
         true
     }
 
     /// Takes note that the entry of `id` is gone. After an outage of the store it has a short time
     /// to come back.
-    pub fn missing(&mut self, id: &str, is_after_outage: bool, now: Millis) {
+    pub fn entry_removed(&mut self, id: &str, is_after_outage: bool, now: Millis) {
         let Some(upstream) = self.by_id.get_mut(id) else {
             return;
         };
@@ -222,7 +222,7 @@
             .by_id
             .values()
             .filter(|upstream| is_over(upstream))
-            .map(|upstream| Arc::clone(&upstream.seen.id))
+            .map(|upstream| Arc::clone(&upstream.entry.id))
             .collect();
         for id in &over {
             self.by_id.remove(id);
--- a/crates/edge/tests/limit_fleet.rs
+++ b/crates/edge/tests/limit_fleet.rs
@@ -25,7 +25,7 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let start = Fleet {
         instances: INSTANCES,
-        heard: INSTANCES,
+        reachable: INSTANCES,
     };
     let mut buckets: Vec<Bucket> = (0..INSTANCES)
         .map(|_| Bucket::new(&LIMIT, start, Millis(0)))
@@ -41,7 +41,7 @@
         let is_silent = is_cut && (6_700..14_000).contains(&now);
         let fleet = Fleet {
             instances: INSTANCES,
-            heard: if is_silent { 1 } else { INSTANCES },
+            reachable: if is_silent { 1 } else { INSTANCES },
         };
         for (n, bucket) in buckets.iter_mut().enumerate() {
             let tokens = rng.random_range(100..3_000);
@@ -51,7 +51,7 @@
                 taken.push((now, tokens as f64));
             }
             if now % 100 == 0 && !is_cut_now {
-                told.push((now + delay_ms, n, bucket.asked_tokens()));
+                told.push((now + delay_ms, n, bucket.requested_tokens()));
             }
         }
         told.retain(|(at, from, asked)| {
@@ -60,7 +60,7 @@
             }
             for (n, bucket) in buckets.iter_mut().enumerate() {
                 if n != *from {
-                    bucket.hear(&names[*from], 1, *asked, Millis(now));
+                    bucket.update_peer_demand(&names[*from], 1, *asked, Millis(now));
                 }
             }
             false
@@ -96,7 +96,7 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let fleet = Fleet {
             instances: 1,
-            heard: 1,
+            reachable: 1,
         };
         let mut bucket = Bucket::new(&LIMIT, fleet, Millis(0));
         for now in (0..20_000).step_by(10) {
@@ -117,7 +117,7 @@
     };
     let fleet = Fleet {
         instances: 1,
-        heard: 1,
+        reachable: 1,
     };
     let mut bucket = Bucket::new(&limit, fleet, Millis(0));
     bucket.take(180_000, &limit, fleet, Millis(0)).unwrap();
--- a/crates/edge/tests/place_load.rs
+++ b/crates/edge/tests/place_load.rs
@@ -5,15 +5,15 @@
 use carobwheel_core::time::Millis;
 use carobwheel_edge::{
     place::{choose, Choice, InferenceJob, JobMix, PlacementRules, PromptPart},
-    upstream::{Outcome, Sighting, Stage, Upstreams},
+    upstream::{Outcome, Stage, UpstreamEntry, Upstreams},
 };
 use rand::{rngs::StdRng, Rng as _, SeedableRng as _};
 use std::{collections::HashSet, sync::Arc};
 
 const MEMORY_TOKENS: u64 = 230_000;
 
-fn sighting(id: &str, zone: &str, version: &str) -> Sighting {
-    Sighting {
+fn sighting(id: &str, zone: &str, version: &str) -> UpstreamEntry {
+    UpstreamEntry {
         id: id.into(),
         service: "model".into(),
         address: "127.0.0.1:1".parse().unwrap(),
@@ -23,7 +23,7 @@
         stage: Stage::Ready,
         cold_left_ms: 0,
         time_left_ms: None,
-        born_unix_ms: None,
+        started_unix_ms: None,
     }
 }
 
@@ -31,7 +31,7 @@
     let mut upstreams = Upstreams::default();
     for n in 0..count {
         let seen = sighting(&format!("i-{n}"), "a", "v1");
-        upstreams.saw(seen, &Arc::from("north"), MEMORY_TOKENS, Millis(0));
+        upstreams.update_entry(seen, &Arc::from("north"), MEMORY_TOKENS, Millis(0));
     }
     upstreams
 }
@@ -164,7 +164,7 @@
     let bad = id_of(place(&upstreams, &job, Millis(0)));
     let health = &mut upstreams.by_id.get_mut(&bad).unwrap().health;
     for _ in 0..3 {
-        health.note(Outcome::Failed, Millis(0));
+        health.record_outcome(Outcome::Failed, Millis(0));
     }
     assert_ne!(id_of(place(&upstreams, &job, Millis(1))), bad);
 }
@@ -173,7 +173,9 @@
 fn when_all_are_ejected_all_are_used() {
     let mut upstreams = upstreams(3);
     for upstream in upstreams.by_id.values_mut() {
-        upstream.health.note(Outcome::Unreachable, Millis(0));
+        upstream
+            .health
+            .record_outcome(Outcome::Unreachable, Millis(0));
     }
     id_of(place(&upstreams, &briefing(1, 1), Millis(1)));
 }
@@ -191,12 +193,12 @@
     let mut upstreams = upstreams(1);
     let mut seen = sighting("i-0", "a", "v1");
     seen.cold_left_ms = 3_000;
-    upstreams.saw(seen, &Arc::from("north"), MEMORY_TOKENS, Millis(0));
+    upstreams.update_entry(seen, &Arc::from("north"), MEMORY_TOKENS, Millis(0));
     let mut sent = 0;
     for now in 0..1_000 {
         if let Choice::Placed(placed) = place(&upstreams, &briefing(1, 1), Millis(now)) {
             let cold = &mut upstreams.by_id.get_mut(&placed.id).unwrap().cold;
-            cold.sent(carobwheel_edge::cold::ColdRate { per_s: 2.0 }, Millis(now));
+            cold.record_sent(carobwheel_edge::cold::ColdRate { per_s: 2.0 }, Millis(now));
             sent += 1;
         }
     }
@@ -233,7 +235,7 @@
 #[test]
 fn an_entry_that_lapsed_in_an_outage_has_time_to_come_back() {
     let mut upstreams = upstreams(1);
-    upstreams.missing("i-0", true, Millis(0));
+    upstreams.entry_removed("i-0", true, Millis(0));
     assert!(upstreams.sweep(Millis(1_000)).is_empty());
     id_of(place(&upstreams, &briefing(1, 1), Millis(1_000)));
     assert_eq!(upstreams.sweep(Millis(2_400)).len(), 1);
--- a/crates/edge/tests/rollout_trial.rs
+++ b/crates/edge/tests/rollout_trial.rs
@@ -1,7 +1,7 @@
 //! Trials of good and bad versions, played request by request.
 
 use carobwheel_core::time::Millis;
-use carobwheel_edge::rollout::{Counts, Order, Trial, TrialBounds, Verdict};
+use carobwheel_edge::rollout::{RolloutOrder, Trial, TrialBounds, Verdict, VersionCounts};
 use rand::{rngs::StdRng, Rng as _, SeedableRng as _};
 use test_case::test_case;
 
@@ -23,7 +23,7 @@
 /// Plays a trial; returns the verdict, requests to the new version and all requests.
 fn play(version: Version, base_bad: f64, per_s: u64, seed: u64) -> (Verdict, f64, f64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let order = Order {
+    let order = RolloutOrder {
         service: "s".into(),
         target: "v2".into(),
         duration_ms: DURATION_MS,
@@ -33,7 +33,7 @@
     let mut verdict = Verdict::Active;
     for step in 0..(per_s * DURATION_MS / 1_000) {
         let now = step * 1_000 / per_s;
-        trial.step(Millis(now));
+        trial.advance(Millis(now));
         if let Some(due) = trial.due_verdict(Millis(now)) {
             trial.verdict = due;
             verdict = due;
@@ -53,9 +53,9 @@
         let is_bad = rng.random::<f64>() < bad_share;
         let ms = 30.0 * if is_new { version.slow } else { 1.0 } * rng.random_range(0.5..1.5);
         let seen = trial.evidence.own.entry(route).or_default();
-        let counts: &mut Counts = if is_new { &mut seen.new } else { &mut seen.old };
+        let counts: &mut VersionCounts = if is_new { &mut seen.new } else { &mut seen.old };
         counts.sent += 1;
-        counts.bad += u32::from(is_bad);
+        counts.failed += u32::from(is_bad);
         counts.answered += u32::from(!is_bad);
         counts.time_sum_ms += if is_bad { 0 } else { ms as u32 };
     }
--- a/crates/edge/tests/small_parts.rs
+++ b/crates/edge/tests/small_parts.rs
@@ -5,7 +5,7 @@
 use carobwheel_core::time::Millis;
 use carobwheel_edge::{
     hash::{rendezvous, short_hash},
-    model::{split_service, Config, ConfigParts, Route, RouteKind, RouteMatch, Share},
+    model::{split_service, Config, ConfigParts, Route, RouteKind, RouteMatch, ServiceShare},
     relay::EventSplitter,
     settings::Settings,
     store::{Change, Item, Replica},
@@ -50,14 +50,14 @@
     let mut first = Replica::new(vec!["a/".to_owned()]);
     let mut second = first.clone();
     first.listed(0, &[item("a/1", 3), item("a/2", 5)], 5);
-    let fresh = second.learn(0, first.since(0, 0));
+    let fresh = second.merge(0, first.since(0, 0));
     assert_eq!(fresh.len(), 2);
     let removed = Change::Removed {
         key: "a/2".to_owned(),
         revision: 8,
     };
     first.changed(0, vec![removed], 8);
-    assert_eq!(second.learn(0, first.since(0, 5)).len(), 1);
+    assert_eq!(second.merge(0, first.since(0, 5)).len(), 1);
     assert_eq!(second.revisions(), first.revisions());
 }
 
@@ -88,11 +88,11 @@
         pause_aim_ms: 0,
         rank: 0,
         shares: vec![
-            Share {
+            ServiceShare {
                 service: "a".into(),
                 weight: 90,
             },
-            Share {
+            ServiceShare {
                 service: "b".into(),
                 weight: 10,
             },
@@ -185,16 +185,16 @@
         certificate_digest: [0; 32],
     };
     let mut members = Members::default();
-    members.saw(entry, Millis(0));
+    members.update_entry(entry, Millis(0));
     let named = |members: &Members, now: u64| members.up_in("north", Millis(now)).count();
     assert_eq!(named(&members, 0), 0);
     assert!(
-        !members.heard("i", 4, true, Millis(10)),
+        !members.record_message("i", 4, true, Millis(10)),
         "an earlier lifetime"
     );
-    assert!(members.heard("i", 5, true, Millis(10)));
+    assert!(members.record_message("i", 5, true, Millis(10)));
     assert_eq!(named(&members, 100), 1);
     assert_eq!(named(&members, 5_000), 0);
-    members.entry_gone("i");
+    members.entry_removed("i");
     assert_eq!(members.sweep(Millis(11_000)).len(), 1);
 }
