--- a/crates/edge/src/place/mod.rs
+++ b/crates/edge/src/place/mod.rs
@@ -7,12 +7,12 @@
 
 mod cache;
 mod choose;
-mod outlook;
+mod forecast;
 mod pace;
 mod split;
 
 pub use cache::{PrefixCache, PromptPart};
 pub use choose::{choose, Choice, InferenceJob, Placement, PlacementRules};
-pub use outlook::{forecast_region, LatencyForecast};
+pub use forecast::{forecast_region, LatencyForecast};
 pub use pace::cost_ms;
 pub use split::{engines_for_other_kind, JobKind, JobMix};
--- a/crates/edge/src/store/mod.rs
+++ b/crates/edge/src/store/mod.rs
@@ -5,18 +5,18 @@
 
 mod backoff;
 mod follow;
-mod news;
 mod ops;
 mod own_entry;
 mod replica;
 mod task;
+mod update;
 mod verdict;
 
-pub use news::{Decoder, MemberChange, StoreEvent, StoreUpdate};
 pub use ops::{
     Change, Changes, Commit, Expected, Freshness, Item, KeyCall, List, Listing, NumberCall,
     StoreCall, StoreError, StoreOps, StoreResult, Watch, Write,
 };
 pub use replica::{Fact, Facts, Replica};
 pub use task::{start, FollowedPrefix, StoreHandle, StoreKeys, StoreSettings};
+pub use update::{Decoder, MemberChange, StoreEvent, StoreUpdate};
 pub use verdict::VerdictRecord;
