--- a/crates/edge/src/daemon/mod.rs
+++ b/crates/edge/src/daemon/mod.rs
@@ -229,8 +229,8 @@
 }
 
 fn prefixes(keys: &StoreKeys) -> Vec<String> {
-    let followed = keys.all_followed().into_iter();
-    followed.map(|followed| followed.prefix).collect()
+    let watched = keys.all_watched().into_iter();
+    watched.map(|watched| watched.prefix).collect()
 }
 
 fn reload(node: &Node, deployment: &Deployment) {
--- a/crates/edge/src/front/handler.rs
+++ b/crates/edge/src/front/handler.rs
@@ -60,14 +60,15 @@
             } else {
                 "answered_with_failure"
             };
-            node.metrics.ended(&labels.account, &labels.route, class);
             node.metrics
-                .first_byte(&labels.account, &labels.route, after_ms);
+                .count_request(&labels.account, &labels.route, class);
+            node.metrics
+                .record_first_byte(&labels.account, &labels.route, after_ms);
             answer
         }
         Err(refusal) => {
             node.metrics
-                .ended(&labels.account, &labels.route, refusal.reason);
+                .count_request(&labels.account, &labels.route, refusal.reason);
             node.log.event(Event::Refused {
                 request: &labels.request,
                 route: &labels.route,
--- a/crates/edge/src/member/mod.rs
+++ b/crates/edge/src/member/mod.rs
@@ -64,7 +64,7 @@
     /// The store answers it.
     pub has_store: bool,
     /// When it was heard last.
-    pub heard_at: Option<Millis>,
+    pub last_message_at: Option<Millis>,
     /// When its entry was seen last.
     pub entry_at: Millis,
     /// Revisions up to which it knows the followed parts of the store.
@@ -75,13 +75,14 @@
 
 impl Member {
     /// Whether it was heard within `silence_ms` milliseconds.
-    pub fn is_heard(&self, silence_ms: u64, now: Millis) -> bool {
-        self.heard_at.is_some_and(|at| now.since(at) <= silence_ms)
+    pub fn has_message_within(&self, silence_ms: u64, now: Millis) -> bool {
+        self.last_message_at
+            .is_some_and(|at| now.since(at) <= silence_ms)
     }
 
     /// Whether requests may be sent to it.
     pub fn is_up(&self, now: Millis) -> bool {
-        self.is_ready && self.is_heard(NAMED_SILENCE_MS, now)
+        self.is_ready && self.has_message_within(NAMED_SILENCE_MS, now)
     }
 }
 
@@ -106,7 +107,7 @@
             has_entry: true,
             is_ready: false,
             has_store: false,
-            heard_at: None,
+            last_message_at: None,
             entry_at: now,
             revisions: Vec::new(),
             forecasts: HashMap::new(),
@@ -132,7 +133,7 @@
         let Some(member) = known else {
             return false;
         };
-        member.heard_at = Some(now);
+        member.last_message_at = Some(now);
         member.is_ready = is_ready;
         true
     }
@@ -141,7 +142,7 @@
     pub fn sweep(&mut self, now: Millis) -> Vec<Arc<str>> {
         let is_over = |member: &Member| {
             let last_at = member
-                .heard_at
+                .last_message_at
                 .map_or(member.entry_at, |at| at.max(member.entry_at));
             !member.has_entry && now.since(last_at) > FORGET_MS
         };
@@ -160,8 +161,9 @@
     /// How many instances there are and how many are heard, this one included.
     pub fn fleet(&self, region: &str, now: Millis) -> Fleet {
         let silence_ms = USE_SILENCE_MS + self.period_ms(region, false);
-        let may_serve = |member: &&Member| member.has_entry || member.is_heard(FORGET_MS, now);
-        let heard = |member: &&Member| member.is_heard(silence_ms, now);
+        let may_serve =
+            |member: &&Member| member.has_entry || member.has_message_within(FORGET_MS, now);
+        let heard = |member: &&Member| member.has_message_within(silence_ms, now);
         Fleet {
             instances: 1 + self.by_name.values().filter(may_serve).count(),
             reachable: 1 + self.by_name.values().filter(heard).count(),
--- a/crates/edge/src/metrics/mod.rs
+++ b/crates/edge/src/metrics/mod.rs
@@ -56,7 +56,7 @@
 
 impl Metrics {
     /// Counts the end of a request by account, route and outcome.
-    pub fn ended(&self, account: &str, route: &str, outcome: &str) {
+    pub fn count_request(&self, account: &str, route: &str, outcome: &str) {
         let mut outcomes = self.outcomes.borrow_mut();
         let mut labels = (account.to_owned(), route.to_owned(), outcome.to_owned());
         if outcomes.len() >= MAX_LABELS && !outcomes.contains_key(&labels) {
@@ -66,7 +66,7 @@
     }
 
     /// Adds the time to the first byte of an answer, in milliseconds.
-    pub fn first_byte(&self, account: &str, route: &str, ms: u64) {
+    pub fn record_first_byte(&self, account: &str, route: &str, ms: u64) {
         let mut times = self.first_byte_ms.borrow_mut();
         let mut labels = (account.to_owned(), route.to_owned());
         if times.len() >= MAX_LABELS && !times.contains_key(&labels) {
--- a/crates/edge/src/node/gossip.rs
+++ b/crates/edge/src/node/gossip.rs
@@ -196,10 +196,10 @@
         for upstream in self.upstreams.by_id.values_mut() {
             match loads.get(&upstream.hash) {
                 Some(load) => {
-                    upstream.others.insert(Arc::clone(name), (*load, now));
+                    upstream.peer_loads.insert(Arc::clone(name), (*load, now));
                 }
                 None => {
-                    upstream.others.remove(name);
+                    upstream.peer_loads.remove(name);
                 }
             }
         }
--- a/crates/edge/src/node/state.rs
+++ b/crates/edge/src/node/state.rs
@@ -228,7 +228,7 @@
         let (bounds, now) = (self.retry_bounds(), self.now());
         let mut state = self.state.borrow_mut();
         let budget = state.budgets.entry(Arc::clone(service)).or_default();
-        budget.note_request(&bounds, now);
+        budget.record_request(&bounds, now);
         let engine = state.service(service).and_then(|service| service.engine);
         if let Some(engine) = engine {
             let mix = state.mixes.entry(Arc::clone(service)).or_default();
--- a/crates/edge/src/node/tick.rs
+++ b/crates/edge/src/node/tick.rs
@@ -57,7 +57,7 @@
                 .members
                 .by_name
                 .values()
-                .filter(|member| member.is_heard(BEHIND_MS, now));
+                .filter(|member| member.has_message_within(BEHIND_MS, now));
             let ahead = up.filter_map(|member| {
                 let revision = *member.revisions.get(prefix)?;
                 (revision > after).then(|| (revision, Arc::clone(&member.entry.name)))
--- a/crates/edge/src/pipeline/stream.rs
+++ b/crates/edge/src/pipeline/stream.rs
@@ -223,7 +223,7 @@
     );
     let first_byte_ms = node.now().since(ticket.started_at);
     node.metrics
-        .first_byte(&ticket.far.account, &ticket.far.route, first_byte_ms);
+        .record_first_byte(&ticket.far.account, &ticket.far.route, first_byte_ms);
     node.log.event(Event::Answered {
         request: sent.request,
         upstream: sent.upstream,
--- a/crates/edge/src/place/cache.rs
+++ b/crates/edge/src/place/cache.rs
@@ -36,7 +36,7 @@
     }
 
     /// Tokens of the leading parts that the engine probably holds.
-    pub fn held_prefix_tokens(&self, parts: &[PromptPart]) -> u32 {
+    pub fn cached_prefix_tokens(&self, parts: &[PromptPart]) -> u32 {
         let held = parts
             .iter()
             .take_while(|part| self.parts.contains_key(&part.id));
--- a/crates/edge/src/place/choose.rs
+++ b/crates/edge/src/place/choose.rs
@@ -189,7 +189,7 @@
         .filter(|up| &*up.entry.service == rules.service && &*up.region == rules.region)
         .filter(|up| !rules.tried.contains(&up.entry.id))
         .filter(|up| !rules.evacuated.contains(&up.entry.data_centre))
-        .filter(|up| up.is_taking(is_last_resort, now))
+        .filter(|up| up.accepts_requests(is_last_resort, now))
         .filter(|up| (rules.is_version_allowed)(&up.entry.version))
         .filter(|up| {
             !up.cold.is_cold(now) || (up.cold.is_open(now) && (rules.is_cold_user)(&up.entry.id))
@@ -309,7 +309,7 @@
 /// Prompt tokens that the upstream has to read if it holds at least `held_part` of what is shared.
 fn unread_tokens(up: &Upstream, job: &InferenceJob, held_part: f64) -> f64 {
     let prompt = f64::from(job.prompt_tokens);
-    let held = f64::from(up.cache.held_prefix_tokens(&job.parts));
+    let held = f64::from(up.cache.cached_prefix_tokens(&job.parts));
     let assumed = held_part * f64::from(job.shared_tokens());
     (prompt - held.max(assumed)).max(0.0)
 }
@@ -327,12 +327,13 @@
     let running = f64::from(load.requests);
     let errors_ms = ERROR_MS * up.health.error_share();
     if rules.kv_cache_tokens == 0 {
-        let answer_ms = up.health.time_ms().unwrap_or(START_ANSWER_MS);
+        let answer_ms = up.health.first_byte_ms().unwrap_or(START_ANSWER_MS);
         let turns = ((running + 1.0) / slots).max(0.2 + running / slots);
         return answer_ms * turns.max(1.0) + running + errors_ms;
     }
     let slowdown = 1.0 + BATCH_SLOWDOWN * running / slots;
-    let reading_ms = (f64::from(load.unread_tokens) + unread * REREAD_WEIGHT) / up.tokens_per_ms
+    let reading_ms = (f64::from(load.unread_tokens) + unread * REREAD_WEIGHT)
+        / up.prefill_tokens_per_ms
         * slowdown
         + FIRST_STEP_MS;
     let is_full = running >= slots;
--- a/crates/edge/src/retry/mod.rs
+++ b/crates/edge/src/retry/mod.rs
@@ -30,7 +30,7 @@
 
 impl RetryBudget {
     /// Takes note of a request's first send.
-    pub fn note_request(&mut self, bounds: &RetryBounds, now: Millis) {
+    pub fn record_request(&mut self, bounds: &RetryBounds, now: Millis) {
         self.requests.push_back(now);
         self.forget(bounds, now);
     }
--- a/crates/edge/src/store/follow.rs
+++ b/crates/edge/src/store/follow.rs
@@ -1,7 +1,7 @@
 //! Following all changes below a prefix.
 
 use super::{
-    backoff::Backoff, ops::Freshness, task::Context, FollowedPrefix, StoreError, StoreEvent,
+    backoff::Backoff, ops::Freshness, task::Context, StoreError, StoreEvent, WatchedPrefix,
 };
 use std::{sync::atomic::Ordering, time::Duration};
 use tokio::time::sleep;
@@ -19,13 +19,13 @@
 /// another instance watches for this one, nothing is asked.
 pub(super) async fn follow(
     context: Context,
-    followed: FollowedPrefix,
+    watched: WatchedPrefix,
     mut watching: tokio::sync::watch::Receiver<bool>,
 ) {
     let mut backoff = Backoff::default();
     let mut position = None;
     // What changed since an old listing comes with the first watch.
-    let mut freshness = if followed.is_urgent {
+    let mut freshness = if watched.is_urgent {
         Freshness::Latest
     } else {
         Freshness::Stale
@@ -39,8 +39,8 @@
             position = None;
         }
         let result = match position {
-            None => list(&context, &followed.prefix, freshness).await,
-            Some(revision) => watch(&context, &followed, revision).await,
+            None => list(&context, &watched.prefix, freshness).await,
+            Some(revision) => watch(&context, &watched, revision).await,
         };
         match result {
             Ok(revision) => {
@@ -68,12 +68,8 @@
     Ok(revision)
 }
 
-async fn watch(
-    context: &Context,
-    followed: &FollowedPrefix,
-    after: u64,
-) -> Result<u64, StoreError> {
-    let prefix = &followed.prefix;
+async fn watch(context: &Context, watched: &WatchedPrefix, after: u64) -> Result<u64, StoreError> {
+    let prefix = &watched.prefix;
     let news = (context.ops.watch)(prefix, after, WATCH_MS).await?;
     let revision = news.revision.max(after);
     let is_empty = news.changes.is_empty();
@@ -81,7 +77,7 @@
         .send(StoreEvent::Changed(prefix.clone(), news))
         .await;
     if !is_empty {
-        let gather_ms = if followed.is_urgent {
+        let gather_ms = if watched.is_urgent {
             GATHER_MS
         } else {
             GATHER_ENTRIES_MS
--- a/crates/edge/src/store/mod.rs
+++ b/crates/edge/src/store/mod.rs
@@ -17,6 +17,6 @@
     StoreCall, StoreError, StoreOps, StoreResult, Watch, Write,
 };
 pub use replica::{Fact, Facts, Replica};
-pub use task::{start, FollowedPrefix, StoreHandle, StoreKeys, StoreSettings};
+pub use task::{start, StoreHandle, StoreKeys, StoreSettings, WatchedPrefix};
 pub use update::{Decoder, MemberChange, StoreEvent, StoreUpdate};
 pub use verdict::VerdictRecord;
--- a/crates/edge/src/store/ops.rs
+++ b/crates/edge/src/store/ops.rs
@@ -147,7 +147,7 @@
     /// Renews a lease.
     pub renew: NumberCall<()>,
     /// Ends a lease.
-    pub end: NumberCall<()>,
+    pub revoke: NumberCall<()>,
 }
 
 impl fmt::Debug for StoreOps {
--- a/crates/edge/src/store/own_entry.rs
+++ b/crates/edge/src/store/own_entry.rs
@@ -24,7 +24,7 @@
         () = renew(&context, &key, &entry, &mut lease) => {}
     }
     if lease != 0 {
-        if let Err(err) = (context.ops.end)(lease).await {
+        if let Err(err) = (context.ops.revoke)(lease).await {
             context.send(StoreEvent::LeaseLost(err.to_string())).await;
         }
     }
--- a/crates/edge/src/store/task.rs
+++ b/crates/edge/src/store/task.rs
@@ -27,7 +27,7 @@
 
 /// A prefix of which all changes are followed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FollowedPrefix {
+pub struct WatchedPrefix {
     /// Prefix.
     pub prefix: String,
     /// Its changes bind from the moment at which the store has confirmed them.
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct StoreKeys {
     /// Prefixes to follow.
-    pub followed: Vec<FollowedPrefix>,
+    pub watched: Vec<WatchedPrefix>,
     /// Prefix of the members' entries; it is followed as well.
     pub members: String,
     /// Prefix of the states of moves.
@@ -47,13 +47,13 @@
 
 impl StoreKeys {
     /// All prefixes that are followed.
-    pub fn all_followed(&self) -> Vec<FollowedPrefix> {
-        let mut followed = self.followed.clone();
-        followed.push(FollowedPrefix {
+    pub fn all_watched(&self) -> Vec<WatchedPrefix> {
+        let mut watched = self.watched.clone();
+        watched.push(WatchedPrefix {
             prefix: self.members.clone(),
             is_urgent: false,
         });
-        followed
+        watched
     }
 }
 
@@ -130,9 +130,9 @@
         events,
         is_lost: Arc::new(AtomicBool::new(false)),
     };
-    let followed = settings.keys.all_followed().into_iter();
-    let mut followers: Vec<_> = followed
-        .map(|followed| tokio::spawn(follow::follow(context.clone(), followed, watching.clone())))
+    let watched = settings.keys.all_watched().into_iter();
+    let mut followers: Vec<_> = watched
+        .map(|watched| tokio::spawn(follow::follow(context.clone(), watched, watching.clone())))
         .collect();
     let recording = {
         let (context, prefix) = (context.clone(), settings.keys.verdicts.clone());
--- a/crates/edge/src/upstream/health.rs
+++ b/crates/edge/src/upstream/health.rs
@@ -82,20 +82,20 @@
     }
 
     /// Whether the next request is a probe after an ejection.
-    pub fn is_on_probe(&self) -> bool {
+    pub fn is_probing(&self) -> bool {
         self.ejected_until.is_some()
     }
 
     /// Takes note that a request is sent. `expected_ms` is the time after which a probe without an
     /// outcome no longer keeps others away.
     pub fn record_sent(&mut self, expected_ms: u64, now: Millis) {
-        if self.is_on_probe() {
+        if self.is_probing() {
             self.probing_until = Some(now.plus(expected_ms));
         }
     }
 
     /// Moving average of the time to the first byte, in milliseconds, if any is known.
-    pub fn time_ms(&self) -> Option<f64> {
+    pub fn first_byte_ms(&self) -> Option<f64> {
         self.time_ms
     }
 
--- a/crates/edge/src/upstream/state.rs
+++ b/crates/edge/src/upstream/state.rs
@@ -83,7 +83,7 @@
     /// Rate of prompt tokens that this instance sends.
     pub prefill_rate: MeanRate,
     /// Work of other instances, by their names, and when it was reported.
-    pub others: HashMap<Arc<str>, (Load, Millis)>,
+    pub peer_loads: HashMap<Arc<str>, (Load, Millis)>,
     /// Health as this instance has seen it.
     pub health: Health,
     /// Parts of prompts that it probably holds.
@@ -91,7 +91,7 @@
     /// Bound on requests while it is cold.
     pub cold: ColdGate,
     /// Prompt tokens that it reads in a millisecond.
-    pub tokens_per_ms: f64,
+    pub prefill_tokens_per_ms: f64,
 }
 
 impl Upstream {
@@ -107,13 +107,13 @@
 
     /// Part of the time that the upstream spends reading prompts.
     pub fn prefill_share(&self, now: Millis) -> f64 {
-        f64::from(self.load(now).prefill_tokens_per_s) / (self.tokens_per_ms * 1_000.0)
+        f64::from(self.load(now).prefill_tokens_per_s) / (self.prefill_tokens_per_ms * 1_000.0)
     }
 
     /// Work of all instances that is known at `now`.
     pub fn load(&self, now: Millis) -> Load {
         let mut load = self.own_load(now);
-        for (other, reported_at) in self.others.values() {
+        for (other, reported_at) in self.peer_loads.values() {
             if now.since(*reported_at) <= REPORT_AGE_MS {
                 load += *other;
             }
@@ -124,11 +124,11 @@
     /// Takes note that `tokens` were read within `ms` milliseconds.
     pub fn record_prefill_speed(&mut self, tokens: f64, ms: f64) {
         let sample = (tokens / ms.max(1.0)).clamp(5.0, 200.0);
-        self.tokens_per_ms += SPEED_WEIGHT * (sample - self.tokens_per_ms);
+        self.prefill_tokens_per_ms += SPEED_WEIGHT * (sample - self.prefill_tokens_per_ms);
     }
 
     /// Whether it takes new requests; a leaving one only for a short time and as the last resort.
-    pub fn is_taking(&self, is_last_resort: bool, now: Millis) -> bool {
+    pub fn accepts_requests(&self, is_last_resort: bool, now: Millis) -> bool {
         match self.leaving_at {
             None => true,
             Some(at) => is_last_resort && now.since(at) < LEAVING_USE_MS,
@@ -180,11 +180,11 @@
             gone_at: None,
             own: Load::default(),
             prefill_rate: MeanRate::default(),
-            others: HashMap::new(),
+            peer_loads: HashMap::new(),
             health: Health::default(),
             cache: PrefixCache::new(kv_cache_tokens),
             cold,
-            tokens_per_ms: START_TOKENS_PER_MS,
+            prefill_tokens_per_ms: START_TOKENS_PER_MS,
             entry,
         };
         self.by_id.insert(Arc::clone(&upstream.entry.id), upstream);
@@ -212,7 +212,7 @@
                 upstream.leaving_at.get_or_insert(now);
             }
             upstream
-                .others
+                .peer_loads
                 .retain(|_, (_, at)| now.since(*at) <= REPORT_AGE_MS);
         }
         let is_over = |upstream: &Upstream| {
--- a/crates/edge/tests/place_load.rs
+++ b/crates/edge/tests/place_load.rs
@@ -105,7 +105,7 @@
             continue;
         };
         let upstream = upstreams.by_id.get_mut(&placed.id).unwrap();
-        let held = upstream.cache.held_prefix_tokens(&job.parts);
+        let held = upstream.cache.cached_prefix_tokens(&job.parts);
         // The first reading of a part by any engine cannot be saved.
         let shared_parts = job.parts[..2].iter();
         let known: u32 = shared_parts
@@ -211,7 +211,7 @@
     let upstream = upstreams.by_id.get_mut("i-0").unwrap();
     upstream
         .prefill_rate
-        .add(upstream.tokens_per_ms * 1_000.0 * 0.7, Millis(0));
+        .add(upstream.prefill_tokens_per_ms * 1_000.0 * 0.7, Millis(0));
     let mut job = briefing(1, 1);
     assert_eq!(place(&upstreams, &job, Millis(0)), Choice::Saturated);
     job.is_yielding = false;
@@ -319,7 +319,7 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let mut upstreams = upstreams(ENGINES);
     for upstream in upstreams.by_id.values_mut() {
-        upstream.tokens_per_ms = 36.0;
+        upstream.prefill_tokens_per_ms = 36.0;
     }
     let mut batches: Vec<Batch> = (0..ENGINES).map(|_| Batch::default()).collect();
     let mut mix = JobMix::default();
@@ -393,7 +393,7 @@
                 continue;
             };
             let upstream = upstreams.by_id.get_mut(&placed.id).unwrap();
-            let held = upstream.cache.held_prefix_tokens(&job.parts);
+            let held = upstream.cache.cached_prefix_tokens(&job.parts);
             upstream.cache.insert(&job.parts);
             upstream.own += placed.load;
             upstream
--- a/crates/edge/tests/retry_budget.rs
+++ b/crates/edge/tests/retry_budget.rs
@@ -23,7 +23,7 @@
             let period_ms = 1_000_u64.checked_div(requests_per_s).unwrap_or(u64::MAX);
             // Requests stop half way, as when all callers leave one service.
             if now < 20_000 && (now + 20 * n as u64) % period_ms < 20 && requests_per_s > 0 {
-                budget.note_request(&BOUNDS, Millis(now));
+                budget.record_request(&BOUNDS, Millis(now));
                 requests.push(now);
             }
             // Each instance would always like to repeat.
@@ -61,6 +61,6 @@
 #[test]
 fn the_first_request_may_be_repeated() {
     let mut budget = RetryBudget::default();
-    budget.note_request(&BOUNDS, Millis(0));
+    budget.record_request(&BOUNDS, Millis(0));
     assert!(budget.try_take(&BOUNDS, 6, Millis(1)));
 }
