--- a/crates/edge/src/cold/mod.rs
+++ b/crates/edge/src/cold/mod.rs
@@ -1,22 +1,22 @@
-//! The bound on requests to an upstream that is cold.
+//! Rate limit on requests to a cold upstream, that is, one that is still warming up.
 //!
-//! A cold upstream fails when it gets requests faster than it bears. The bound counts requests of
-//! all instances, which cannot all hear each other, so only a few instances of the region use a
-//! cold upstream, each with a fixed share of the rate.
+//! A cold upstream fails if the rate of requests exceeds its limit. The limit applies to the
+//! requests of all instances, which may be unable to communicate. So only a few instances of the
+//! region use a cold upstream, each with a fixed share of the rate.
 
 use carobwheel_core::time::Millis;
 
-/// Most instances of a region that use one cold upstream.
+/// Maximum number of instances of a region that use one cold upstream.
 pub const MAX_COLD_USERS: usize = 2;
 
-/// How many requests one instance may send to a cold upstream.
+/// One instance's share of the request rate of a cold upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdRate {
-    /// Requests a second of this instance.
+    /// Requests a second.
     pub per_s: f64,
 }
 
-/// Bound on one instance's requests to one upstream.
+/// Limiter of one instance's requests to one upstream while that is cold.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ColdGate {
     cold_until: Option<Millis>,
@@ -24,14 +24,14 @@
 }
 
 impl ColdGate {
-    /// Takes note that the upstream stays cold for `left_ms` milliseconds more.
-    pub fn set_remaining(&mut self, left_ms: u64, now: Millis) {
-        self.cold_until = (left_ms > 0).then(|| now.plus(left_ms));
+    /// Sets the remaining time for which the upstream is cold, in milliseconds.
+    pub fn set_remaining(&mut self, remaining_ms: u64, now: Millis) {
+        self.cold_until = (remaining_ms > 0).then(|| now.plus(remaining_ms));
     }
 
-    /// Takes note that the upstream is cold for at least `left_ms` milliseconds more.
-    pub fn extend(&mut self, left_ms: u64, now: Millis) {
-        let until = now.plus(left_ms);
+    /// Ensures that the upstream counts as cold for at least `left_ms` more milliseconds.
+    pub fn extend(&mut self, remaining_ms: u64, now: Millis) {
+        let until = now.plus(remaining_ms);
         self.cold_until = Some(self.cold_until.map_or(until, |known| known.max(until)));
     }
 
@@ -45,12 +45,12 @@
         !self.is_cold(now) || self.next_at.is_none_or(|at| now >= at)
     }
 
-    /// Takes note that a request is sent at `now`.
+    /// Records that a request is sent at `now`.
     pub fn record_sent(&mut self, rate: ColdRate, now: Millis) {
         if self.is_cold(now) {
             #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-            let pause_ms = (1_000.0 / rate.per_s.max(0.1)).ceil() as u64;
-            self.next_at = Some(now.plus(pause_ms));
+            let interval_ms = (1_000.0 / rate.per_s.max(0.1)).ceil() as u64;
+            self.next_at = Some(now.plus(interval_ms));
         }
     }
 }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,9 +1,9 @@
-//! The request path of a deployment whose upstreams register by themselves.
+//! The request path of a deployment whose upstreams register themselves.
 //!
-//! Requests and answers pass byte for byte. Routes, services, accounts, upstreams and orders come
-//! from the deployment's store through an adapter, which also says how headers are named.
-//! Decisions (`place`, `limit`, `retry`, `cold`, `rollout`, `member`, `upstream`) know neither
-//! network nor clock.
+//! Requests and responses are proxied byte for byte. Routes, services, accounts, upstreams and
+//! rollout orders come from the deployment's store through an adapter, which also provides the
+//! header names. The modules that take decisions (`place`, `limit`, `retry`, `cold`, `rollout`,
+//! `member`, `upstream`) perform no network access and read no clock.
 
 pub mod cold;
 pub mod daemon;
--- a/crates/edge/src/limit/mod.rs
+++ b/crates/edge/src/limit/mod.rs
@@ -1,40 +1,40 @@
-//! Limits of client accounts over all instances.
+//! Distributed rate limits of client accounts.
 //!
-//! Each instance has a bucket for each account, which holds and is filled with a share of the
-//! account's burst and rate. The shares follow what callers ask of each instance, which the
-//! instances tell each other; what nobody asks for is shared out as well. Since an instance spends
-//! only its own share, lateness of what it hears, or a cut, changes little.
+//! Each instance has a token bucket for each account, whose burst and refill rate are a share of
+//! the account's. The shares follow the demand at each instance, which the instances exchange;
+//! unused capacity is distributed as well. Since an instance spends only its own share, delayed
+//! reports or a network partition have little effect on the total.
 
 use crate::rate::MeanRate;
 use carobwheel_core::time::Millis;
 use std::{collections::HashMap, sync::Arc};
 
-/// Sum of the shares that an account has while nobody asks for it: more than one, so that the first
-/// requests are not refused wherever they come.
+/// Sum over all instances of the shares of an idle account: more than one, so that the first
+/// requests are accepted at whichever instance they arrive.
 const IDLE_SHARES: f64 = 2.0;
-/// Silence after which an instance's demand is no longer known, in milliseconds.
-const SILENCE_MS: u64 = 1_300;
-/// Silence after which an instance no longer takes part, in milliseconds.
-const GONE_MS: u64 = 12_000;
+/// Time without a report after which an instance's demand counts as unknown, in milliseconds.
+const DEMAND_TIMEOUT_MS: u64 = 1_300;
+/// Time without a report after which an instance is ignored, in milliseconds.
+const PEER_TIMEOUT_MS: u64 = 12_000;
 
-/// Rate and burst of one account, in tokens.
+/// Rate and burst of one account, over all instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AccountLimit {
-    /// Tokens a second.
+    /// Refill rate, in tokens a second.
     pub tokens_per_s: f64,
-    /// Tokens at once.
+    /// Bucket size, in tokens.
     pub burst_tokens: f64,
-    /// Tokens that all instances together may use besides, so that no request within the limit is
-    /// refused for want of a share.
+    /// Tokens by which all instances together may exceed the limit, so that no request within the
+    /// limit is refused because its instance's share is too small.
     pub slack_tokens: f64,
 }
 
-/// How many instances there are, and how many of them are heard (this one included).
+/// Number of instances, and how many of them are reachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fleet {
-    /// Instances that may serve requests.
+    /// Instances that may serve requests, including this one.
     pub instances: usize,
-    /// Instances that are heard, this one included.
+    /// Instances with recent messages, including this one.
     pub reachable: usize,
 }
 
@@ -45,42 +45,42 @@
     }
 }
 
-/// What another instance has told of its demand.
+/// Demand reported by another instance.
 #[derive(Clone, Debug)]
-struct Report {
+struct PeerDemand {
     life: u64,
-    asked_tokens: u64,
+    requested_tokens: u64,
     demand: MeanRate,
-    heard_at: Millis,
+    received_at: Millis,
 }
 
-/// The tokens of one account as one instance counts them.
+/// One instance's token bucket for one account.
 #[derive(Clone, Debug)]
 pub struct Bucket {
     level_tokens: f64,
-    filled_at: Millis,
-    asked_tokens: u64,
+    refilled_at: Millis,
+    requested_tokens: u64,
     demand: MeanRate,
-    others: HashMap<Arc<str>, Report>,
+    peers: HashMap<Arc<str>, PeerDemand>,
 }
 
 impl Bucket {
-    /// A bucket that starts with an even share of the burst.
+    /// Creates a bucket that starts with an even share of the burst.
     pub fn new(limit: &AccountLimit, fleet: Fleet, now: Millis) -> Self {
         Self {
             level_tokens: limit.burst_tokens * (IDLE_SHARES / fleet.size()).min(1.0),
-            filled_at: now,
-            asked_tokens: 0,
+            refilled_at: now,
+            requested_tokens: 0,
             demand: MeanRate::default(),
-            others: HashMap::new(),
+            peers: HashMap::new(),
         }
     }
 
-    /// Takes `tokens`.
+    /// Charges `tokens` to the account.
     ///
     /// # Errors
     ///
-    /// Returns the milliseconds until they will be there.
+    /// Returns the time in milliseconds until enough tokens are available.
     pub fn take(
         &mut self,
         tokens: u64,
@@ -89,13 +89,13 @@
         now: Millis,
     ) -> Result<(), u64> {
         let wanted = to_f64(tokens);
-        self.asked_tokens += tokens;
+        self.requested_tokens += tokens;
         self.demand.add(wanted, now);
         let share = self.share(limit, fleet, now);
-        self.fill(limit, share, now);
-        // A request above the burst may run once the bucket is full.
-        let debt = limit.slack_tokens / fleet.size();
-        let needed = wanted.min(limit.burst_tokens * share) - debt;
+        self.refill(limit, share, now);
+        // A request larger than the burst may run once the bucket is full.
+        let slack = limit.slack_tokens / fleet.size();
+        let needed = wanted.min(limit.burst_tokens * share) - slack;
         if self.level_tokens < needed {
             let rate = (limit.tokens_per_s * share).max(1.0);
             #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
@@ -106,55 +106,56 @@
         Ok(())
     }
 
-    /// Gives back tokens of a request that did not run.
+    /// Refunds the tokens of a request that did not run.
     pub fn refund(&mut self, tokens: u64) {
         self.level_tokens += to_f64(tokens);
     }
 
-    /// Tokens that callers have asked of this instance in its lifetime.
+    /// Total tokens that callers requested from this instance since it started.
     pub fn requested_tokens(&self) -> u64 {
-        self.asked_tokens
+        self.requested_tokens
     }
 
-    /// Takes note of the tokens that callers have asked of another instance in its lifetime `life`.
+    /// Records the total tokens that callers requested from another instance in its lifetime
+    /// `life`.
     pub fn update_peer_demand(
         &mut self,
         instance: &Arc<str>,
         life: u64,
-        asked_tokens: u64,
+        requested_tokens: u64,
         now: Millis,
     ) {
         let report = self
-            .others
+            .peers
             .entry(Arc::clone(instance))
-            .or_insert_with(|| Report {
+            .or_insert_with(|| PeerDemand {
                 life,
-                asked_tokens,
+                requested_tokens,
                 demand: MeanRate::default(),
-                heard_at: now,
+                received_at: now,
             });
         let before = if report.life == life {
-            report.asked_tokens
+            report.requested_tokens
         } else {
             0
         };
-        let silent_ms = now.since(report.heard_at);
-        if silent_ms <= SILENCE_MS {
+        let age_ms = now.since(report.received_at);
+        if age_ms <= DEMAND_TIMEOUT_MS {
             report
                 .demand
-                .add(to_f64(asked_tokens.saturating_sub(before)), now);
+                .add(to_f64(requested_tokens.saturating_sub(before)), now);
         }
         report.life = life;
-        report.asked_tokens = asked_tokens;
-        report.heard_at = now;
+        report.requested_tokens = requested_tokens;
+        report.received_at = now;
     }
 
-    /// Part of the account's rate and burst that this instance may use.
+    /// Share of the account's rate and burst that this instance may use.
     fn share(&self, limit: &AccountLimit, fleet: Fleet, now: Millis) -> f64 {
         let rate = limit.tokens_per_s.max(1.0);
         let own = self.demand.per_s(now) / rate;
-        let others = self.others_demand(limit, fleet, now) / rate;
-        let all = own + others;
+        let peers = self.peer_demand(limit, fleet, now) / rate;
+        let all = own + peers;
         if all >= 1.0 {
             return own / all;
         }
@@ -162,32 +163,32 @@
         own + spare * (IDLE_SHARES / fleet.size()).min(1.0)
     }
 
-    /// Demand at the other instances, in tokens a second. One that has fallen silent keeps what it
-    /// had, but at least an even part of the rate.
-    fn others_demand(&self, limit: &AccountLimit, fleet: Fleet, now: Millis) -> f64 {
+    /// Demand at the other instances, in tokens a second. An instance without recent reports counts
+    /// with its last known demand, but at least with an even share of the rate.
+    fn peer_demand(&self, limit: &AccountLimit, fleet: Fleet, now: Millis) -> f64 {
         let even = limit.tokens_per_s / fleet.size();
         let mut demand = 0.0;
-        let mut heard = 1;
-        for report in self.others.values() {
-            let silent_ms = now.since(report.heard_at);
-            if silent_ms > GONE_MS {
+        let mut reporting = 1;
+        for report in self.peers.values() {
+            let age_ms = now.since(report.received_at);
+            if age_ms > PEER_TIMEOUT_MS {
                 continue;
             }
-            heard += 1;
-            let known = report.demand.per_s(report.heard_at);
-            let is_silent = silent_ms > SILENCE_MS;
-            demand += if is_silent { known.max(even) } else { known };
+            reporting += 1;
+            let known = report.demand.per_s(report.received_at);
+            let is_stale = age_ms > DEMAND_TIMEOUT_MS;
+            demand += if is_stale { known.max(even) } else { known };
         }
         #[allow(clippy::cast_precision_loss)]
-        let unheard = fleet.instances.saturating_sub(heard) as f64;
-        demand + unheard * even
+        let unreported = fleet.instances.saturating_sub(reporting) as f64;
+        demand + unreported * even
     }
 
-    fn fill(&mut self, limit: &AccountLimit, share: f64, now: Millis) {
-        let passed_s = to_f64(now.since(self.filled_at)) / 1_000.0;
-        self.filled_at = now;
-        let filled = self.level_tokens + passed_s * limit.tokens_per_s * share;
-        self.level_tokens = filled.min(limit.burst_tokens * share);
+    fn refill(&mut self, limit: &AccountLimit, share: f64, now: Millis) {
+        let elapsed_s = to_f64(now.since(self.refilled_at)) / 1_000.0;
+        self.refilled_at = now;
+        let refilled = self.level_tokens + elapsed_s * limit.tokens_per_s * share;
+        self.level_tokens = refilled.min(limit.burst_tokens * share);
     }
 }
 
--- a/crates/edge/src/log/event.rs
+++ b/crates/edge/src/log/event.rs
@@ -1,11 +1,11 @@
-//! What is logged.
+//! Events of the structured log.
 
 use serde::Serialize;
 
-/// One decision on a request, or one change of what the instance believes.
+/// A decision on a request, or a change of the instance's state.
 ///
-/// Times and ages are in milliseconds. `request` is the caller's identifier of its attempt, the
-/// same on every instance that handles it.
+/// Times and ages are in milliseconds. `request` is the caller's identifier of its attempt, which
+/// is the same on all instances that handle it.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -193,8 +193,8 @@
 }
 
 impl Event<'_> {
-    /// Whether the event tells of ordinary work, of which lines may be left out first.
-    pub(super) fn is_ordinary(&self) -> bool {
+    /// Whether the event is part of normal request processing; such lines are dropped first.
+    pub(super) fn is_routine(&self) -> bool {
         matches!(
             self,
             Self::Admitted { .. }
--- a/crates/edge/src/log/mod.rs
+++ b/crates/edge/src/log/mod.rs
@@ -1,7 +1,8 @@
-//! Structured logs: one JSON line for each decision, on standard output.
+//! Structured log: one JSON line for each event, on standard output.
 //!
-//! Lines pass through a bounded ring to a thread of their own, so a reader that stops never stops
-//! the instance. Each kind of line has a rate; what is left out is counted and told.
+//! Lines pass through a bounded channel to a separate thread, so that a stalled reader of standard
+//! output does not block the instance. Lines are rate-limited, with a lower limit for those of
+//! normal request processing; dropped lines are counted and the count is logged.
 
 mod event;
 mod writer;
--- a/crates/edge/src/log/writer.rs
+++ b/crates/edge/src/log/writer.rs
@@ -1,4 +1,4 @@
-//! The ring and the thread that writes lines.
+//! Log channel and the thread that writes its lines to standard output.
 
 use super::Event;
 use carobwheel_core::time::{Clock, Millis};
@@ -11,15 +11,15 @@
     time::Duration,
 };
 
-/// Lines that may wait for the writer.
-const RING_LINES: usize = 2_048;
-/// Looks at the writer at the end, and the pause between two of them.
-const END_LOOKS: u32 = 20;
-const END_PAUSE: Duration = Duration::from_millis(10);
-/// Lines of ordinary work that are written in a second at most.
-const ORDINARY_PER_S: u32 = 300;
-/// Lines of all kinds that are written in a second at most.
-const ALL_PER_S: u32 = 900;
+/// Capacity of the channel, in lines.
+const CHANNEL_LINES: usize = 2_048;
+/// Number of polls for the end of the writer thread at shutdown, and the pause between them.
+const JOIN_POLLS: u32 = 20;
+const JOIN_POLL_PAUSE: Duration = Duration::from_millis(10);
+/// Number of lines written in a second above which those of normal request processing are dropped.
+const MAX_ROUTINE_LINES_PER_S: u32 = 300;
+/// Number of lines written in a second above which all lines are dropped.
+const MAX_LINES_PER_S: u32 = 900;
 
 #[derive(Serialize)]
 struct Line<'a> {
@@ -30,7 +30,7 @@
     event: Event<'a>,
 }
 
-/// Where events are logged.
+/// Structured log of one instance.
 #[derive(Debug)]
 pub struct Log {
     instance: String,
@@ -38,74 +38,74 @@
     lines: RefCell<Option<SyncSender<Vec<u8>>>>,
     second: Cell<u64>,
     written: Cell<u32>,
-    left_out: Cell<u64>,
-    left_out_in_all: Cell<u64>,
+    dropped: Cell<u64>,
+    dropped_in_total: Cell<u64>,
 }
 
-/// The thread that writes lines; it ends once the [`Log`] is closed.
+/// Handle of the writer thread, which ends once the [`Log`] is closed.
 #[derive(Debug)]
 pub struct LogThread(thread::JoinHandle<()>);
 
 impl LogThread {
-    /// Waits until the last line is written, but not for a reader that has stopped.
+    /// Waits until the last line is written, but only a limited time for a stalled reader.
     pub fn join(self) {
-        for _ in 0..END_LOOKS {
+        for _ in 0..JOIN_POLLS {
             if self.0.is_finished() {
                 return;
             }
-            thread::sleep(END_PAUSE);
+            thread::sleep(JOIN_POLL_PAUSE);
         }
     }
 }
 
 impl Log {
-    /// Starts the writer.
+    /// Starts the writer thread.
     ///
     /// # Errors
     ///
     /// Fails if no thread can be started.
     pub fn start(instance: &str, clock: Clock) -> io::Result<(Self, LogThread)> {
-        let (lines, waiting) = mpsc::sync_channel(RING_LINES);
+        let (lines, queued) = mpsc::sync_channel(CHANNEL_LINES);
         let writer = thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_all(&waiting))?;
+            .spawn(move || write_all(&queued))?;
         let log = Self {
             instance: instance.to_owned(),
             clock,
             lines: RefCell::new(Some(lines)),
             second: Cell::new(0),
             written: Cell::new(0),
-            left_out: Cell::new(0),
-            left_out_in_all: Cell::new(0),
+            dropped: Cell::new(0),
+            dropped_in_total: Cell::new(0),
         };
         Ok((log, LogThread(writer)))
     }
 
-    /// Logs an event, unless too many were logged within this second.
+    /// Logs an event, unless the limit of this second is reached.
     pub fn event(&self, event: Event<'_>) {
         let now = self.clock.now();
         self.start_second(now);
-        let most = if event.is_ordinary() {
-            ORDINARY_PER_S
+        let max_lines = if event.is_routine() {
+            MAX_ROUTINE_LINES_PER_S
         } else {
-            ALL_PER_S
+            MAX_LINES_PER_S
         };
-        if self.written.get() >= most {
-            self.leave_out();
+        if self.written.get() >= max_lines {
+            self.count_dropped();
             return;
         }
         self.written.set(self.written.get() + 1);
         self.write(event, now);
     }
 
-    /// Takes no more events, so that the writer ends after the last one.
+    /// Closes the channel, so that the writer thread ends after the last line.
     pub fn close(&self) {
         self.lines.borrow_mut().take();
     }
 
-    /// Lines that were left out since the start.
+    /// Number of lines dropped since the start.
     pub fn dropped_lines(&self) -> u64 {
-        self.left_out_in_all.get()
+        self.dropped_in_total.get()
     }
 
     fn start_second(&self, now: Millis) {
@@ -115,7 +115,7 @@
         }
         self.second.set(second);
         self.written.set(0);
-        let lines = self.left_out.replace(0);
+        let lines = self.dropped.replace(0);
         if lines > 0 {
             self.write(Event::LinesLeftOut { lines }, now);
         }
@@ -129,7 +129,7 @@
             event,
         };
         let Ok(mut text) = serde_json::to_vec(&line) else {
-            self.leave_out();
+            self.count_dropped();
             return;
         };
         text.push(b'\n');
@@ -139,23 +139,23 @@
             .as_ref()
             .map(|lines| lines.try_send(text));
         if !matches!(sent, Some(Ok(()))) {
-            self.leave_out();
+            self.count_dropped();
         }
     }
 
-    fn leave_out(&self) {
-        self.left_out.set(self.left_out.get() + 1);
-        self.left_out_in_all.set(self.left_out_in_all.get() + 1);
+    fn count_dropped(&self) {
+        self.dropped.set(self.dropped.get() + 1);
+        self.dropped_in_total.set(self.dropped_in_total.get() + 1);
     }
 }
 
-fn write_all(waiting: &Receiver<Vec<u8>>) {
+fn write_all(queued: &Receiver<Vec<u8>>) {
     let mut out = io::stdout();
-    while let Ok(mut batch) = waiting.recv() {
-        for line in waiting.try_iter().take(64) {
+    while let Ok(mut batch) = queued.recv() {
+        for line in queued.try_iter().take(64) {
             batch.extend_from_slice(&line);
         }
-        // A reader that has left must not end the instance.
+        // Write errors are ignored: the instance keeps running if standard output was closed.
         drop(out.write_all(&batch).and_then(|()| out.flush()));
     }
 }
--- a/crates/edge/src/member/mod.rs
+++ b/crates/edge/src/member/mod.rs
@@ -1,7 +1,7 @@
-//! The instances of the fleet as one of them sees them.
+//! An instance's view of the other instances of the fleet.
 //!
-//! An entry in the store, kept under a lease, says where an instance is and which certificate it
-//! shows. Whether it is alive and ready is heard from the instance itself.
+//! An entry in the store, under a lease, holds the addresses of an instance and the digest of its
+//! certificate. Whether it is alive and ready is known from its own messages.
 
 use crate::{
     limit::Fleet,
@@ -12,81 +12,81 @@
 use serde_with::{hex::Hex, serde_as};
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
-/// Time between two messages to an instance of the same region in a small fleet, in milliseconds.
-const NEAR_PERIOD_MS: u64 = 100;
-/// Time between two messages to an instance of another region in a small fleet, in milliseconds.
-const FAR_PERIOD_MS: u64 = 250;
-/// Other instances up to which a fleet is small; in a larger one the periods grow, so that the
-/// messages of one instance stay as many.
-const SMALL_FLEET: u64 = 10;
-/// Instances of each region that watch the store; the others hear from them.
-const WATCHERS: usize = 2;
-/// Longest time between two messages, in milliseconds.
-const LONGEST_PERIOD_MS: u64 = 1_000;
-/// Silence after which an instance is no longer named to callers, in milliseconds.
-const NAMED_SILENCE_MS: u64 = 2_200;
-/// Silence besides one period after which an instance's use of accounts counts as unknown, in
-/// milliseconds.
-const USE_SILENCE_MS: u64 = 450;
-/// Silence after which an instance without an entry is forgotten, in milliseconds.
-const FORGET_MS: u64 = 10_000;
+/// Interval of messages to an instance of the same region in a small fleet, in milliseconds.
+const SAME_REGION_PERIOD_MS: u64 = 100;
+/// Interval of messages to an instance of another region in a small fleet, in milliseconds.
+const OTHER_REGION_PERIOD_MS: u64 = 250;
+/// Number of other instances up to which the intervals are constant; in a larger fleet they grow,
+/// so that an instance's message rate stays the same.
+const SMALL_FLEET_PEERS: u64 = 10;
+/// Instances of each region that watch the store; the others receive changes from them.
+const WATCHERS_PER_REGION: usize = 2;
+/// Upper bound on the interval of messages, in milliseconds.
+const MAX_PERIOD_MS: u64 = 1_000;
+/// Time without a message after which an instance is no longer listed for callers, in milliseconds.
+const LISTED_TIMEOUT_MS: u64 = 2_200;
+/// Time without a message, in addition to one interval, after which an instance's use of accounts
+/// counts as unknown, in milliseconds.
+const REACHABLE_TIMEOUT_MS: u64 = 450;
+/// Time without a message after which an instance without an entry is removed, in milliseconds.
+const REMOVE_TIMEOUT_MS: u64 = 10_000;
 
-/// What an instance says of itself in the store.
+/// Registration entry of an instance in the store.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberEntry {
     /// Name of the instance.
     pub name: Arc<str>,
-    /// Start of the process in civil time, in milliseconds; tells its lifetimes apart.
+    /// Start of the process as Unix time in milliseconds, which identifies its lifetime.
     pub life: u64,
-    /// Region.
+    /// Region of the instance.
     pub region: Arc<str>,
-    /// Data centre.
+    /// Data centre of the instance.
     pub data_centre: Arc<str>,
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where links of other instances connect.
+    /// Address for links from other instances.
     pub peers: SocketAddr,
-    /// SHA-256 of the certificate that it shows.
+    /// SHA-256 digest of its certificate.
     #[serde_as(as = "Hex")]
     pub certificate_digest: [u8; 32],
 }
 
-/// One other instance.
+/// State of one other instance.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// What it says of itself.
+    /// Registration entry.
     pub entry: MemberEntry,
-    /// Its entry stands in the store.
+    /// Whether its entry exists in the store.
     pub has_entry: bool,
-    /// It takes requests.
+    /// Whether it accepts requests.
     pub is_ready: bool,
-    /// The store answers it.
+    /// Whether it can reach the store.
     pub has_store: bool,
-    /// When it was heard last.
+    /// Time of its last message.
     pub last_message_at: Option<Millis>,
-    /// When its entry was seen last.
+    /// Time of the last update of its entry.
     pub entry_at: Millis,
-    /// Revisions up to which it knows the followed parts of the store.
+    /// Revisions up to which it knows the watched prefixes of the store.
     pub revisions: Vec<u64>,
-    /// What jobs have to expect in its region, by a hash of the service's name and their kind.
+    /// Latency forecasts for its region, by a hash of the service's name and the kind of job.
     pub forecasts: HashMap<(u32, JobKind), LatencyForecast>,
 }
 
 impl Member {
-    /// Whether it was heard within `silence_ms` milliseconds.
-    pub fn has_message_within(&self, silence_ms: u64, now: Millis) -> bool {
+    /// Whether a message from it arrived within the last `silence_ms` milliseconds.
+    pub fn has_message_within(&self, max_age_ms: u64, now: Millis) -> bool {
         self.last_message_at
-            .is_some_and(|at| now.since(at) <= silence_ms)
+            .is_some_and(|at| now.since(at) <= max_age_ms)
     }
 
-    /// Whether requests may be sent to it.
+    /// Whether it is ready and its last message is recent enough for requests to be sent to it.
     pub fn is_up(&self, now: Millis) -> bool {
-        self.is_ready && self.has_message_within(NAMED_SILENCE_MS, now)
+        self.is_ready && self.has_message_within(LISTED_TIMEOUT_MS, now)
     }
 }
 
-/// All other instances.
+/// Table of the other instances.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     /// Other instances by name.
@@ -94,7 +94,7 @@
 }
 
 impl Members {
-    /// Takes note of an entry. Returns true if it is a new instance or a new lifetime of one.
+    /// Adds or updates an entry. Returns true for a new instance or a new lifetime of a known one.
     pub fn update_entry(&mut self, entry: MemberEntry, now: Millis) -> bool {
         if let Some(known) = self.by_name.get_mut(&entry.name) {
             known.has_entry = true;
@@ -117,14 +117,14 @@
         true
     }
 
-    /// Takes note that the entry of `name` is gone.
+    /// Records that the entry of `name` was removed.
     pub fn entry_removed(&mut self, name: &str) {
         if let Some(member) = self.by_name.get_mut(name) {
             member.has_entry = false;
         }
     }
 
-    /// Takes note that `name` was heard. Returns false if it is not known in this lifetime.
+    /// Records a message from `name`. Returns false if it is not known in this lifetime.
     pub fn record_message(&mut self, name: &str, life: u64, is_ready: bool, now: Millis) -> bool {
         let known = self
             .by_name
@@ -138,66 +138,72 @@
         true
     }
 
-    /// Forgets instances that have neither an entry nor a voice. Returns their names.
+    /// Removes instances without an entry and without recent messages. Returns their names.
     pub fn sweep(&mut self, now: Millis) -> Vec<Arc<str>> {
-        let is_over = |member: &Member| {
+        let is_removable = |member: &Member| {
             let last_at = member
                 .last_message_at
                 .map_or(member.entry_at, |at| at.max(member.entry_at));
-            !member.has_entry && now.since(last_at) > FORGET_MS
+            !member.has_entry && now.since(last_at) > REMOVE_TIMEOUT_MS
         };
-        let over: Vec<_> = self
+        let removed: Vec<_> = self
             .by_name
             .iter()
-            .filter(|(_, member)| is_over(member))
+            .filter(|(_, member)| is_removable(member))
             .map(|(name, _)| Arc::clone(name))
             .collect();
-        for name in &over {
+        for name in &removed {
             self.by_name.remove(name);
         }
-        over
+        removed
     }
 
-    /// How many instances there are and how many are heard, this one included.
+    /// Number of instances, and how many of them are reachable, including this one.
     pub fn fleet(&self, region: &str, now: Millis) -> Fleet {
-        let silence_ms = USE_SILENCE_MS + self.period_ms(region, false);
-        let may_serve =
-            |member: &&Member| member.has_entry || member.has_message_within(FORGET_MS, now);
-        let heard = |member: &&Member| member.has_message_within(silence_ms, now);
+        let max_age_ms = REACHABLE_TIMEOUT_MS + self.period_ms(region, false);
+        let may_serve = |member: &&Member| {
+            member.has_entry || member.has_message_within(REMOVE_TIMEOUT_MS, now)
+        };
+        let is_reachable = |member: &&Member| member.has_message_within(max_age_ms, now);
         Fleet {
             instances: 1 + self.by_name.values().filter(may_serve).count(),
-            reachable: 1 + self.by_name.values().filter(heard).count(),
+            reachable: 1 + self.by_name.values().filter(is_reachable).count(),
         }
     }
 
-    /// Time between two messages to an instance of the own region or of another one, in
-    /// milliseconds. It grows with the fleet, so that an instance's messages stay about as many.
-    pub fn period_ms(&self, region: &str, is_near: bool) -> u64 {
-        let near = self
+    /// Interval of messages to an instance of the own region or of another one, in milliseconds. It
+    /// grows with the fleet, so that an instance's message rate stays about the same.
+    pub fn period_ms(&self, region: &str, is_same_region: bool) -> u64 {
+        let same_region = self
             .by_name
             .values()
             .filter(|member| &*member.entry.region == region);
-        let near = near.count() as u64;
-        let (small_ms, others) = if is_near {
-            (NEAR_PERIOD_MS, near)
+        let same_region = same_region.count() as u64;
+        let (small_ms, others) = if is_same_region {
+            (SAME_REGION_PERIOD_MS, same_region)
         } else {
-            (FAR_PERIOD_MS, self.by_name.len() as u64 - near)
+            (
+                OTHER_REGION_PERIOD_MS,
+                self.by_name.len() as u64 - same_region,
+            )
         };
-        let period_ms = small_ms * others.max(SMALL_FLEET) / SMALL_FLEET;
-        period_ms.min(LONGEST_PERIOD_MS)
+        let period_ms = small_ms * others.max(SMALL_FLEET_PEERS) / SMALL_FLEET_PEERS;
+        period_ms.min(MAX_PERIOD_MS)
     }
 
-    /// Whether `own` is one of the instances of its region that watch the store for the others.
+    /// Whether the instance `own` is one of those of its region that watch the store for the
+    /// others.
     pub fn is_watcher(&self, own: &str, region: &str, now: Millis) -> bool {
-        let ahead = self
+        let preferred = self
             .up_in(region, now)
             .filter(|member| member.has_store && &*member.entry.name < own);
-        ahead.count() < WATCHERS
+        preferred.count() < WATCHERS_PER_REGION
     }
 
-    /// Instances of `region` that take requests.
+    /// Instances of `region` to which requests may be sent.
     pub fn up_in<'a>(&'a self, region: &'a str, now: Millis) -> impl Iterator<Item = &'a Member> {
-        let is_there = move |member: &&Member| &*member.entry.region == region && member.is_up(now);
-        self.by_name.values().filter(is_there)
+        let is_available =
+            move |member: &&Member| &*member.entry.region == region && member.is_up(now);
+        self.by_name.values().filter(is_available)
     }
 }
--- a/crates/edge/src/metrics/mod.rs
+++ b/crates/edge/src/metrics/mod.rs
@@ -6,33 +6,33 @@
     fmt::Write as _,
 };
 
-/// A number that only rises, or that is set.
+/// Value of a counter or gauge.
 #[derive(Debug, Default)]
 pub struct MetricValue(Cell<u64>);
 
 impl MetricValue {
-    /// Adds `n`.
+    /// Adds `n` to the value.
     pub fn add(&self, n: u64) {
         self.0.set(self.0.get() + n);
     }
 
-    /// Sets the number.
+    /// Sets the value to `n`.
     pub fn set(&self, n: u64) {
         self.0.set(n);
     }
 
-    /// The number.
+    /// Current value.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// Upper bounds of the histograms' buckets, in milliseconds.
+/// Upper bounds of the histogram buckets, in milliseconds.
 const BOUNDS_MS: [u64; 12] = [
     5, 10, 25, 50, 100, 200, 400, 800, 1_600, 3_200, 6_400, 12_800,
 ];
-/// Combinations of labels that are kept apart; the rest counts as `other`.
-const MAX_LABELS: usize = 512;
+/// Maximum number of label combinations of a metric; further ones are counted as `other`.
+const MAX_LABEL_SETS: usize = 512;
 
 #[derive(Clone, Debug, Default)]
 struct Histogram {
@@ -59,17 +59,17 @@
     pub fn count_request(&self, account: &str, route: &str, outcome: &str) {
         let mut outcomes = self.outcomes.borrow_mut();
         let mut labels = (account.to_owned(), route.to_owned(), outcome.to_owned());
-        if outcomes.len() >= MAX_LABELS && !outcomes.contains_key(&labels) {
+        if outcomes.len() >= MAX_LABEL_SETS && !outcomes.contains_key(&labels) {
             labels = ("other".to_owned(), "other".to_owned(), outcome.to_owned());
         }
         *outcomes.entry(labels).or_default() += 1;
     }
 
-    /// Adds the time to the first byte of an answer, in milliseconds.
+    /// Records the time to the first byte of a response, in milliseconds.
     pub fn record_first_byte(&self, account: &str, route: &str, ms: u64) {
         let mut times = self.first_byte_ms.borrow_mut();
         let mut labels = (account.to_owned(), route.to_owned());
-        if times.len() >= MAX_LABELS && !times.contains_key(&labels) {
+        if times.len() >= MAX_LABEL_SETS && !times.contains_key(&labels) {
             labels = ("other".to_owned(), "other".to_owned());
         }
         let histogram = times.entry(labels).or_default();
@@ -80,7 +80,7 @@
         histogram.sum_ms += ms;
     }
 
-    /// All metrics as text. `gauges` are added by their names.
+    /// Formats all metrics as text, together with `gauges` by name.
     pub fn text(&self, gauges: &[(&str, u64)]) -> String {
         let mut text = String::new();
         let numbers = [
--- a/crates/edge/src/model/lookup.rs
+++ b/crates/edge/src/model/lookup.rs
@@ -1,16 +1,16 @@
-//! Which route and which service a request belongs to.
+//! Lookup of the route, account and service of a request.
 
 use super::{Account, Config, Route};
 use std::{rc::Rc, sync::Arc};
 
-/// What a request is by its host, path and key.
+/// Result of the lookup by host, path and API key.
 #[derive(Clone, Debug)]
 pub enum RouteMatch {
-    /// A route, and the account of the key where the route needs one.
+    /// A route, and the account of the key if the route requires one.
     Found(Rc<Route>, Option<Rc<Account>>),
-    /// No route has this host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The route needs a key that some account holds.
+    /// The route requires a key, and no account has the given one.
     NoAccount,
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl Config {
-    /// How many routes of the host `region` may serve.
+    /// Number of the host's routes that `region` may serve.
     pub fn routes_at_home(&self, region: &str, host: &str) -> usize {
         let routes = self.routes.get(&host.to_ascii_lowercase());
         let is_home = |route: &&Rc<Route>| {
@@ -51,7 +51,7 @@
     }
 }
 
-/// The service that takes a request of `route`, by `draw` from 0 up to 1.
+/// Selects a service of `route` by weight; `draw` is a random number from 0 up to 1.
 pub fn split_service(route: &Route, draw: f64) -> Option<Arc<str>> {
     let total: u32 = route.shares.iter().map(|share| share.weight).sum();
     let mut rest = draw * f64::from(total);
@@ -64,7 +64,7 @@
     route.shares.last().map(|share| Arc::clone(&share.service))
 }
 
-/// Regions of `all` that may serve a request; both lists bind where both are given.
+/// Regions of `all` that may serve a request, by the home regions of both route and account.
 pub fn allowed_regions<'a>(
     all: impl Iterator<Item = &'a str>,
     route: &Route,
--- a/crates/edge/src/model/mod.rs
+++ b/crates/edge/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, services, accounts and limits on callers.
+//! Configuration in force: routes, services, accounts and limits on callers.
 
 mod lookup;
 
@@ -6,123 +6,123 @@
 
 use std::{collections::HashMap, rc::Rc, sync::Arc};
 
-/// What may be repeated on a route.
+/// Kind of a route, by whether its requests may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum RouteKind {
     /// Requests may run more than once.
     Idempotent,
     /// Requests run at most once.
     NonIdempotent,
-    /// Answers are event streams; they may be continued only where the route allows it.
+    /// Responses are event streams.
     Stream {
-        /// A stream may be continued on another upstream.
+        /// Whether a broken stream may be continued on another upstream.
         is_resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a request that may have run can be sent again.
+    /// Whether a request that may have run can be retried.
     pub const fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { is_resumable: true })
     }
 
-    /// Whether answers are event streams.
+    /// Whether responses are event streams.
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// One service of a route that is split, and its weight.
+/// One service of a weighted traffic split.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceShare {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Weight relative to the other shares.
+    /// Weight relative to the other services of the route.
     pub weight: u32,
 }
 
-/// One route.
+/// Route by host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Name, unique in the configuration.
     pub name: Arc<str>,
     /// Host that the route belongs to, in lower case.
     pub host: String,
-    /// Beginning of the paths; begins and ends with a slash.
+    /// Prefix of the paths; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Kind of the route.
     pub kind: RouteKind,
-    /// Longest time that a request may take, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time to the first byte that is aimed at, in milliseconds.
+    /// Target for the time to the first byte, in milliseconds.
     pub aim_ms: u64,
-    /// Longest pause between events that is aimed at, in milliseconds; 0 where none is set.
+    /// Target for the longest pause between events, in milliseconds; 0 if not set.
     pub pause_aim_ms: u64,
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub rank: u8,
-    /// Services that serve the route.
+    /// Services that serve the route, with their weights.
     pub shares: Vec<ServiceShare>,
-    /// Most upstreams that one request may be sent to.
+    /// Maximum number of upstreams to which one request may be sent.
     pub max_attempts: u32,
-    /// Requests need no key.
+    /// Whether requests need no API key.
     pub is_open: bool,
-    /// Regions that may serve the route; empty: any.
+    /// Regions that may serve the route; any region if empty.
     pub home_regions: Vec<String>,
 }
 
-/// Sizes of a service's model engines.
+/// Capacity of each of a service's model engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineCapacity {
-    /// Requests in one batch.
+    /// Maximum number of requests in a batch.
     pub slots: u32,
-    /// Tokens that an engine's memory holds.
+    /// Capacity of the KV cache, in tokens.
     pub kv_cache_tokens: u64,
 }
 
-/// One service.
+/// Service with its capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Name, unique in the configuration.
     pub name: Arc<str>,
-    /// Connections that one upstream takes from all callers.
+    /// Maximum number of connections that one upstream accepts in total.
     pub max_connections: u32,
-    /// Time for which an upstream stays cold after its start, in milliseconds.
+    /// Time for which an upstream is cold after its start, in milliseconds.
     pub cold_ms: u64,
-    /// Requests a second that a cold upstream bears.
+    /// Maximum rate of requests to a cold upstream, per second.
     pub cold_per_s: f64,
-    /// Present where the upstreams are model engines.
+    /// Capacity of the engines, if the upstreams are model engines.
     pub engine: Option<EngineCapacity>,
 }
 
-/// One client account.
+/// Client account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
     /// Name, unique in the configuration.
     pub name: Arc<str>,
-    /// Keys of its callers.
+    /// API keys of its callers.
     pub keys: Vec<String>,
-    /// Rank that goes before the route's, if any.
+    /// Priority that overrides the route's, if any.
     pub rank: Option<u8>,
-    /// Tokens counted for a request that does not state any.
+    /// Tokens charged for a request that does not state its use.
     pub plain_tokens: u64,
-    /// Tokens a second that the account may use; 0: no limit.
+    /// Rate limit, in tokens a second; 0 for no limit.
     pub tokens_per_s: f64,
-    /// Tokens that the account may use at once.
+    /// Burst of the rate limit, in tokens.
     pub burst_tokens: f64,
-    /// Regions that may serve the account; empty: any.
+    /// Regions that may serve the account; any region if empty.
     pub home_regions: Vec<String>,
 }
 
-/// Limits on what callers send.
+/// Limits on callers' connections and requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Longest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a head, in milliseconds.
+    /// Timeout for receiving a request head, in milliseconds.
     pub head_timeout_ms: u64,
-    /// Longest time that a connection may stay idle, in milliseconds.
+    /// Timeout of an idle connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -140,7 +140,7 @@
 /// One version of the configuration, indexed for requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Config {
-    /// Rises with each version.
+    /// Version number, which rises with each change.
     pub version: u64,
     /// Routes by host, the longest prefix first.
     pub routes: HashMap<String, Vec<Rc<Route>>>,
@@ -150,16 +150,16 @@
     pub accounts: HashMap<Arc<str>, Rc<Account>>,
     /// Accounts by key.
     pub keys: HashMap<String, Rc<Account>>,
-    /// Highest rank among the routes of each service.
+    /// Highest priority (lowest number) among the routes of each service.
     pub first_ranks: HashMap<Arc<str>, u8>,
     /// Limits on callers.
     pub limits: CallerLimits,
 }
 
-/// The parts of a configuration as the adapter decodes them.
+/// Configuration as decoded by the adapter, before indexing.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigParts {
-    /// Version.
+    /// Version number.
     pub version: u64,
     /// Routes in any order.
     pub routes: Vec<Route>,
--- a/crates/edge/src/names/mod.rs
+++ b/crates/edge/src/names/mod.rs
@@ -1,36 +1,36 @@
-//! Names of the headers that callers, upstreams and the gateway exchange.
+//! Names of the HTTP headers exchanged with callers and upstreams.
 //!
-//! The gateway does not fix them: the adapter of a deployment says what each is called there.
+//! They are not fixed by the gateway but provided by the adapter of a deployment.
 
 use hyper::header::HeaderName;
 
 /// Header names of one deployment.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Identifier of one attempt of a caller; upstreams repeat it in their answers.
+    /// Identifier of one attempt of a caller; upstreams echo it in their responses.
     pub request_id: HeaderName,
-    /// Milliseconds that are left for the request.
+    /// Remaining time for the request, in milliseconds.
     pub time_left_ms: HeaderName,
-    /// The caller's key. Never reaches an upstream.
+    /// API key of the caller; never sent to an upstream.
     pub key: HeaderName,
-    /// Name of the account that the key belongs to; set by the gateway.
+    /// Name of the account to which the key belongs; set by the gateway.
     pub account: HeaderName,
     /// Identifier of the one upstream that may run the request; set by the gateway.
     pub only_upstream: HeaderName,
-    /// Present on answers of upstreams that have not run the request.
+    /// Present on responses of upstreams that did not run the request.
     pub not_run: HeaderName,
-    /// The upstream's proof that an answer is its own.
+    /// Proof by the upstream that it produced the response.
     pub seal: HeaderName,
-    /// Prompt tokens and most output tokens, with a comma between.
+    /// Prompt tokens and maximum output tokens, separated by a comma.
     pub token_use: HeaderName,
-    /// Parts of the prompt, as `ID:TOKENS` entries with commas between.
+    /// Parts of the prompt, as a comma-separated list of `ID:TOKENS` entries.
     pub prompt_parts: HeaderName,
-    /// Milliseconds for which the answering upstream stays cold.
+    /// Remaining time for which the responding upstream is cold, in milliseconds.
     pub cold_ms: HeaderName,
-    /// Urgency for the upstream, from 0 (first) to 9; set by the gateway.
+    /// Priority at the upstream, from 0 (highest) to 9; set by the gateway.
     pub urgency: HeaderName,
-    /// Identifier of the last event that a caller has of a stream.
+    /// Identifier of the last event of a stream that the caller received.
     pub last_event_id: HeaderName,
-    /// Headers that only the gateway may set; a caller's are dropped.
+    /// Headers that only the gateway may set; they are removed from callers' requests.
     pub gateway_only: Vec<HeaderName>,
 }
--- a/crates/edge/src/place/cache.rs
+++ b/crates/edge/src/place/cache.rs
@@ -1,28 +1,28 @@
-//! Parts of prompts that an engine probably holds in its memory.
+//! Estimate of the prompt parts in an engine's prefix cache.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// One part of a prompt.
+/// One part of a prompt, as the unit of prefix caching.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
     /// Identifier of the part.
     pub id: u64,
-    /// Its length.
+    /// Length of the part.
     pub tokens: u32,
 }
 
-/// Parts that were sent to one engine, the least recently used forgotten first.
+/// LRU model of the prompt parts that one engine has cached.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
     capacity_tokens: u64,
-    held_tokens: u64,
+    total_tokens: u64,
     parts: HashMap<u64, (u32, u64)>,
-    by_use: BTreeMap<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
     uses: u64,
 }
 
 impl PrefixCache {
-    /// An empty cache for an engine whose memory holds `capacity_tokens`.
+    /// Creates an empty cache for an engine whose KV cache holds `capacity_tokens`.
     pub fn new(capacity_tokens: u64) -> Self {
         Self {
             capacity_tokens,
@@ -30,50 +30,50 @@
         }
     }
 
-    /// Changes the size of the engine's memory.
+    /// Changes the capacity; parts above it are evicted at the next insertion.
     pub fn set_capacity(&mut self, capacity_tokens: u64) {
         self.capacity_tokens = capacity_tokens;
     }
 
-    /// Tokens of the leading parts that the engine probably holds.
+    /// Tokens of the leading parts that the engine probably has cached.
     pub fn cached_prefix_tokens(&self, parts: &[PromptPart]) -> u32 {
-        let held = parts
+        let cached = parts
             .iter()
             .take_while(|part| self.parts.contains_key(&part.id));
-        held.map(|part| part.tokens).sum()
+        cached.map(|part| part.tokens).sum()
     }
 
-    /// Takes note that the engine reads a prompt with these parts.
+    /// Records that a prompt with these parts was sent to the engine.
     pub fn insert(&mut self, parts: &[PromptPart]) {
         for part in parts {
             self.uses += 1;
-            let before = self.parts.insert(part.id, (part.tokens, self.uses));
-            match before {
-                Some((_, used)) => {
-                    self.by_use.remove(&used);
+            let previous = self.parts.insert(part.id, (part.tokens, self.uses));
+            match previous {
+                Some((_, last_use)) => {
+                    self.by_last_use.remove(&last_use);
                 }
-                None => self.held_tokens += u64::from(part.tokens),
+                None => self.total_tokens += u64::from(part.tokens),
             }
-            self.by_use.insert(self.uses, part.id);
+            self.by_last_use.insert(self.uses, part.id);
         }
-        while self.held_tokens > self.capacity_tokens {
-            if !self.forget_oldest() {
+        while self.total_tokens > self.capacity_tokens {
+            if !self.evict_oldest() {
                 break;
             }
         }
     }
 
-    /// Forgets everything, as after a restart of the engine.
+    /// Removes all parts, as after a restart of the engine.
     pub fn clear(&mut self) {
         *self = Self::new(self.capacity_tokens);
     }
 
-    fn forget_oldest(&mut self) -> bool {
-        let Some((_, id)) = self.by_use.pop_first() else {
+    fn evict_oldest(&mut self) -> bool {
+        let Some((_, id)) = self.by_last_use.pop_first() else {
             return false;
         };
         if let Some((tokens, _)) = self.parts.remove(&id) {
-            self.held_tokens -= u64::from(tokens);
+            self.total_tokens -= u64::from(tokens);
         }
         true
     }
--- a/crates/edge/src/place/choose.rs
+++ b/crates/edge/src/place/choose.rs
@@ -1,4 +1,4 @@
-//! The choice among the upstreams of one service in one region.
+//! Selection of an upstream of one service in one region.
 
 use super::{cost_ms, engines_for_other_kind, pace::time_per_token_ms, JobKind, PromptPart};
 use crate::{
@@ -8,56 +8,55 @@
 use carobwheel_core::time::Millis;
 use std::{cmp::Reverse, collections::HashSet, sync::Arc};
 
-/// Upstreams that are looked at for what their cache probably holds.
-const PREFERRED: usize = 3;
-/// Part of an engine's memory that requests may fill before others wait.
-const MEMORY_PART: f64 = 0.92;
-/// Parts of a shared prefix that count as held at the upstreams that all instances prefer for it,
-/// the first choice first.
-const PREFERRED_PARTS: [f64; 2] = [0.9, 0.5];
-/// Weight of reading a prompt's own tokens against waiting for those of others: what is read here
-/// also delays whoever comes next.
-const REREAD_WEIGHT: f64 = 1.5;
-/// Time that reading a prompt takes besides its tokens, in milliseconds.
-const FIRST_STEP_MS: f64 = 16.0;
-/// How much the steps of running requests slow reading down, per running request and slot.
-const BATCH_SLOWDOWN: f64 = 0.5;
-/// Time after which one of the running requests of a full engine ends, in milliseconds, over its
-/// slots.
-const TURN_MS: f64 = 2_000.0;
-/// Time to an answer of a service that nothing is known of, in milliseconds.
-const START_ANSWER_MS: f64 = 20.0;
-/// Part of its time that an engine may read prompts before requests of a lower rank wait. The rest
-/// makes the tokens of answers that run already.
-const YIELDING_READING_PART: f64 = 0.5;
-/// Part of its time that an engine may read prompts before all requests wait; the steps between
-/// the chunks of prompts take the rest.
-const READING_PART: f64 = 0.75;
-/// Part of its aim for which a job of a lower rank may stand in an engine's queue.
-const QUEUE_AIM_PART: f64 = 0.15;
-/// Part of its time that an engine may read prompts where it is set apart for making answers.
-const APART_READING_PART: f64 = 0.15;
-/// Wait, in milliseconds, that a job avoids by going to an engine that is set apart for the other
-/// kind of jobs.
-const APART_MS: f64 = 400.0;
-/// Penalty for each moving share of failures, in milliseconds.
-const ERROR_MS: f64 = 200.0;
+/// Number of upstreams that are considered because of their rendezvous rank for a prompt.
+const PREFERRED_COUNT: usize = 3;
+/// Share of an engine's KV cache that requests may fill before further ones are queued.
+const MAX_KV_CACHE_SHARE: f64 = 0.92;
+/// Shares of a shared prefix that are assumed to be cached at the upstreams that all instances
+/// prefer for it, by rank.
+const ASSUMED_CACHED_SHARES: [f64; 2] = [0.9, 0.5];
+/// Weight of the prefill of a prompt's own uncached tokens against that of queued tokens: it also
+/// delays the requests that follow.
+const UNCACHED_PREFILL_WEIGHT: f64 = 1.5;
+/// Fixed overhead of a prefill, in milliseconds.
+const PREFILL_OVERHEAD_MS: f64 = 16.0;
+/// Slowdown of prefill by the decode steps of running requests, per share of occupied slots.
+const PREFILL_BATCH_SLOWDOWN: f64 = 0.5;
+/// Time in which all slots of a full engine are freed once, in milliseconds.
+const SLOT_TURNOVER_MS: f64 = 2_000.0;
+/// Assumed response time of an upstream without measurements, in milliseconds.
+const DEFAULT_RESPONSE_MS: f64 = 20.0;
+/// Share of an engine's time spent on prefill from which low-priority requests are held back. The
+/// rest is left for decoding the running requests.
+const MAX_LOW_PRIORITY_PREFILL_SHARE: f64 = 0.5;
+/// Share of an engine's time spent on prefill from which all requests are held back; the decode
+/// steps between prefill chunks take the rest.
+const MAX_PREFILL_SHARE: f64 = 0.75;
+/// Share of its target time to the first byte that a low-priority job may spend in a queue.
+const MAX_QUEUE_TARGET_SHARE: f64 = 0.15;
+/// Share of its time that an engine reserved for the other kind of jobs may spend on prefill before
+/// low-priority jobs are held back.
+const MAX_RESERVED_PREFILL_SHARE: f64 = 0.15;
+/// Cost of using an engine that is reserved for the other kind of jobs, in milliseconds of waiting.
+const RESERVED_ENGINE_PENALTY_MS: f64 = 400.0;
+/// Penalty at a moving average of failures of 1, in milliseconds.
+const ERROR_PENALTY_MS: f64 = 200.0;
 
-/// A request as far as placing is concerned.
+/// The properties of a request that matter for placement.
 #[derive(Clone, Debug, Default)]
 pub struct InferenceJob {
-    /// Parts of its prompt, in order.
+    /// Parts of the prompt, in order.
     pub parts: Vec<PromptPart>,
-    /// Prompt tokens.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer.
+    /// Upper bound on the output, in tokens.
     pub max_output_tokens: u32,
-    /// It yields to requests of a higher rank at the same upstreams.
+    /// Whether the upstreams also serve requests of a higher priority, to which this one yields.
     pub is_yielding: bool,
 }
 
 impl InferenceJob {
-    /// Tokens of the parts that other requests may share.
+    /// Tokens of the parts that other prompts may share: all parts but the last.
     pub fn shared_tokens(&self) -> u32 {
         let shared = self
             .parts
@@ -66,77 +65,79 @@
         shared.iter().map(|part| part.tokens).sum()
     }
 
-    /// Prompt tokens that no other request shares.
+    /// Prompt tokens that no other prompt shares.
     pub fn own_tokens(&self) -> u32 {
         self.prompt_tokens.saturating_sub(self.shared_tokens())
     }
 }
 
-/// What may be used at the moment.
+/// Constraints on a placement decision.
 pub struct PlacementRules<'a> {
-    /// Service that the request belongs to.
+    /// Service of the request.
     pub service: &'a str,
-    /// Region to look in.
+    /// Region whose upstreams are candidates.
     pub region: &'a str,
-    /// Data centres that must get nothing.
+    /// Evacuated data centres, which must not receive requests.
     pub evacuated: &'a HashSet<Arc<str>>,
-    /// Whether a version may be used for this request.
+    /// Predicate for the software versions that may serve this request.
     pub is_version_allowed: &'a dyn Fn(&str) -> bool,
-    /// Whether this instance may use a cold upstream.
+    /// Predicate for the cold upstreams that this instance may use.
     pub is_cold_user: &'a dyn Fn(&str) -> bool,
-    /// Memory of each engine, in tokens; 0 where there is no bound.
+    /// KV cache capacity of each engine, in tokens; 0 if the upstreams are not engines.
     pub kv_cache_tokens: u64,
-    /// Upstreams that have had the request.
+    /// Upstreams to which the request was sent already.
     pub tried: &'a [Arc<str>],
-    /// Upstreams that are looked at besides the preferred ones; the draws differ between
-    /// instances, so that many of them do not all choose the same one. 0: all are looked at.
+    /// Number of random candidates besides the preferred ones; 0 considers all upstreams. Random
+    /// samples differ between instances, so that they do not all choose the same upstream.
     pub sample_size: usize,
-    /// Part of the engines that is set apart for long answers, if any.
+    /// Share of the engines that is reserved for decode-heavy jobs, if any.
     pub decode_share: Option<f64>,
 }
 
-/// The upstream that takes a request.
+/// The upstream chosen for a request, with the predictions for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
     /// Identifier of the upstream.
     pub id: Arc<str>,
     /// Predicted time to the first byte, in milliseconds.
     pub wait_ms: f64,
-    /// The part of it that is not the reading of the request's own prompt, in milliseconds.
+    /// Predicted wait without the prefill of the request's own prompt, in milliseconds.
     pub queue_ms: f64,
-    /// The wait and a part of the time for the answer, in milliseconds.
+    /// Wait plus a weighted share of the decode time, in milliseconds.
     pub cost_ms: f64,
-    /// Work that the request adds.
+    /// Load that the request adds to the upstream.
     pub load: Load,
 }
 
-/// Outcome of a choice.
+/// Outcome of a placement decision.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
-    /// An upstream was found.
+    /// An upstream was chosen.
     Placed(Placement),
-    /// All upstreams read prompts for as much of their time as they should.
+    /// All upstreams have reached their limit of time spent on prefill.
     Saturated,
-    /// No upstream may be used.
+    /// No upstream is usable.
     NoUpstream,
 }
 
 impl Choice {
-    /// The choice, or that all are crowded if the job yields and would stand in a queue that is
-    /// long beside its aim: a longer queue would only make all of them late. Its own prompt does
-    /// not count, so that large ones are not refused for their size.
+    /// Turns a placement of a low-priority job into [`Choice::Saturated`] if its queueing time is
+    /// long against `aim_ms`: a longer queue would only make all queued requests late. The prefill
+    /// of the job's own prompt does not count, so that large prompts are not refused for their
+    /// size.
     pub fn reject_long_queue(self, job: &InferenceJob, aim_ms: u64) -> Self {
         #[allow(clippy::cast_precision_loss)]
-        let most_ms = aim_ms as f64 * QUEUE_AIM_PART;
+        let max_queue_ms = aim_ms as f64 * MAX_QUEUE_TARGET_SHARE;
         let yields = job.is_yielding && job.prompt_tokens > 0;
         match self {
-            Self::Placed(placed) if yields && placed.queue_ms > most_ms => Self::Saturated,
+            Self::Placed(placed) if yields && placed.queue_ms > max_queue_ms => Self::Saturated,
             choice => choice,
         }
     }
 }
 
-/// Chooses the upstream at which the job costs least: mostly its wait for the first byte.
+/// Chooses the upstream with the lowest predicted cost, which is mostly the wait for the first
+/// byte.
 pub fn choose(
     upstreams: &Upstreams,
     job: &InferenceJob,
@@ -146,15 +147,15 @@
     for is_last_resort in [false, true] {
         let usable = usable(upstreams, rules, is_last_resort, now);
         let has_any = !usable.is_empty();
-        let apart = apart(&usable, job, rules);
-        let is_apart = |up: &Upstream| apart.contains(&up.entry.id);
+        let reserved_engines = reserved_engines(&usable, job, rules);
+        let is_reserved = |up: &Upstream| reserved_engines.contains(&up.entry.id);
         let (others, own): (Vec<&Upstream>, Vec<&Upstream>) = usable
             .into_iter()
-            .filter(|up| has_room(up, job, is_apart(up), rules, now))
-            .partition(|up| is_apart(up));
-        let mut looked_at = sample(own, job, rules.sample_size);
-        looked_at.extend(sample(others, job, rules.sample_size));
-        match cheapest(&looked_at, job, &is_apart, rules, now) {
+            .filter(|up| has_prefill_capacity(up, job, is_reserved(up), rules, now))
+            .partition(|up| is_reserved(up));
+        let mut sampled = sample(own, job, rules.sample_size);
+        sampled.extend(sample(others, job, rules.sample_size));
+        match cheapest(&sampled, job, &is_reserved, rules, now) {
             Some(placed) => return Choice::Placed(placed),
             None if has_any => return Choice::Saturated,
             None => {}
@@ -163,8 +164,8 @@
     Choice::NoUpstream
 }
 
-/// Identifiers of the engines that are set apart for other jobs than this one.
-fn apart(
+/// Identifiers of the engines that are reserved for the other kind of jobs.
+fn reserved_engines(
     usable: &[&Upstream],
     job: &InferenceJob,
     rules: &PlacementRules<'_>,
@@ -176,7 +177,7 @@
     engines_for_other_kind(usable, kind, rules.decode_share)
 }
 
-/// The upstreams that may be used at the moment.
+/// Upstreams that satisfy `rules` at `now`. Ejected ones are included if most were ejected.
 pub(super) fn usable<'a>(
     upstreams: &'a Upstreams,
     rules: &PlacementRules<'_>,
@@ -195,30 +196,30 @@
             !up.cold.is_cold(now) || (up.cold.is_open(now) && (rules.is_cold_user)(&up.entry.id))
         })
         .collect();
-    let sound: Vec<&Upstream> = candidates
+    let healthy: Vec<&Upstream> = candidates
         .iter()
         .copied()
         .filter(|up| up.health.is_usable(now))
         .collect();
-    // When most were ejected, the fault is probably not theirs.
-    if sound.len() * 3 >= candidates.len() && !sound.is_empty() {
-        return sound;
+    // If most upstreams are ejected, the cause is probably not the upstreams.
+    if healthy.len() * 3 >= candidates.len() && !healthy.is_empty() {
+        return healthy;
     }
     candidates
 }
 
-/// The upstreams that are preferred for the prompt, and some others by chance.
+/// Upstreams preferred for the prompt by rendezvous hashing, plus a random sample of the others.
 fn sample<'a>(
     mut all: Vec<&'a Upstream>,
     job: &InferenceJob,
     sample_size: usize,
 ) -> Vec<&'a Upstream> {
-    if sample_size == 0 || all.len() <= sample_size + PREFERRED {
+    if sample_size == 0 || all.len() <= sample_size + PREFERRED_COUNT {
         return all;
     }
     let key = affinity_key(&job.parts);
     all.sort_by_cached_key(|up| Reverse(rendezvous(&up.entry.id, key)));
-    let mut chosen: Vec<&Upstream> = all.drain(..PREFERRED).collect();
+    let mut chosen: Vec<&Upstream> = all.drain(..PREFERRED_COUNT).collect();
     for _ in 0..sample_size {
         let at = rand::random_range(0..all.len());
         chosen.push(all.swap_remove(at));
@@ -226,69 +227,77 @@
     chosen
 }
 
-/// Whether the engine may read one more prompt.
-pub(super) fn has_room(
+/// Whether the engine spends little enough of its time on prefill to take one more prompt.
+pub(super) fn has_prefill_capacity(
     up: &Upstream,
     job: &InferenceJob,
-    is_apart: bool,
+    is_reserved: bool,
     rules: &PlacementRules<'_>,
     now: Millis,
 ) -> bool {
     if rules.kv_cache_tokens == 0 {
         return true;
     }
-    let most = if is_apart && job.is_yielding {
-        APART_READING_PART
+    let max_share = if is_reserved && job.is_yielding {
+        MAX_RESERVED_PREFILL_SHARE
     } else if job.is_yielding && rules.decode_share.is_none() {
-        YIELDING_READING_PART
+        MAX_LOW_PRIORITY_PREFILL_SHARE
     } else {
-        READING_PART
+        MAX_PREFILL_SHARE
     };
-    up.prefill_share(now) < most
+    up.prefill_share(now) < max_share
 }
 
-/// What a job has to expect at one upstream.
-struct Predicted<'a> {
+/// Predictions for a job at one upstream.
+struct Candidate<'a> {
     up: &'a Upstream,
     unread_tokens: f64,
     wait_ms: f64,
     cost_ms: f64,
 }
 
-/// The upstream at which the job costs least.
+/// Placement at the upstream with the lowest predicted cost.
 fn cheapest(
     usable: &[&Upstream],
     job: &InferenceJob,
-    is_apart: &dyn Fn(&Upstream) -> bool,
+    is_reserved: &dyn Fn(&Upstream) -> bool,
     rules: &PlacementRules<'_>,
     now: Millis,
 ) -> Option<Placement> {
     let key = affinity_key(&job.parts);
     let weight = |up: &Upstream| rendezvous(&up.entry.id, key);
-    let mut preferred: Vec<&Upstream> = usable.iter().copied().filter(|up| !is_apart(up)).collect();
+    let mut preferred: Vec<&Upstream> = usable
+        .iter()
+        .copied()
+        .filter(|up| !is_reserved(up))
+        .collect();
     preferred.sort_by_cached_key(|up| Reverse(weight(up)));
-    let held_part = |up: &Upstream| {
-        let choices = preferred.iter().zip(PREFERRED_PARTS);
+    let cached_share = |up: &Upstream| {
+        let choices = preferred.iter().zip(ASSUMED_CACHED_SHARES);
         let mut choice = choices.filter(|(choice, _)| choice.entry.id == up.entry.id);
         choice.next().map_or(0.0, |(_, part)| part)
     };
-    let predicted = usable.iter().map(|up| {
-        let unread_tokens = unread_tokens(up, job, held_part(up));
+    let candidates = usable.iter().map(|up| {
+        let unread_tokens = unread_tokens(up, job, cached_share(up));
         let wait_ms = wait_ms(up, job, unread_tokens, rules, now);
         let time_per_token_ms = if rules.kv_cache_tokens > 0 {
             time_per_token_ms(up, now)
         } else {
             0.0
         };
-        let apart_ms = if is_apart(up) { APART_MS } else { 0.0 };
-        Predicted {
+        let reserved_penalty_ms = if is_reserved(up) {
+            RESERVED_ENGINE_PENALTY_MS
+        } else {
+            0.0
+        };
+        Candidate {
             up,
             unread_tokens,
             wait_ms,
-            cost_ms: cost_ms(job, wait_ms, time_per_token_ms) + apart_ms,
+            cost_ms: cost_ms(job, wait_ms, time_per_token_ms) + reserved_penalty_ms,
         }
     });
-    let best = predicted.min_by(|a, b| {
+    let best = candidates.min_by(|a, b| {
         let order = a.cost_ms.total_cmp(&b.cost_ms);
         order.then_with(|| weight(b.up).cmp(&weight(a.up)))
     })?;
@@ -306,12 +315,12 @@
     })
 }
 
-/// Prompt tokens that the upstream has to read if it holds at least `held_part` of what is shared.
-fn unread_tokens(up: &Upstream, job: &InferenceJob, held_part: f64) -> f64 {
+/// Prompt tokens to prefill if at least `cached_share` of the shared tokens is cached.
+fn unread_tokens(up: &Upstream, job: &InferenceJob, cached_share: f64) -> f64 {
     let prompt = f64::from(job.prompt_tokens);
-    let held = f64::from(up.cache.cached_prefix_tokens(&job.parts));
-    let assumed = held_part * f64::from(job.shared_tokens());
-    (prompt - held.max(assumed)).max(0.0)
+    let cached_tokens = f64::from(up.cache.cached_prefix_tokens(&job.parts));
+    let assumed_tokens = cached_share * f64::from(job.shared_tokens());
+    (prompt - cached_tokens.max(assumed_tokens)).max(0.0)
 }
 
 /// Predicted time to the first byte, in milliseconds.
@@ -325,37 +334,37 @@
     let load = up.load(now);
     let slots = f64::from(up.entry.slots.max(1));
     let running = f64::from(load.requests);
-    let errors_ms = ERROR_MS * up.health.error_share();
+    let errors_ms = ERROR_PENALTY_MS * up.health.error_share();
     if rules.kv_cache_tokens == 0 {
-        let answer_ms = up.health.first_byte_ms().unwrap_or(START_ANSWER_MS);
-        let turns = ((running + 1.0) / slots).max(0.2 + running / slots);
-        return answer_ms * turns.max(1.0) + running + errors_ms;
+        let response_ms = up.health.first_byte_ms().unwrap_or(DEFAULT_RESPONSE_MS);
+        let rounds = ((running + 1.0) / slots).max(0.2 + running / slots);
+        return response_ms * rounds.max(1.0) + running + errors_ms;
     }
-    let slowdown = 1.0 + BATCH_SLOWDOWN * running / slots;
-    let reading_ms = (f64::from(load.unread_tokens) + unread * REREAD_WEIGHT)
+    let slowdown = 1.0 + PREFILL_BATCH_SLOWDOWN * running / slots;
+    let prefill_ms = (f64::from(load.unread_tokens) + unread * UNCACHED_PREFILL_WEIGHT)
         / up.prefill_tokens_per_ms
         * slowdown
-        + FIRST_STEP_MS;
+        + PREFILL_OVERHEAD_MS;
     let is_full = running >= slots;
     let queue_ms = if is_full {
-        (running - slots + 1.0) * TURN_MS / slots
+        (running - slots + 1.0) * SLOT_TURNOVER_MS / slots
     } else {
         0.0
     };
     #[allow(clippy::cast_precision_loss)]
-    let room = rules.kv_cache_tokens as f64 * MEMORY_PART;
-    let wanted = f64::from(load.kv_cache_tokens)
+    let capacity_tokens = rules.kv_cache_tokens as f64 * MAX_KV_CACHE_SHARE;
+    let needed_tokens = f64::from(load.kv_cache_tokens)
         + f64::from(job.prompt_tokens)
         + f64::from(job.max_output_tokens);
-    let memory_ms = if wanted > room {
-        (wanted - room) / room * TURN_MS
+    let kv_cache_ms = if needed_tokens > capacity_tokens {
+        (needed_tokens - capacity_tokens) / capacity_tokens * SLOT_TURNOVER_MS
     } else {
         0.0
     };
-    reading_ms + queue_ms.max(memory_ms) + errors_ms
+    prefill_ms + queue_ms.max(kv_cache_ms) + errors_ms
 }
 
-/// The part that decides where a prompt is preferably sent: the last one that is shared.
+/// Rendezvous key of a prompt: the identifier of its last shared part.
 fn affinity_key(parts: &[PromptPart]) -> u64 {
     match parts {
         [] => 0,
--- a/crates/edge/src/place/forecast.rs
+++ b/crates/edge/src/place/forecast.rs
@@ -1,7 +1,7 @@
-//! What a region tells others of its engines.
+//! Latency forecast of a region, which instances report to other regions.
 
 use super::{
-    choose::{has_room, usable, wait_ms},
+    choose::{has_prefill_capacity, usable, wait_ms},
     engines_for_other_kind,
     pace::time_per_token_ms,
     InferenceJob, JobKind, PlacementRules,
@@ -9,24 +9,24 @@
 use crate::upstream::Upstreams;
 use carobwheel_core::time::Millis;
 
-/// Wait that a region reports while all of its engines are crowded, in milliseconds.
-const CROWDED_MS: f64 = 3_000.0;
-/// Part of the engines, as a divisor, over which the outlook is averaged: many instances may send
-/// there before they hear of the next outlook.
-const BEST_PARTS: usize = 3;
-/// Milliseconds of waiting that outweigh a millisecond more for each token.
-const PACE_WEIGHT: f64 = 20.0;
+/// Wait that is reported while all engines are saturated, in milliseconds.
+const SATURATED_WAIT_MS: f64 = 3_000.0;
+/// Divisor for the number of best engines that are averaged: many instances may send requests to
+/// the region before they receive its next forecast.
+const BEST_ENGINES_DIVISOR: usize = 3;
+/// Milliseconds of waiting that are worth one millisecond of time per token.
+const TIME_PER_TOKEN_WEIGHT: f64 = 20.0;
 
-/// What a job of one kind has to expect.
+/// Predicted latency for jobs of one kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LatencyForecast {
     /// Wait for the first token of a job without a prompt, in milliseconds.
     pub wait_ms: f64,
-    /// Time for each token, in milliseconds.
+    /// Time per output token, in milliseconds.
     pub time_per_token_ms: f64,
 }
 
-/// The outlook of the region at its better engines; `None` without upstreams.
+/// Mean forecast of the best engines of the region; `None` without upstreams.
 pub fn forecast_region(
     upstreams: &Upstreams,
     kind: JobKind,
@@ -34,20 +34,20 @@
     now: Millis,
 ) -> Option<LatencyForecast> {
     let usable = usable(upstreams, rules, false, now);
-    let apart = engines_for_other_kind(&usable, kind, rules.decode_share);
+    let reserved_engines = engines_for_other_kind(&usable, kind, rules.decode_share);
     let job = InferenceJob {
         is_yielding: true,
         ..InferenceJob::default()
     };
     let own = usable
         .iter()
-        .filter(|up| !apart.contains(&up.entry.id))
+        .filter(|up| !reserved_engines.contains(&up.entry.id))
         .collect::<Vec<_>>();
-    let roomy = own
+    let with_capacity = own
         .iter()
-        .filter(|up| has_room(up, &job, false, rules, now));
+        .filter(|up| has_prefill_capacity(up, &job, false, rules, now));
     let is_engine = rules.kv_cache_tokens > 0;
-    let mut outlooks: Vec<LatencyForecast> = roomy
+    let mut forecasts: Vec<LatencyForecast> = with_capacity
         .map(|up| LatencyForecast {
             wait_ms: wait_ms(up, &InferenceJob::default(), 0.0, rules, now),
             time_per_token_ms: if is_engine {
@@ -57,25 +57,26 @@
             },
         })
         .collect();
-    if outlooks.is_empty() {
+    if forecasts.is_empty() {
         return (!own.is_empty()).then_some(LatencyForecast {
-            wait_ms: CROWDED_MS,
+            wait_ms: SATURATED_WAIT_MS,
             time_per_token_ms: 0.0,
         });
     }
-    let weight =
-        |outlook: &LatencyForecast| outlook.wait_ms + PACE_WEIGHT * outlook.time_per_token_ms;
-    outlooks.sort_by(|a, b| weight(a).total_cmp(&weight(b)));
-    outlooks.truncate(outlooks.len().div_ceil(BEST_PARTS));
-    Some(mean(&outlooks))
+    let weight = |forecast: &LatencyForecast| {
+        forecast.wait_ms + TIME_PER_TOKEN_WEIGHT * forecast.time_per_token_ms
+    };
+    forecasts.sort_by(|a, b| weight(a).total_cmp(&weight(b)));
+    forecasts.truncate(forecasts.len().div_ceil(BEST_ENGINES_DIVISOR));
+    Some(mean(&forecasts))
 }
 
-fn mean(outlooks: &[LatencyForecast]) -> LatencyForecast {
+fn mean(forecasts: &[LatencyForecast]) -> LatencyForecast {
     #[allow(clippy::cast_precision_loss)]
-    let count = outlooks.len() as f64;
-    let sum = |field: fn(&LatencyForecast) -> f64| outlooks.iter().map(field).sum::<f64>() / count;
+    let count = forecasts.len() as f64;
+    let sum = |field: fn(&LatencyForecast) -> f64| forecasts.iter().map(field).sum::<f64>() / count;
     LatencyForecast {
-        wait_ms: sum(|outlook| outlook.wait_ms),
-        time_per_token_ms: sum(|outlook| outlook.time_per_token_ms),
+        wait_ms: sum(|forecast| forecast.wait_ms),
+        time_per_token_ms: sum(|forecast| forecast.time_per_token_ms),
     }
 }
--- a/crates/edge/src/place/mod.rs
+++ b/crates/edge/src/place/mod.rs
@@ -1,9 +1,10 @@
-//! Which upstream takes a request, and whether any can take it in time.
+//! Placement of requests on upstreams, by predicted cost.
 //!
-//! The load this answers: long prompts of which two thirds are shared between requests, beside
-//! short questions with long answers. The time to the first event is ruled by the prompts that
-//! wait to be read, so an upstream that probably holds the shared parts is preferred until its
-//! queue costs more than reading them again. Long answers look at the pace of engines as well.
+//! Designed for a mix of long prompts, two thirds of which are shared between requests, and short
+//! prompts with long outputs. The time to the first token is dominated by queued prefill work, so
+//! an upstream that probably has the shared parts cached is preferred until its queue costs more
+//! than a repeated prefill. The time per output token is part of the cost, weighted by the length
+//! of the output.
 
 mod cache;
 mod choose;
--- a/crates/edge/src/rate/mod.rs
+++ b/crates/edge/src/rate/mod.rs
@@ -1,32 +1,32 @@
-//! Rates of tokens, averaged over about a second.
+//! Token rates, averaged over about a second.
 
 use carobwheel_core::time::Millis;
 
-/// Time over which the rate is averaged, in milliseconds.
-const AVERAGED_MS: f64 = 1_000.0;
+/// Time constant of the average, in milliseconds.
+const AVERAGING_MS: f64 = 1_000.0;
 
-/// An exponentially averaged rate.
+/// Exponential moving average of a token rate.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MeanRate {
     tokens: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
 impl MeanRate {
-    /// Takes note of tokens.
+    /// Adds tokens at `now`.
     pub fn add(&mut self, tokens: f64, now: Millis) {
         self.tokens = self.decayed(now) + tokens;
-        self.at = now;
+        self.updated_at = now;
     }
 
-    /// Tokens a second.
+    /// Current rate, in tokens a second.
     pub fn per_s(&self, now: Millis) -> f64 {
-        self.decayed(now) * 1_000.0 / AVERAGED_MS
+        self.decayed(now) * 1_000.0 / AVERAGING_MS
     }
 
     fn decayed(&self, now: Millis) -> f64 {
         #[allow(clippy::cast_precision_loss)]
-        let passed_ms = now.since(self.at) as f64;
-        self.tokens * (-passed_ms / AVERAGED_MS).exp()
+        let elapsed_ms = now.since(self.updated_at) as f64;
+        self.tokens * (-elapsed_ms / AVERAGING_MS).exp()
     }
 }
--- a/crates/edge/src/rollout/mod.rs
+++ b/crates/edge/src/rollout/mod.rs
@@ -1,8 +1,8 @@
-//! Moving a service's traffic to a new version, and the verdict on it.
+//! Trials of a service's new version, in which traffic is shifted to it, and the verdict.
 //!
-//! A trial has two phases. In the first the new version gets a small share while all instances
-//! gather evidence. In the second, shortly before the verdict `complete`, it gets everything, so
-//! that the old upstreams have little left to run when they are stopped.
+//! A trial has two phases. In the first, the new version gets a small share of the traffic while
+//! all instances collect evidence. In the second, shortly before the verdict `complete`, it gets
+//! all traffic, so that the old upstreams have few requests in flight when they are stopped.
 
 mod evidence;
 mod trial;
--- a/crates/edge/src/settings/mod.rs
+++ b/crates/edge/src/settings/mod.rs
@@ -1,10 +1,10 @@
-//! Settings of one instance: a JSON file, checked whole before anything starts.
+//! Settings of one instance: a JSON file that is validated completely before startup.
 
 use serde::Deserialize;
 use serde_with::{serde_as, DisplayFromStr};
 use std::{collections::BTreeMap, fmt, fs, net::SocketAddr, path::Path};
 
-/// Why a settings file cannot be used. Holds every fault that was found.
+/// Error for an invalid settings file, with all faults that were found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub Vec<String>);
 
@@ -16,69 +16,69 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Settings of one instance.
+/// Contents of the settings file.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Settings {
     /// Name of the instance, unique in the fleet.
     pub instance: String,
-    /// Data centre that the instance stands in.
+    /// Data centre of the instance.
     pub data_centre: String,
-    /// Region that the instance stands in.
+    /// Region of the instance.
     pub region: String,
     /// Region of each data centre.
     pub regions: BTreeMap<String, String>,
-    /// Where the instance listens.
+    /// Addresses on which the instance listens.
     pub listen: Listen,
     /// Address of the store.
     #[serde_as(as = "DisplayFromStr")]
     pub store: SocketAddr,
-    /// Bounds that the instance has to keep.
+    /// Operational bounds of the deployment.
     pub bounds: Bounds,
 }
 
-/// Addresses that the instance listens on.
+/// Listen addresses of an instance.
 #[serde_as]
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 pub struct Listen {
-    /// Requests of callers.
+    /// Address for requests of callers.
     #[serde_as(as = "DisplayFromStr")]
     pub callers: SocketAddr,
-    /// Readiness checks.
+    /// Address for readiness checks.
     #[serde_as(as = "DisplayFromStr")]
     pub ready: SocketAddr,
-    /// Questions of callers about which instances to use.
+    /// Address of the directory, in which callers look up the instances to use.
     #[serde_as(as = "DisplayFromStr")]
     pub directory: SocketAddr,
-    /// Links between instances (UDP).
+    /// Address for links between instances (UDP).
     #[serde_as(as = "DisplayFromStr")]
     pub peers: SocketAddr,
-    /// Metrics as text.
+    /// Address for metrics as text.
     #[serde_as(as = "DisplayFromStr")]
     pub metrics: SocketAddr,
 }
 
-/// Bounds that come from the deployment.
+/// Operational bounds that the deployment sets.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub struct Bounds {
-    /// Time between a signal to stop and the forced end, in seconds.
+    /// Time between the stop signal and forced termination, in seconds.
     pub stop_grace_s: f64,
-    /// Repeated sends to one service, as a share of its requests, over the whole fleet.
+    /// Retries to one service as a share of its requests, over the whole fleet.
     pub retry_share: f64,
-    /// Window over which repeats are counted, in seconds.
+    /// Window over which retries are counted, in seconds.
     pub retry_window_s: f64,
-    /// Repeats that a window allows besides the share, over the whole fleet.
+    /// Retries allowed in a window in addition to the share, over the whole fleet.
     pub retry_extra: f64,
-    /// Tokens of an account that may be used besides, in a window.
+    /// Tokens that an account may use in a window in addition to its limit.
     pub limit_extra_tokens: f64,
-    /// Share of a service's requests that a version on trial may get.
+    /// Maximum share of a service's requests that a version on trial may get.
     pub trial_share: f64,
-    /// Longest lifetime of a directory answer, in seconds.
+    /// Maximum time to live of a directory response, in seconds.
     pub directory_ttl_s: f64,
 }
 
 impl Settings {
-    /// Reads and checks the file at `path`.
+    /// Reads and validates the file at `path`.
     ///
     /// # Errors
     ///
@@ -89,7 +89,7 @@
         Self::parse(&text)
     }
 
-    /// Reads and checks settings from `text`.
+    /// Parses and validates settings from `text`.
     ///
     /// # Errors
     ///
--- a/crates/edge/src/store/follow.rs
+++ b/crates/edge/src/store/follow.rs
@@ -1,4 +1,4 @@
-//! Following all changes below a prefix.
+//! Watching all changes below a prefix.
 
 use super::{
     backoff::Backoff, ops::Freshness, task::Context, StoreError, StoreEvent, WatchedPrefix,
@@ -6,17 +6,17 @@
 use std::{sync::atomic::Ordering, time::Duration};
 use tokio::time::sleep;
 
-/// Longest wait of one watch, in milliseconds.
-const WATCH_MS: u64 = 25_000;
-/// Pause after news of what operators write, so that changes gather and one call tells of several,
-/// in milliseconds.
-const GATHER_MS: u64 = 120;
-/// The same for what upstreams and instances write, which change often and of which each user
-/// finds out for itself as well, in milliseconds.
-const GATHER_ENTRIES_MS: u64 = 700;
+/// Timeout of one watch call, in milliseconds.
+const WATCH_TIMEOUT_MS: u64 = 25_000;
+/// Pause after changes of urgent prefixes, so that one call returns several changes, in
+/// milliseconds. These are what operators write.
+const URGENT_PAUSE_MS: u64 = 120;
+/// Pause after changes of other prefixes, in milliseconds. These are what upstreams and instances
+/// write; it changes often, and each reader also detects the changes by itself.
+const ENTRIES_PAUSE_MS: u64 = 700;
 
-/// Lists the prefix, then watches it, and lists it again whenever the history is gone. While
-/// another instance watches for this one, nothing is asked.
+/// Lists the prefix, then watches it, and lists it again whenever its history is no longer
+/// available. Makes no calls while other instances watch on behalf of this one.
 pub(super) async fn follow(
     context: Context,
     watched: WatchedPrefix,
@@ -24,7 +24,7 @@
 ) {
     let mut backoff = Backoff::default();
     let mut position = None;
-    // What changed since an old listing comes with the first watch.
+    // The first watch returns what changed since a stale listing.
     let mut freshness = if watched.is_urgent {
         Freshness::Latest
     } else {
@@ -32,7 +32,7 @@
     };
     loop {
         if position.is_some() && !*watching.borrow() {
-            // The other end is gone only while the process ends.
+            // The sender is dropped only at shutdown.
             if watching.wait_for(|is_watcher| *is_watcher).await.is_err() {
                 return;
             }
@@ -70,38 +70,38 @@
 
 async fn watch(context: &Context, watched: &WatchedPrefix, after: u64) -> Result<u64, StoreError> {
     let prefix = &watched.prefix;
-    let news = (context.ops.watch)(prefix, after, WATCH_MS).await?;
-    let revision = news.revision.max(after);
-    let is_empty = news.changes.is_empty();
+    let response = (context.ops.watch)(prefix, after, WATCH_TIMEOUT_MS).await?;
+    let revision = response.revision.max(after);
+    let is_empty = response.changes.is_empty();
     context
-        .send(StoreEvent::Changed(prefix.clone(), news))
+        .send(StoreEvent::Changed(prefix.clone(), response))
         .await;
     if !is_empty {
-        let gather_ms = if watched.is_urgent {
-            GATHER_MS
+        let pause_ms = if watched.is_urgent {
+            URGENT_PAUSE_MS
         } else {
-            GATHER_ENTRIES_MS
+            ENTRIES_PAUSE_MS
         };
-        sleep(Duration::from_millis(gather_ms)).await;
+        sleep(Duration::from_millis(pause_ms)).await;
     }
     Ok(revision)
 }
 
 impl Context {
-    /// Tells an event.
+    /// Sends an event to the instance.
     pub(super) async fn send(&self, event: StoreEvent) {
-        // The receiver is gone only while the process ends.
+        // The receiver is dropped only at shutdown.
         let _ = self.events.send(event).await;
     }
 
-    /// Takes note that the store has answered.
+    /// Records a successful call; reports the recovery after an outage.
     pub(super) async fn reachable(&self) {
         if self.is_lost.swap(false, Ordering::Relaxed) {
             self.send(StoreEvent::Recovered).await;
         }
     }
 
-    /// Takes note that the store has not answered.
+    /// Records a failed call; reports the start of an outage.
     pub(super) async fn unreachable(&self, err: &StoreError) {
         if !self.is_lost.swap(true, Ordering::Relaxed) {
             self.send(StoreEvent::Lost(err.to_string())).await;
--- a/crates/edge/src/store/mod.rs
+++ b/crates/edge/src/store/mod.rs
@@ -1,7 +1,8 @@
-//! The store: news from it, the instance's own entry in it, and verdicts written to it.
+//! Client of the store: updates from it, this instance's entry, and verdicts written to it.
 //!
-//! The five operations come as closures from the adapter that speaks the store's protocol.
-//! Pauses after failures, following a prefix and settling lost writes stand here once.
+//! The five operations are closures from the adapter that implements the store's protocol.
+//! Backoff, watching of prefixes and the handling of writes without a response are implemented
+//! here for all adapters.
 
 mod backoff;
 mod follow;
--- a/crates/edge/src/store/ops.rs
+++ b/crates/edge/src/store/ops.rs
@@ -1,9 +1,9 @@
-//! Operations of the store.
+//! Operations of the store, as an adapter provides them.
 
 use futures::future::BoxFuture;
 use std::fmt;
 
-/// One item.
+/// One key-value pair of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
     /// Key.
@@ -23,7 +23,7 @@
     pub revision: u64,
 }
 
-/// One change.
+/// Change of one item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// An item was written.
@@ -37,21 +37,21 @@
     },
 }
 
-/// Changes below a prefix, in order.
+/// Changes below a prefix, in order of their revisions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
     /// Changes.
     pub changes: Vec<Change>,
-    /// Revision to go on from.
+    /// Revision to continue the watch from.
     pub revision: u64,
 }
 
-/// What a key must hold for a commit.
+/// Condition of a commit on the revision of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Expected {
     /// Key.
     pub key: String,
-    /// Revision of its last change; 0: it does not exist.
+    /// Expected revision of its last change; 0 if the key must not exist.
     pub revision: u64,
 }
 
@@ -62,11 +62,11 @@
     pub key: String,
     /// Value.
     pub value: Vec<u8>,
-    /// Lease under which it stands; 0: none.
+    /// Lease that the key is attached to; 0 for none.
     pub lease: u64,
 }
 
-/// A change of several keys, done whole or not at all.
+/// Atomic change of several keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Commit {
     /// Conditions.
@@ -77,20 +77,20 @@
     pub removes: Vec<String>,
 }
 
-/// Why a call brought nothing.
+/// Error of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
-    /// The store did not answer; a write may have been done, or may still be done.
+    /// The store did not respond; a write may have been applied, or may still be applied.
     NoAnswer(String),
     /// The store refused the call, which had no effect.
     Refused(String),
-    /// The history that was asked for is no longer there.
+    /// The requested history is no longer available.
     HistoryGone,
     /// A condition of a commit was not met.
     Conflict,
     /// The lease or the key does not exist.
     NotFound,
-    /// The answer could not be understood.
+    /// The response could not be decoded.
     Malformed(String),
 }
 
@@ -99,8 +99,8 @@
         match self {
             Self::NoAnswer(reason) => write!(f, "no answer: {reason}"),
             Self::Refused(reason) => write!(f, "refused: {reason}"),
-            Self::HistoryGone => f.write_str("the history is gone"),
-            Self::Conflict => f.write_str("a condition was not met"),
+            Self::HistoryGone => f.write_str("the requested history is no longer available"),
+            Self::Conflict => f.write_str("a condition of the commit was not met"),
             Self::NotFound => f.write_str("not found"),
             Self::Malformed(reason) => write!(f, "malformed answer: {reason}"),
         }
@@ -111,42 +111,42 @@
 
 /// Result of a call.
 pub type StoreResult<T> = Result<T, StoreError>;
-/// A call under way.
+/// Future of a call.
 pub type StoreCall<T> = BoxFuture<'static, StoreResult<T>>;
 
-/// How fresh an answer has to be.
+/// Consistency of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// As of the call.
+    /// Reflects all writes confirmed before the call.
     Latest,
-    /// It may be seconds old, and costs the store less.
+    /// May be seconds old, at a lower cost for the store.
     Stale,
 }
 
-/// A call that reads all items below a prefix.
+/// Call that reads all items below a prefix.
 pub type List = Box<dyn Fn(&str, Freshness) -> StoreCall<Listing> + Send + Sync>;
-/// A call about a key or a prefix.
+/// Call whose argument is a key.
 pub type KeyCall<T> = Box<dyn Fn(&str) -> StoreCall<T> + Send + Sync>;
-/// A call about a lease, or with a time in milliseconds.
+/// Call whose argument is a lease, or a time in milliseconds.
 pub type NumberCall<T> = Box<dyn Fn(u64) -> StoreCall<T> + Send + Sync>;
-/// A wait for changes: prefix, revision, time in milliseconds.
+/// Call that waits for changes; its arguments are prefix, revision and timeout in milliseconds.
 pub type Watch = Box<dyn Fn(&str, u64, u64) -> StoreCall<Changes> + Send + Sync>;
 
-/// The operations of the store, each with a deadline of its own.
+/// The operations of the store, each of which has its own deadline.
 pub struct StoreOps {
     /// Reads all items below a prefix.
     pub list: List,
-    /// Waits up to a time in milliseconds for changes below a prefix after a revision.
+    /// Waits for changes below a prefix after a revision, up to a timeout.
     pub watch: Watch,
     /// Reads one item.
     pub get: KeyCall<Item>,
-    /// Commits a change; returns its revision.
+    /// Applies a commit atomically; returns its revision.
     pub commit: Box<dyn Fn(Commit) -> StoreCall<u64> + Send + Sync>,
-    /// Grants a lease for a time in milliseconds.
+    /// Grants a lease with a time to live in milliseconds.
     pub grant: NumberCall<u64>,
     /// Renews a lease.
     pub renew: NumberCall<()>,
-    /// Ends a lease.
+    /// Revokes a lease.
     pub revoke: NumberCall<()>,
 }
 
--- a/crates/edge/src/store/own_entry.rs
+++ b/crates/edge/src/store/own_entry.rs
@@ -1,4 +1,4 @@
-//! The instance's own entry, kept under a lease.
+//! Registration of this instance in the store, under a lease.
 
 use super::{backoff::Backoff, task::Context, Commit, StoreError, StoreEvent, Write};
 use crate::member::MemberEntry;
@@ -6,13 +6,13 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-/// Time for which the entry outlives the instance, in milliseconds.
+/// Time to live of the lease, for which the entry outlives a crashed instance, in milliseconds.
 const LEASE_MS: u64 = 6_000;
-/// Time between two renewals, in milliseconds.
-const RENEW_MS: u64 = 2_000;
+/// Interval between renewals of the lease, in milliseconds.
+const RENEW_INTERVAL_MS: u64 = 2_000;
 
-/// Writes the entry and keeps it until `stop`, then removes it.
-pub(super) async fn keep(
+/// Writes the entry and renews its lease until `stop`, then revokes the lease.
+pub(super) async fn register(
     context: Context,
     key: String,
     entry: MemberEntry,
@@ -42,12 +42,12 @@
                 *lease = held;
                 backoff.succeeded();
                 context.reachable().await;
-                sleep(Duration::from_millis(RENEW_MS)).await;
+                sleep(Duration::from_millis(RENEW_INTERVAL_MS)).await;
             }
             Err(StoreError::NotFound) => {
                 *lease = 0;
                 context
-                    .send(StoreEvent::LeaseLost("lapsed".to_owned()))
+                    .send(StoreEvent::LeaseLost("lease expired".to_owned()))
                     .await;
             }
             Err(err) => {
@@ -66,7 +66,7 @@
         value,
         lease,
     };
-    // A repeat after a lost answer writes the same entry under a newer lease.
+    // A retry after a lost response writes the same entry under a newer lease.
     let commit = Commit {
         writes: vec![write],
         ..Commit::default()
--- a/crates/edge/src/store/replica.rs
+++ b/crates/edge/src/store/replica.rs
@@ -1,16 +1,16 @@
-//! A copy of the followed parts of the store, with the revision of each item.
+//! Local replica of the watched prefixes of the store, with the revision of each item.
 //!
-//! Changes come from the store itself or, while it is out of reach or slow to tell, from another
-//! instance. The copy lets each change through once, and never an older one after a newer one.
+//! Changes come from the store or, while it is unreachable or slow, from another instance. The
+//! replica returns each change once, and never an older change of a key after a newer one.
 
 use super::{Change, Item};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashSet};
 
-/// Removed keys that are remembered below one prefix.
-const MAX_REMOVED: usize = 2_000;
+/// Maximum number of tombstones below one prefix.
+const MAX_TOMBSTONES: usize = 2_000;
 
-/// One item, or the removal of it.
+/// Latest known state of one key: its value or its removal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fact {
     /// Key.
@@ -21,52 +21,55 @@
     pub value: Option<Vec<u8>>,
 }
 
-/// Facts below a prefix up to a revision.
+/// Facts about the keys below a prefix, up to a revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Facts {
     /// Facts in any order.
     pub facts: Vec<Fact>,
-    /// All changes up to this revision are among the facts, or were before.
+    /// Revision up to which all changes are included, or were included in earlier facts.
     pub revision: u64,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Part {
+struct PrefixReplica {
     revision: u64,
     facts: BTreeMap<String, Fact>,
 }
 
-/// The copy.
+/// Replica of the items below a list of prefixes.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     prefixes: Vec<String>,
-    parts: Vec<Part>,
+    replicas: Vec<PrefixReplica>,
 }
 
 impl Replica {
-    /// An empty copy of the items below these prefixes.
+    /// Creates an empty replica of the items below these prefixes.
     pub fn new(prefixes: Vec<String>) -> Self {
-        let parts = vec![Part::default(); prefixes.len()];
-        Self { prefixes, parts }
+        let replicas = vec![PrefixReplica::default(); prefixes.len()];
+        Self { prefixes, replicas }
     }
 
-    /// Whether all prefixes were read once.
+    /// Whether each prefix was read at least once.
     pub fn is_complete(&self) -> bool {
-        self.parts.iter().all(|part| part.revision > 0)
+        self.replicas.iter().all(|replica| replica.revision > 0)
     }
 
-    /// Revisions up to which the prefixes are known, in their order.
+    /// Revisions up to which the prefixes are known, in the order of the prefixes.
     pub fn revisions(&self) -> Vec<u64> {
-        self.parts.iter().map(|part| part.revision).collect()
+        self.replicas
+            .iter()
+            .map(|replica| replica.revision)
+            .collect()
     }
 
-    /// Takes a whole listing as of `revision`. Returns what is new.
+    /// Merges a complete listing as of `revision`. Returns the facts that are new.
     pub fn listed(&mut self, prefix: usize, items: &[Item], revision: u64) -> Vec<Fact> {
-        let Some(part) = self.parts.get(prefix) else {
+        let Some(replica) = self.replicas.get(prefix) else {
             return Vec::new();
         };
         let keys: HashSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
-        let known = part.facts.values();
+        let known = replica.facts.values();
         let removed = known
             .filter(|fact| fact.value.is_some() && fact.revision <= revision)
             .filter(|fact| !keys.contains(fact.key.as_str()))
@@ -84,7 +87,7 @@
         self.merge(prefix, Facts { facts, revision })
     }
 
-    /// Takes changes up to `revision`. Returns what is new.
+    /// Merges changes up to `revision`. Returns the facts that are new.
     pub fn changed(&mut self, prefix: usize, changes: Vec<Change>, revision: u64) -> Vec<Fact> {
         let facts = changes.into_iter().map(|change| match change {
             Change::Written(item) => Fact {
@@ -102,53 +105,53 @@
         self.merge(prefix, Facts { facts, revision })
     }
 
-    /// Takes facts. Returns those that are new, in order of their revisions.
-    pub fn merge(&mut self, prefix: usize, news: Facts) -> Vec<Fact> {
-        let Some(part) = self.parts.get_mut(prefix) else {
+    /// Merges facts. Returns those that are new, in order of their revisions.
+    pub fn merge(&mut self, prefix: usize, update: Facts) -> Vec<Fact> {
+        let Some(replica) = self.replicas.get_mut(prefix) else {
             return Vec::new();
         };
-        let mut fresh: Vec<Fact> = Vec::new();
-        for fact in news.facts {
-            let known = part.facts.get(&fact.key);
+        let mut new_facts: Vec<Fact> = Vec::new();
+        for fact in update.facts {
+            let known = replica.facts.get(&fact.key);
             if known.is_some_and(|known| known.revision >= fact.revision) {
                 continue;
             }
-            part.facts.insert(fact.key.clone(), fact.clone());
-            fresh.push(fact);
+            replica.facts.insert(fact.key.clone(), fact.clone());
+            new_facts.push(fact);
         }
-        part.revision = part.revision.max(news.revision);
-        part.forget_removed();
-        fresh.sort_by_key(|fact| fact.revision);
-        fresh
+        replica.revision = replica.revision.max(update.revision);
+        replica.evict_tombstones();
+        new_facts.sort_by_key(|fact| fact.revision);
+        new_facts
     }
 
-    /// Facts that are newer than `after`.
+    /// Facts with a revision above `after`.
     pub fn since(&self, prefix: usize, after: u64) -> Facts {
-        let Some(part) = self.parts.get(prefix) else {
+        let Some(replica) = self.replicas.get(prefix) else {
             return Facts::default();
         };
-        let newer = part.facts.values().filter(|fact| fact.revision > after);
+        let newer = replica.facts.values().filter(|fact| fact.revision > after);
         Facts {
             facts: newer.cloned().collect(),
-            revision: part.revision,
+            revision: replica.revision,
         }
     }
 
-    /// Position of a prefix.
+    /// Index of a prefix.
     pub fn prefix(&self, name: &str) -> Option<usize> {
         self.prefixes.iter().position(|prefix| prefix == name)
     }
 }
 
-impl Part {
-    fn forget_removed(&mut self) {
+impl PrefixReplica {
+    fn evict_tombstones(&mut self) {
         let removed = self.facts.values().filter(|fact| fact.value.is_none());
         let mut revisions: Vec<u64> = removed.map(|fact| fact.revision).collect();
-        if revisions.len() <= MAX_REMOVED {
+        if revisions.len() <= MAX_TOMBSTONES {
             return;
         }
         revisions.sort_unstable();
-        let oldest_kept = revisions[revisions.len() - MAX_REMOVED];
+        let oldest_kept = revisions[revisions.len() - MAX_TOMBSTONES];
         self.facts
             .retain(|_, fact| fact.value.is_some() || fact.revision >= oldest_kept);
     }
--- a/crates/edge/src/store/task.rs
+++ b/crates/edge/src/store/task.rs
@@ -1,4 +1,4 @@
-//! The thread that speaks with the store.
+//! Thread that makes all calls to the store.
 
 use super::{
     follow, own_entry,
@@ -20,33 +20,33 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Events that may wait to be applied.
-const EVENTS_RING: usize = 256;
-/// States that may wait to be recorded.
-const ASKS_RING: usize = 32;
+/// Capacity of the event channel.
+const EVENTS_CAPACITY: usize = 256;
+/// Capacity of the channel of verdicts to record.
+const RECORDS_CAPACITY: usize = 32;
 
-/// A prefix of which all changes are followed.
+/// Key prefix whose changes are watched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchedPrefix {
-    /// Prefix.
+    /// Common prefix of the keys.
     pub prefix: String,
-    /// Its changes bind from the moment at which the store has confirmed them.
+    /// Whether its changes are in force from the moment at which the store has confirmed them.
     pub is_urgent: bool,
 }
 
-/// Where things stand in the store.
+/// Key prefixes of the deployment's store.
 #[derive(Clone, Debug)]
 pub struct StoreKeys {
-    /// Prefixes to follow.
+    /// Prefixes to watch besides the instances' entries.
     pub watched: Vec<WatchedPrefix>,
-    /// Prefix of the members' entries; it is followed as well.
+    /// Prefix of the instances' entries, which is watched as well.
     pub members: String,
-    /// Prefix of the states of moves.
+    /// Prefix of the verdicts on rollouts.
     pub verdicts: String,
 }
 
 impl StoreKeys {
-    /// All prefixes that are followed.
+    /// All prefixes to watch.
     pub fn all_watched(&self) -> Vec<WatchedPrefix> {
         let mut watched = self.watched.clone();
         watched.push(WatchedPrefix {
@@ -57,35 +57,35 @@
     }
 }
 
-/// What the thread needs.
+/// Settings of the store thread.
 #[derive(Debug)]
 pub struct StoreSettings {
-    /// Makes the operations, on the thread's own runtime.
+    /// Constructor of the operations; called on the thread's own runtime.
     pub connect: fn(std::net::SocketAddr) -> StoreOps,
     /// Address of the store.
     pub address: std::net::SocketAddr,
-    /// Turns items into news.
+    /// Decoder of the adapter.
     pub decoder: Decoder,
-    /// Where things stand.
+    /// Key prefixes.
     pub keys: StoreKeys,
-    /// This instance's own entry.
+    /// Entry of this instance.
     pub entry: MemberEntry,
 }
 
-/// Ways to and from the thread.
+/// Channels to and from the store thread.
 #[derive(Debug)]
 pub struct StoreHandle {
-    /// Events in the order in which they happened.
+    /// Events, in the order in which they occurred.
     pub events: Receiver<StoreEvent>,
-    /// States to record.
+    /// Verdicts to record.
     pub record: Sender<VerdictRecord>,
-    /// Whether this instance watches the store, or hears of changes from others.
+    /// Whether this instance watches the store itself, or receives changes from other instances.
     pub is_watcher: watch::Sender<bool>,
-    /// Ends once the own entry was removed.
+    /// Handle of the thread, which ends once this instance's entry was removed.
     pub thread: thread::JoinHandle<()>,
 }
 
-/// What the tasks of the thread share.
+/// State shared by the tasks of the store thread.
 #[derive(Clone)]
 pub(super) struct Context {
     pub(super) ops: Arc<StoreOps>,
@@ -94,21 +94,21 @@
     pub(super) is_lost: Arc<AtomicBool>,
 }
 
-/// Starts the thread. `stop` removes the own entry and ends the thread.
+/// Starts the store thread. `stop` makes it remove this instance's entry and end.
 ///
 /// # Errors
 ///
 /// Fails if no thread or runtime can be started.
 pub fn start(settings: StoreSettings, stop: CancellationToken) -> io::Result<StoreHandle> {
-    let (events_in, events) = mpsc::channel(EVENTS_RING);
-    let (record, asked) = mpsc::channel(ASKS_RING);
-    let (is_watcher, watching) = watch::channel(true);
+    let (events_in, events) = mpsc::channel(EVENTS_CAPACITY);
+    let (record, to_record) = mpsc::channel(RECORDS_CAPACITY);
+    let (is_watcher, watcher_rx) = watch::channel(true);
     let runtime = runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let thread = thread::Builder::new()
         .name("store".to_owned())
-        .spawn(move || runtime.block_on(run(settings, events_in, asked, watching, stop)))?;
+        .spawn(move || runtime.block_on(run(settings, events_in, to_record, watcher_rx, stop)))?;
     Ok(StoreHandle {
         events,
         record,
@@ -120,8 +120,8 @@
 async fn run(
     settings: StoreSettings,
     events: Sender<StoreEvent>,
-    mut asked: Receiver<VerdictRecord>,
-    watching: watch::Receiver<bool>,
+    mut to_record: Receiver<VerdictRecord>,
+    watcher_rx: watch::Receiver<bool>,
     stop: CancellationToken,
 ) {
     let context = Context {
@@ -131,22 +131,22 @@
         is_lost: Arc::new(AtomicBool::new(false)),
     };
     let watched = settings.keys.all_watched().into_iter();
-    let mut followers: Vec<_> = watched
-        .map(|watched| tokio::spawn(follow::follow(context.clone(), watched, watching.clone())))
+    let mut tasks: Vec<_> = watched
+        .map(|watched| tokio::spawn(follow::follow(context.clone(), watched, watcher_rx.clone())))
         .collect();
     let recording = {
         let (context, prefix) = (context.clone(), settings.keys.verdicts.clone());
         tokio::spawn(async move {
-            while let Some(wanted) = asked.recv().await {
+            while let Some(wanted) = to_record.recv().await {
                 let key = format!("{prefix}{}", wanted.service);
                 verdict::record(&context, &key, &wanted).await;
             }
         })
     };
-    followers.push(recording);
+    tasks.push(recording);
     let key = format!("{}{}", settings.keys.members, settings.entry.name);
-    own_entry::keep(context, key, settings.entry, stop).await;
-    for follower in followers {
-        follower.abort();
+    own_entry::register(context, key, settings.entry, stop).await;
+    for task in tasks {
+        task.abort();
     }
 }
--- a/crates/edge/src/store/update.rs
+++ b/crates/edge/src/store/update.rs
@@ -1,4 +1,4 @@
-//! What the store tells, in the project's words.
+//! Updates from the store as typed values.
 
 use super::{Changes, Listing, StoreError};
 use crate::{
@@ -9,66 +9,66 @@
 };
 use std::sync::Arc;
 
-/// A change of the members' entries.
+/// A change of an instance's entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberChange {
     /// An entry was written.
     Written(MemberEntry),
-    /// The entry of this name is gone.
+    /// The entry of the instance with this name was removed.
     Removed(Arc<str>),
 }
 
-/// One piece of news.
+/// One decoded update from the store.
 #[derive(Clone, Debug)]
 pub enum StoreUpdate {
-    /// A version of the configuration.
+    /// A new version of the configuration.
     Config(Box<ConfigParts>),
-    /// The configuration's entry cannot be used.
+    /// The configuration's entry is invalid, for this reason.
     ConfigInvalid(String),
-    /// A data centre is evacuated, or no longer.
+    /// A data centre is evacuated (true) or in use again (false).
     Evacuated(Arc<str>, bool),
-    /// A move to a new version was ordered.
+    /// A rollout was ordered.
     Ordered(RolloutOrder),
-    /// The order for this service was taken back.
+    /// The rollout order for this service was removed.
     OrderRemoved(Arc<str>),
-    /// A verdict on a move: service, target, verdict.
+    /// The verdict on a rollout: service, target version, verdict.
     Verdict(Arc<str>, Arc<str>, Verdict),
-    /// An entry of an upstream.
+    /// The entry of an upstream was written.
     Upstream(UpstreamEntry),
-    /// The entry of this upstream is gone.
+    /// The entry of this upstream was removed.
     UpstreamRemoved(Arc<str>),
-    /// A change of the members.
+    /// The entry of an instance was written or removed.
     Member(MemberChange),
-    /// An entry that names nothing to use: key and reason.
+    /// An entry that is ignored: key and reason.
     Ignored(String, String),
 }
 
-/// What the thread of the store tells.
+/// Event from the store thread.
 #[derive(Clone, Debug)]
 pub enum StoreEvent {
-    /// All items below a prefix were read.
+    /// Listing of all items below a prefix.
     Listed(String, Listing),
-    /// Changes below a prefix, perhaps none.
+    /// Changes below a prefix, possibly none.
     Changed(String, Changes),
-    /// The store does not answer any more.
+    /// The store has become unreachable, for this reason.
     Lost(String),
-    /// The store answers again.
+    /// The store is reachable again.
     Recovered,
-    /// This instance's lease has lapsed.
+    /// This instance's lease has expired or could not be ended.
     LeaseLost(String),
-    /// A verdict on a move stands.
+    /// The verdict on a rollout is recorded.
     Recorded(StoreUpdate),
     /// A verdict could not be recorded: service and reason.
     NotRecorded(Arc<str>, StoreError),
 }
 
-/// How the adapter turns items into news.
+/// Functions of the adapter that convert between items and updates.
 #[derive(Clone, Copy, Debug)]
 pub struct Decoder {
-    /// News of a written item.
+    /// Decodes a written item.
     pub written: fn(&str, &[u8]) -> StoreUpdate,
-    /// News of a removed key.
+    /// Decodes the removal of a key.
     pub removed: fn(&str) -> Option<StoreUpdate>,
-    /// The stored form of a verdict on a target.
+    /// Encodes the verdict on a target version for storage.
     pub encode_verdict: fn(&str, Verdict) -> Vec<u8>,
 }
--- a/crates/edge/src/store/verdict.rs
+++ b/crates/edge/src/store/verdict.rs
@@ -1,4 +1,4 @@
-//! Recording the state of a move to a new version.
+//! Recording of verdicts on rollouts.
 
 use super::{
     backoff::Backoff, task::Context, Commit, Expected, Item, StoreError, StoreEvent, StoreUpdate,
@@ -8,27 +8,27 @@
 use std::{sync::Arc, time::Duration};
 use tokio::time::sleep;
 
-/// Times that a write is tried before the next decision about it.
-const TRIES: u32 = 6;
+/// Attempts of a write before it is left to the next periodic check of the trial.
+const MAX_ATTEMPTS: u32 = 6;
 
-/// One state to record.
+/// Verdict to record.
 #[derive(Clone, Debug)]
 pub struct VerdictRecord {
-    /// Service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Version that it moves to.
+    /// Target version of the rollout.
     pub target: Arc<str>,
-    /// State.
+    /// Verdict on the rollout.
     pub verdict: Verdict,
 }
 
-/// Records a state, unless a verdict on the same target stands already.
+/// Records a verdict, unless a final one on the same target is recorded already.
 pub(super) async fn record(context: &Context, key: &str, wanted: &VerdictRecord) {
     let mut backoff = Backoff::default();
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match try_record(context, key, wanted).await {
-            Ok(news) => {
-                context.send(StoreEvent::Recorded(news)).await;
+            Ok(update) => {
+                context.send(StoreEvent::Recorded(update)).await;
                 return;
             }
             Err(StoreError::Conflict) => {}
@@ -51,11 +51,11 @@
         Err(StoreError::NotFound) => None,
         Err(err) => return Err(err),
     };
-    if let Some(standing) = known
+    if let Some(recorded) = known
         .as_ref()
-        .and_then(|item| standing(context, item, wanted))
+        .and_then(|item| recorded(context, item, wanted))
     {
-        return Ok(standing);
+        return Ok(recorded);
     }
     let expected = Expected {
         key: key.to_owned(),
@@ -76,13 +76,13 @@
     Ok(StoreUpdate::Verdict(service, target, wanted.verdict))
 }
 
-/// The news of what stands already, if it goes before what is wanted.
-fn standing(context: &Context, item: &Item, wanted: &VerdictRecord) -> Option<StoreUpdate> {
-    let news = (context.decoder.written)(&item.key, &item.value);
-    match &news {
+/// The recorded verdict as an update, if it takes precedence over `wanted`.
+fn recorded(context: &Context, item: &Item, wanted: &VerdictRecord) -> Option<StoreUpdate> {
+    let update = (context.decoder.written)(&item.key, &item.value);
+    match &update {
         StoreUpdate::Verdict(_, target, verdict) if *target == wanted.target => {
             let is_final = *verdict != Verdict::Active || wanted.verdict == Verdict::Active;
-            is_final.then_some(news)
+            is_final.then_some(update)
         }
         _ => None,
     }
--- a/crates/edge/src/upstream/health.rs
+++ b/crates/edge/src/upstream/health.rs
@@ -1,81 +1,82 @@
-//! Ejection of upstreams that fail, and their return.
+//! Passive health checks: ejection of failing upstreams, and probes that end an ejection.
 
 use carobwheel_core::time::Millis;
 
-/// Failures in a row that eject an upstream.
-const FAILURES_TO_EJECT: u32 = 3;
-/// Share of failures, as a moving average, that ejects an upstream.
+/// Consecutive failures that eject an upstream.
+const EJECT_FAILURES: u32 = 3;
+/// Moving average of the share of failures that ejects an upstream.
 const EJECT_ERROR_SHARE: f64 = 0.45;
-/// Weight of one outcome in the moving averages.
-const OUTCOME_WEIGHT: f64 = 0.12;
-/// Outcomes that the share of failures needs before it counts.
+/// Weight of one outcome in the moving average of the share of failures.
+const ERROR_SHARE_WEIGHT: f64 = 0.12;
+/// Outcomes that are needed before the share of failures is considered.
 const MIN_OUTCOMES: u32 = 8;
-/// First time out of use, in milliseconds.
+/// Duration of the first ejection, in milliseconds; it doubles with each further one.
 const FIRST_EJECTION_MS: u64 = 1_000;
-/// Longest time out of use, in milliseconds.
-const LONGEST_EJECTION_MS: u64 = 6_000;
-/// Weight of one answer in the moving average of times.
-const TIME_WEIGHT: f64 = 0.15;
+/// Upper bound on the duration of an ejection, in milliseconds.
+const MAX_EJECTION_MS: u64 = 6_000;
+/// Weight of one response in the moving average of the time to the first byte.
+const FIRST_BYTE_WEIGHT: f64 = 0.15;
 
-/// How a request ended at an upstream, as far as it tells of the upstream's health.
+/// Outcome of a request at an upstream, as evidence of the upstream's health.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// Answered, `ms` milliseconds after it was sent (streams: to the first event).
+    /// The upstream responded; a stream counts as answered at its first event.
     Answered {
-        /// Milliseconds from sending to the first byte of the answer's body.
+        /// Milliseconds from sending to the first byte of the response body.
         ms: f64,
     },
-    /// The upstream answered with a failure of its own, or broke off.
+    /// The upstream responded with an error of its own, or closed the connection early.
     Failed,
-    /// No connection could be opened or the connection was reset before an answer.
+    /// The connection could not be opened, or was reset before a response.
     Unreachable,
-    /// The upstream refused: it is full.
+    /// The upstream refused the request because it is at capacity.
     Refused,
 }
 
-/// Health of one upstream as this instance has seen it.
+/// Health of one upstream as observed by this instance.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    failures_in_a_row: u32,
+    consecutive_failures: u32,
     outcomes: u32,
     error_share: f64,
     ejections: u32,
     ejected_until: Option<Millis>,
     /// Moving average of the time to the first byte, in milliseconds.
-    time_ms: Option<f64>,
-    /// A request that probes the upstream after an ejection is under way until then.
+    first_byte_ms: Option<f64>,
+    /// Time until which a probe request after an ejection is expected to be in flight.
     probing_until: Option<Millis>,
 }
 
 impl Health {
-    /// Takes note of an outcome. Returns true if the upstream is out of use from now on.
+    /// Records an outcome. Returns true if it ejects the upstream.
     pub fn record_outcome(&mut self, outcome: Outcome, now: Millis) -> bool {
         self.probing_until = None;
         match outcome {
             Outcome::Answered { ms } => {
-                self.failures_in_a_row = 0;
+                self.consecutive_failures = 0;
                 self.ejections = 0;
                 self.ejected_until = None;
-                self.average(0.0);
-                let time_ms = self.time_ms.unwrap_or(ms);
-                self.time_ms = Some(time_ms + TIME_WEIGHT * (ms - time_ms));
+                self.update_error_share(0.0);
+                let first_byte_ms = self.first_byte_ms.unwrap_or(ms);
+                self.first_byte_ms = Some(first_byte_ms + FIRST_BYTE_WEIGHT * (ms - first_byte_ms));
                 false
             }
             Outcome::Refused => false,
             Outcome::Failed => {
-                self.failures_in_a_row += 1;
-                self.average(1.0);
-                self.eject_if_bad(FAILURES_TO_EJECT, now)
+                self.consecutive_failures += 1;
+                self.update_error_share(1.0);
+                self.eject_if_failing(EJECT_FAILURES, now)
             }
             Outcome::Unreachable => {
-                self.failures_in_a_row += 1;
-                self.average(1.0);
-                self.eject_if_bad(1, now)
+                self.consecutive_failures += 1;
+                self.update_error_share(1.0);
+                self.eject_if_failing(1, now)
             }
         }
     }
 
-    /// Whether requests may go to the upstream. After an ejection one request at a time probes it.
+    /// Whether requests may be sent to the upstream. After an ejection it gets one probe request at
+    /// a time.
     pub fn is_usable(&self, now: Millis) -> bool {
         self.ejected_until.is_none_or(|until| now >= until)
             && self.probing_until.is_none_or(|until| now >= until)
@@ -86,8 +87,8 @@
         self.ejected_until.is_some()
     }
 
-    /// Takes note that a request is sent. `expected_ms` is the time after which a probe without an
-    /// outcome no longer keeps others away.
+    /// Records that a request is sent. A probe without an outcome blocks other requests for
+    /// `expected_ms` milliseconds.
     pub fn record_sent(&mut self, expected_ms: u64, now: Millis) {
         if self.is_probing() {
             self.probing_until = Some(now.plus(expected_ms));
@@ -96,7 +97,7 @@
 
     /// Moving average of the time to the first byte, in milliseconds, if any is known.
     pub fn first_byte_ms(&self) -> Option<f64> {
-        self.time_ms
+        self.first_byte_ms
     }
 
     /// Moving average of the share of failures.
@@ -104,20 +105,21 @@
         self.error_share
     }
 
-    fn average(&mut self, failure: f64) {
+    fn update_error_share(&mut self, failure: f64) {
         self.outcomes = self.outcomes.saturating_add(1);
-        self.error_share += OUTCOME_WEIGHT * (failure - self.error_share);
+        self.error_share += ERROR_SHARE_WEIGHT * (failure - self.error_share);
     }
 
-    fn eject_if_bad(&mut self, failures: u32, now: Millis) -> bool {
-        let is_bad_share = self.outcomes >= MIN_OUTCOMES && self.error_share >= EJECT_ERROR_SHARE;
-        if self.failures_in_a_row < failures && !is_bad_share {
+    fn eject_if_failing(&mut self, failures: u32, now: Millis) -> bool {
+        let is_share_exceeded =
+            self.outcomes >= MIN_OUTCOMES && self.error_share >= EJECT_ERROR_SHARE;
+        if self.consecutive_failures < failures && !is_share_exceeded {
             return false;
         }
-        let pause_ms = FIRST_EJECTION_MS << self.ejections.min(8);
+        let ejection_ms = FIRST_EJECTION_MS << self.ejections.min(8);
         self.ejections += 1;
-        self.ejected_until = Some(now.plus(pause_ms.min(LONGEST_EJECTION_MS)));
-        // A probe decides after the pause, not the average from before it.
+        self.ejected_until = Some(now.plus(ejection_ms.min(MAX_EJECTION_MS)));
+        // Lets the next probe decide, rather than the average from before the ejection.
         self.error_share = self.error_share.min(EJECT_ERROR_SHARE / 2.0);
         true
     }
--- a/crates/edge/src/upstream/load.rs
+++ b/crates/edge/src/upstream/load.rs
@@ -1,23 +1,23 @@
-//! Work that was sent to an upstream and has not ended.
+//! Load of an upstream by requests in flight.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{AddAssign, SubAssign};
 
-/// Work at one upstream.
+/// Load of one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests that have not ended.
+    /// Requests in flight.
     pub requests: u32,
-    /// Prompt tokens that are probably still to be read.
+    /// Prompt tokens that are probably still waiting for prefill.
     pub unread_tokens: u32,
-    /// Tokens of memory that the requests may take.
+    /// KV cache that the requests may fill, in tokens.
     pub kv_cache_tokens: u32,
-    /// Prompt tokens sent for reading in a second.
+    /// Rate of prompt tokens sent for prefill, per second.
     pub prefill_tokens_per_s: u32,
 }
 
 impl Load {
-    /// Whether there is no work.
+    /// Whether all fields are zero.
     pub fn is_idle(&self) -> bool {
         *self == Self::default()
     }
@@ -34,7 +34,7 @@
     }
 }
 
-/// Takes away work that has ended; the rate falls by itself.
+/// Removes the load of requests that have ended; the prefill rate decays on its own.
 impl SubAssign for Load {
     fn sub_assign(&mut self, other: Self) {
         self.requests = self.requests.saturating_sub(other.requests);
--- a/crates/edge/src/upstream/mod.rs
+++ b/crates/edge/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! What an instance believes of the upstreams: which there are, how busy and how sound they are.
+//! An instance's view of the upstreams: their entries, load and health.
 
 mod health;
 mod load;
--- a/crates/edge/src/upstream/state.rs
+++ b/crates/edge/src/upstream/state.rs
@@ -1,61 +1,61 @@
-//! The upstreams by identifier, with the decisions about when one may be used.
+//! Table of upstreams, and the rules for when one takes requests.
 
 use super::{Health, Load};
 use crate::{cold::ColdGate, hash::short_hash, place::PrefixCache, rate::MeanRate};
 use carobwheel_core::time::Millis;
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
-/// Time for which an entry may be missing after the store was away, in milliseconds.
-const RETURN_GRACE_MS: u64 = 2_300;
-/// Time for which a leaving upstream may still get requests if there is no other, in milliseconds.
-const LEAVING_USE_MS: u64 = 1_500;
-/// Age of a peer's report of its work after which it no longer counts, in milliseconds.
-const REPORT_AGE_MS: u64 = 1_500;
-/// Prompt tokens that an engine reads in a millisecond, before any measurement.
-const START_TOKENS_PER_MS: f64 = 40.0;
-/// Weight of one measurement of the reading speed.
-const SPEED_WEIGHT: f64 = 0.1;
+/// Time for which an entry may be missing after an outage of the store, in milliseconds.
+const REAPPEAR_GRACE_MS: u64 = 2_300;
+/// Time for which a draining upstream may get requests if there is no other, in milliseconds.
+const DRAINING_USE_MS: u64 = 1_500;
+/// Maximum age of a peer's load report, in milliseconds.
+const MAX_REPORT_AGE_MS: u64 = 1_500;
+/// Assumed prefill speed of an engine without measurements, in tokens a millisecond.
+const DEFAULT_PREFILL_TOKENS_PER_MS: f64 = 40.0;
+/// Weight of one measurement in the moving average of the prefill speed.
+const PREFILL_SPEED_WEIGHT: f64 = 0.1;
 
-/// Whether an upstream takes part.
+/// Lifecycle stage that an upstream reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// Takes requests.
     Ready,
-    /// Is leaving.
+    /// Takes no new requests and is about to stop.
     Draining,
 }
 
-/// What an upstream says of itself.
+/// Registration entry of an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamEntry {
     /// Identifier of the upstream.
     pub id: Arc<str>,
-    /// Service that it belongs to.
+    /// Service of the upstream.
     pub service: Arc<str>,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Data centre that it stands in.
+    /// Data centre of the upstream.
     pub data_centre: Arc<str>,
     /// Version of its software.
     pub version: Arc<str>,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes part.
+    /// Lifecycle stage.
     pub stage: Stage,
-    /// How much longer it stays cold, in milliseconds.
+    /// Remaining time for which it is cold, in milliseconds.
     pub cold_left_ms: u64,
-    /// Time until it is gone, in milliseconds, where it leaves at short notice.
+    /// Time until it is stopped, in milliseconds, if it leaves at short notice.
     pub time_left_ms: Option<u64>,
-    /// Its start in civil time, in milliseconds, where it is told.
+    /// Start time of its process as Unix time in milliseconds, if known.
     pub started_unix_ms: Option<u64>,
 }
 
-/// Why an upstream is used or not.
+/// Reason why an upstream is usable or not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// It may be used.
     Usable,
-    /// It is leaving or gone.
+    /// It is draining or gone.
     Leaving,
     /// It was ejected after failures.
     Ejected,
@@ -65,37 +65,37 @@
     Version,
 }
 
-/// One upstream.
+/// One upstream with its load and health.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// What it said last.
+    /// Latest registration entry.
     pub entry: UpstreamEntry,
-    /// Short name of it in messages between instances.
+    /// Short hash that identifies it in messages between instances.
     pub hash: u32,
-    /// Region that it stands in.
+    /// Region of its data centre.
     pub region: Arc<str>,
-    /// When it was first seen as leaving or gone.
+    /// Time at which it was first seen as draining or gone.
     pub leaving_at: Option<Millis>,
-    /// Its entry is missing; it counts as gone then.
+    /// Time from which it counts as gone; set while its entry is missing.
     pub gone_at: Option<Millis>,
-    /// Work of this instance.
+    /// Load by requests of this instance, without the prefill rate.
     pub own: Load,
-    /// Rate of prompt tokens that this instance sends.
+    /// Rate of prompt tokens that this instance sends for prefill.
     pub prefill_rate: MeanRate,
-    /// Work of other instances, by their names, and when it was reported.
+    /// Load by requests of other instances and the time of its report, by instance name.
     pub peer_loads: HashMap<Arc<str>, (Load, Millis)>,
-    /// Health as this instance has seen it.
+    /// Health as observed by this instance.
     pub health: Health,
-    /// Parts of prompts that it probably holds.
+    /// Prompt parts that it probably has cached.
     pub cache: PrefixCache,
-    /// Bound on requests while it is cold.
+    /// Rate limit on this instance's requests while the upstream is cold.
     pub cold: ColdGate,
-    /// Prompt tokens that it reads in a millisecond.
+    /// Moving average of its prefill speed, in tokens a millisecond.
     pub prefill_tokens_per_ms: f64,
 }
 
 impl Upstream {
-    /// Work of this instance, with its rate.
+    /// Load by requests of this instance, including the prefill rate.
     pub fn own_load(&self, now: Millis) -> Load {
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let prefill_tokens_per_s = self.prefill_rate.per_s(now) as u32;
@@ -105,38 +105,39 @@
         }
     }
 
-    /// Part of the time that the upstream spends reading prompts.
+    /// Share of its time that the upstream spends on prefill.
     pub fn prefill_share(&self, now: Millis) -> f64 {
         f64::from(self.load(now).prefill_tokens_per_s) / (self.prefill_tokens_per_ms * 1_000.0)
     }
 
-    /// Work of all instances that is known at `now`.
+    /// Load by requests of all instances with a current report.
     pub fn load(&self, now: Millis) -> Load {
         let mut load = self.own_load(now);
         for (other, reported_at) in self.peer_loads.values() {
-            if now.since(*reported_at) <= REPORT_AGE_MS {
+            if now.since(*reported_at) <= MAX_REPORT_AGE_MS {
                 load += *other;
             }
         }
         load
     }
 
-    /// Takes note that `tokens` were read within `ms` milliseconds.
+    /// Adds a measurement: a prefill of `tokens` took `ms` milliseconds.
     pub fn record_prefill_speed(&mut self, tokens: f64, ms: f64) {
         let sample = (tokens / ms.max(1.0)).clamp(5.0, 200.0);
-        self.prefill_tokens_per_ms += SPEED_WEIGHT * (sample - self.prefill_tokens_per_ms);
+        self.prefill_tokens_per_ms += PREFILL_SPEED_WEIGHT * (sample - self.prefill_tokens_per_ms);
     }
 
-    /// Whether it takes new requests; a leaving one only for a short time and as the last resort.
+    /// Whether it takes new requests. A draining upstream does so only for a short time, and only
+    /// as the last resort.
     pub fn accepts_requests(&self, is_last_resort: bool, now: Millis) -> bool {
         match self.leaving_at {
             None => true,
-            Some(at) => is_last_resort && now.since(at) < LEAVING_USE_MS,
+            Some(at) => is_last_resort && now.since(at) < DRAINING_USE_MS,
         }
     }
 }
 
-/// All upstreams that are known.
+/// All known upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct Upstreams {
     /// Upstreams by identifier.
@@ -144,8 +145,8 @@
 }
 
 impl Upstreams {
-    /// Takes note of an entry. `memory_tokens` is the size of its cache, 0 where it has none.
-    /// Returns true if anything changed that concerns requests.
+    /// Adds or updates the entry of an upstream whose KV cache holds `kv_cache_tokens` (0 if it has
+    /// none). Returns true if the entry is new, has changed or had been missing.
     pub fn update_entry(
         &mut self,
         entry: UpstreamEntry,
@@ -154,7 +155,7 @@
         now: Millis,
     ) -> bool {
         let leaving_at = (entry.stage == Stage::Draining).then_some(now);
-        let is_same_life = |known: &Upstream| {
+        let is_same_process = |known: &Upstream| {
             known.entry.address == entry.address
                 && known.entry.service == entry.service
                 && known.entry.started_unix_ms == entry.started_unix_ms
@@ -162,7 +163,7 @@
         if let Some(known) = self
             .by_id
             .get_mut(&entry.id)
-            .filter(|known| is_same_life(known))
+            .filter(|known| is_same_process(known))
         {
             let is_change = known.entry != entry || known.gone_at.is_some();
             known.cold.set_remaining(entry.cold_left_ms, now);
@@ -184,28 +185,29 @@
             health: Health::default(),
             cache: PrefixCache::new(kv_cache_tokens),
             cold,
-            prefill_tokens_per_ms: START_TOKENS_PER_MS,
+            prefill_tokens_per_ms: DEFAULT_PREFILL_TOKENS_PER_MS,
             entry,
         };
         self.by_id.insert(Arc::clone(&upstream.entry.id), upstream);
         true
     }
 
-    /// Takes note that the entry of `id` is gone. After an outage of the store it has a short time
-    /// to come back.
+    /// Records that the entry of `id` was removed. After an outage of the store the upstream stays
+    /// usable for a short time, in which the entry may reappear.
     pub fn entry_removed(&mut self, id: &str, is_after_outage: bool, now: Millis) {
         let Some(upstream) = self.by_id.get_mut(id) else {
             return;
         };
         if is_after_outage && upstream.leaving_at.is_none() {
-            upstream.gone_at.get_or_insert(now.plus(RETURN_GRACE_MS));
+            upstream.gone_at.get_or_insert(now.plus(REAPPEAR_GRACE_MS));
         } else {
             upstream.leaving_at.get_or_insert(now);
             upstream.gone_at = Some(now);
         }
     }
 
-    /// Forgets upstreams that are gone and have no work left. Returns their identifiers.
+    /// Removes upstreams that are gone and have no requests of this instance in flight. Returns
+    /// their identifiers.
     pub fn sweep(&mut self, now: Millis) -> Vec<Arc<str>> {
         for upstream in self.by_id.values_mut() {
             if upstream.gone_at.is_some_and(|at| now >= at) {
@@ -213,20 +215,20 @@
             }
             upstream
                 .peer_loads
-                .retain(|_, (_, at)| now.since(*at) <= REPORT_AGE_MS);
+                .retain(|_, (_, at)| now.since(*at) <= MAX_REPORT_AGE_MS);
         }
-        let is_over = |upstream: &Upstream| {
+        let is_removable = |upstream: &Upstream| {
             upstream.gone_at.is_some_and(|at| now >= at) && upstream.own.requests == 0
         };
-        let over: Vec<_> = self
+        let removed: Vec<_> = self
             .by_id
             .values()
-            .filter(|upstream| is_over(upstream))
+            .filter(|upstream| is_removable(upstream))
             .map(|upstream| Arc::clone(&upstream.entry.id))
             .collect();
-        for id in &over {
+        for id in &removed {
             self.by_id.remove(id);
         }
-        over
+        removed
     }
 }
--- a/crates/edge/tests/limit_fleet.rs
+++ b/crates/edge/tests/limit_fleet.rs
@@ -1,4 +1,4 @@
-//! Limits over several instances that hear each other late, or not at all.
+//! Rate limits over several instances whose reports are delayed or lost.
 
 #![allow(clippy::unwrap_used)]
 
@@ -15,13 +15,14 @@
     burst_tokens: 180_000.0,
     slack_tokens: EXTRA_TOKENS / 2.0,
 };
-/// What a deployment allows besides rate and burst.
+/// Share and tokens by which a deployment allows rate and burst to be exceeded.
 const OVER_SHARE: f64 = 0.1;
 const EXTRA_TOKENS: f64 = 110_000.0;
 
-/// Most tokens that were taken within one window, when all instances ask for `load` times the
-/// rate together, hear each other after `delay_ms`, and cannot from 6 s to 14 s if `is_cut`.
-fn most_in_window(seed: u64, load: f64, delay_ms: u64, is_cut: bool) -> f64 {
+/// Maximum number of tokens granted within one window. All instances together request `load` times
+/// the rate, and receive each other's reports after `delay_ms`, or not at all from 6 s to 14 s if
+/// `is_partitioned`.
+fn max_in_window(seed: u64, load: f64, delay_ms: u64, is_partitioned: bool) -> f64 {
     let mut rng = StdRng::seed_from_u64(seed);
     let start = Fleet {
         instances: INSTANCES,
@@ -33,12 +34,12 @@
     let names: Vec<Arc<str>> = (0..INSTANCES)
         .map(|n| format!("i{n}").as_str().into())
         .collect();
-    let mut taken: Vec<(u64, f64)> = Vec::new();
-    let mut told: Vec<(u64, usize, u64)> = Vec::new();
+    let mut granted: Vec<(u64, f64)> = Vec::new();
+    let mut reports: Vec<(u64, usize, u64)> = Vec::new();
     for now in (0..20_000).step_by(10) {
-        let is_cut_now = is_cut && (6_000..14_000).contains(&now);
-        // A silence shows after 700 ms.
-        let is_silent = is_cut && (6_700..14_000).contains(&now);
+        let is_partitioned_now = is_partitioned && (6_000..14_000).contains(&now);
+        // The loss of contact is detected after 700 ms.
+        let is_silent = is_partitioned && (6_700..14_000).contains(&now);
         let fleet = Fleet {
             instances: INSTANCES,
             reachable: if is_silent { 1 } else { INSTANCES },
@@ -48,50 +49,53 @@
             let per_step = load * LIMIT.tokens_per_s / 100.0 / INSTANCES as f64;
             let is_request = rng.random::<f64>() < per_step / 1_550.0;
             if is_request && bucket.take(tokens, &LIMIT, fleet, Millis(now)).is_ok() {
-                taken.push((now, tokens as f64));
+                granted.push((now, tokens as f64));
             }
-            if now % 100 == 0 && !is_cut_now {
-                told.push((now + delay_ms, n, bucket.requested_tokens()));
+            if now % 100 == 0 && !is_partitioned_now {
+                reports.push((now + delay_ms, n, bucket.requested_tokens()));
             }
         }
-        told.retain(|(at, from, asked)| {
+        reports.retain(|(at, from, requested)| {
             if *at > now {
                 return true;
             }
             for (n, bucket) in buckets.iter_mut().enumerate() {
                 if n != *from {
-                    bucket.update_peer_demand(&names[*from], 1, *asked, Millis(now));
+                    bucket.update_peer_demand(&names[*from], 1, *requested, Millis(now));
                 }
             }
             false
         });
     }
-    let mut most = 0.0_f64;
-    for (first, _) in &taken {
-        let window = taken
+    let mut max_granted = 0.0_f64;
+    for (first, _) in &granted {
+        let window = granted
             .iter()
             .filter(|(at, _)| (*first..first + WINDOW_MS).contains(at));
-        most = most.max(window.map(|(_, tokens)| tokens).sum());
+        max_granted = max_granted.max(window.map(|(_, tokens)| tokens).sum());
     }
-    most
+    max_granted
 }
 
-#[test_case(1.5, 20, false; "near, above the rate")]
-#[test_case(5.0, 20, false; "near, far above the rate")]
-#[test_case(5.0, 330, false; "far away, far above the rate")]
-#[test_case(5.0, 330, true; "cut off from each other")]
-fn the_fleet_keeps_the_limit(load: f64, delay_ms: u64, is_cut: bool) {
+#[test_case(1.5, 20, false; "in one region, above the rate")]
+#[test_case(5.0, 20, false; "in one region, far above the rate")]
+#[test_case(5.0, 330, false; "in another region, far above the rate")]
+#[test_case(5.0, 330, true; "during a network partition")]
+fn fleet_stays_within_the_rate_limit(load: f64, delay_ms: u64, is_partitioned: bool) {
     let window_s = WINDOW_MS as f64 / 1_000.0;
     let rated = LIMIT.tokens_per_s * window_s + LIMIT.burst_tokens;
     let allowed = rated * (1.0 + OVER_SHARE) + EXTRA_TOKENS;
     for seed in 0..10 {
-        let most = most_in_window(seed, load, delay_ms, is_cut);
-        assert!(most <= allowed, "seed {seed}: {most} of {allowed}");
+        let max_granted = max_in_window(seed, load, delay_ms, is_partitioned);
+        assert!(
+            max_granted <= allowed,
+            "seed {seed}: {max_granted} of {allowed}"
+        );
     }
 }
 
 #[test]
-fn an_account_below_its_rate_is_never_refused() {
+fn account_below_its_rate_is_never_refused() {
     for seed in 0..10 {
         let mut rng = StdRng::seed_from_u64(seed);
         let fleet = Fleet {
@@ -110,7 +114,7 @@
 }
 
 #[test]
-fn a_refusal_tells_when_the_tokens_are_there() {
+fn refusal_returns_the_time_until_tokens_are_available() {
     let limit = AccountLimit {
         slack_tokens: 0.0,
         ..LIMIT
--- a/crates/edge/tests/place_load.rs
+++ b/crates/edge/tests/place_load.rs
@@ -1,4 +1,4 @@
-//! Placing under load, with engines played by a small model of batches.
+//! Placement under load, with engines simulated by a simple batching model.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,9 +10,9 @@
 use rand::{rngs::StdRng, Rng as _, SeedableRng as _};
 use std::{collections::HashSet, sync::Arc};
 
-const MEMORY_TOKENS: u64 = 230_000;
+const KV_CACHE_TOKENS: u64 = 230_000;
 
-fn sighting(id: &str, zone: &str, version: &str) -> UpstreamEntry {
+fn entry(id: &str, zone: &str, version: &str) -> UpstreamEntry {
     UpstreamEntry {
         id: id.into(),
         service: "model".into(),
@@ -30,19 +30,19 @@
 fn upstreams(count: usize) -> Upstreams {
     let mut upstreams = Upstreams::default();
     for n in 0..count {
-        let seen = sighting(&format!("i-{n}"), "a", "v1");
-        upstreams.update_entry(seen, &Arc::from("north"), MEMORY_TOKENS, Millis(0));
+        let new_entry = entry(&format!("i-{n}"), "a", "v1");
+        upstreams.update_entry(new_entry, &Arc::from("north"), KV_CACHE_TOKENS, Millis(0));
     }
     upstreams
 }
 
-fn briefing(session: u64, own: u64) -> InferenceJob {
+fn briefing(session: u64, own_id: u64) -> InferenceJob {
     let part = |id: u64, tokens: u32| PromptPart { id, tokens };
     InferenceJob {
         parts: vec![
             part(session % 4, 2_520),
             part(100 + session, 3_780),
-            part(own, 2_890),
+            part(own_id, 2_890),
         ],
         prompt_tokens: 9_190,
         max_output_tokens: 50,
@@ -67,7 +67,7 @@
         evacuated,
         is_version_allowed: &|version| version == "v1",
         is_cold_user: &|_| true,
-        kv_cache_tokens: MEMORY_TOKENS,
+        kv_cache_tokens: KV_CACHE_TOKENS,
         tried,
         sample_size: 0,
         decode_share: None,
@@ -82,9 +82,9 @@
     }
 }
 
-/// Plays briefings of 100 sessions at `per_s`; returns the share of shared tokens that were read
-/// again, and the most requests that one engine got, over the mean.
-fn play(per_s: u64, seed: u64) -> (f64, f64) {
+/// Simulates briefings of 100 sessions at `per_s` requests a second. Returns the share of shared
+/// tokens that needed a repeated prefill, and the requests of the busiest engine over the mean.
+fn simulate(per_s: u64, seed: u64) -> (f64, f64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut upstreams = upstreams(5);
     let (mut read, mut shared) = (0.0, 0.0);
@@ -105,46 +105,46 @@
             continue;
         };
         let upstream = upstreams.by_id.get_mut(&placed.id).unwrap();
-        let held = upstream.cache.cached_prefix_tokens(&job.parts);
-        // The first reading of a part by any engine cannot be saved.
+        let cached_tokens = upstream.cache.cached_prefix_tokens(&job.parts);
+        // The first prefill of a part is unavoidable.
         let shared_parts = job.parts[..2].iter();
         let known: u32 = shared_parts
             .filter(|part| !seen.insert(part.id))
             .map(|part| part.tokens)
             .sum();
-        read += f64::from(known.saturating_sub(held));
+        read += f64::from(known.saturating_sub(cached_tokens));
         shared += f64::from(known);
         upstream.cache.insert(&job.parts);
         upstream.own += placed.load;
         upstream
             .prefill_rate
-            .add(f64::from(9_190 - held), Millis(now));
+            .add(f64::from(9_190 - cached_tokens), Millis(now));
         let unread_ms = u64::from(upstream.own.unread_tokens) / 56;
         running.push((now + unread_ms + 200, Arc::clone(&placed.id), placed.load));
         counts[placed.id[2..].parse::<usize>().unwrap()] += 1;
     }
-    let most = f64::from(*counts.iter().max().unwrap());
+    let max_count = f64::from(*counts.iter().max().unwrap());
     let mean = f64::from(counts.iter().sum::<u32>()) / 5.0;
-    (read / shared, most / mean)
+    (read / shared, max_count / mean)
 }
 
 #[test]
-fn sessions_return_to_the_engine_that_holds_their_parts() {
+fn sessions_return_to_the_engine_with_their_cached_parts() {
     for seed in 0..5 {
-        let (read_again, imbalance) = play(15, seed);
+        let (prefilled_again, imbalance) = simulate(15, seed);
         assert!(
-            read_again < 0.25,
-            "seed {seed}: {read_again} of the shared tokens read again"
+            prefilled_again < 0.25,
+            "seed {seed}: {prefilled_again} of the shared tokens prefilled again"
         );
         assert!(
             imbalance < 1.6,
-            "seed {seed}: busiest over mean {imbalance}"
+            "seed {seed}: requests of the busiest engine over the mean: {imbalance}"
         );
     }
 }
 
 #[test]
-fn a_queue_sends_a_session_elsewhere() {
+fn long_queue_outweighs_cached_parts() {
     let mut upstreams = upstreams(2);
     let job = briefing(1, 1);
     let preferred = id_of(place(&upstreams, &job, Millis(0)));
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn an_ejected_engine_gets_nothing_while_others_are_sound() {
+fn ejected_engine_gets_no_requests_while_others_are_healthy() {
     let mut upstreams = upstreams(3);
     let job = briefing(1, 1);
     let bad = id_of(place(&upstreams, &job, Millis(0)));
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn when_all_are_ejected_all_are_used() {
+fn all_engines_are_used_when_all_are_ejected() {
     let mut upstreams = upstreams(3);
     for upstream in upstreams.by_id.values_mut() {
         upstream
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn an_evacuated_data_centre_gets_nothing() {
+fn evacuated_data_centre_gets_no_requests() {
     let upstreams = upstreams(2);
     let evacuated = HashSet::from([Arc::from("a")]);
     let choice = place_with(&upstreams, &briefing(1, 1), Millis(0), &evacuated, &[]);
@@ -189,11 +189,11 @@
 }
 
 #[test]
-fn a_cold_engine_gets_its_rate_and_no_more() {
+fn cold_engine_is_limited_to_its_rate() {
     let mut upstreams = upstreams(1);
-    let mut seen = sighting("i-0", "a", "v1");
-    seen.cold_left_ms = 3_000;
-    upstreams.update_entry(seen, &Arc::from("north"), MEMORY_TOKENS, Millis(0));
+    let mut cold_entry = entry("i-0", "a", "v1");
+    cold_entry.cold_left_ms = 3_000;
+    upstreams.update_entry(cold_entry, &Arc::from("north"), KV_CACHE_TOKENS, Millis(0));
     let mut sent = 0;
     for now in 0..1_000 {
         if let Choice::Placed(placed) = place(&upstreams, &briefing(1, 1), Millis(now)) {
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn low_ranks_wait_while_engines_read_for_most_of_their_time() {
+fn low_priority_jobs_wait_while_engines_are_busy_with_prefill() {
     let mut upstreams = upstreams(1);
     let upstream = upstreams.by_id.get_mut("i-0").unwrap();
     upstream
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn low_ranks_do_not_join_a_long_queue_but_may_be_large() {
+fn low_priority_jobs_avoid_long_queues_but_may_be_large() {
     let mut upstreams = upstreams(1);
     let aim_ms = 800;
     let mut job = briefing(1, 1);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn an_entry_that_lapsed_in_an_outage_has_time_to_come_back() {
+fn entry_removed_in_an_outage_may_reappear() {
     let mut upstreams = upstreams(1);
     upstreams.entry_removed("i-0", true, Millis(0));
     assert!(upstreams.sweep(Millis(1_000)).is_empty());
@@ -245,7 +245,7 @@
     );
 }
 
-/// A request at an engine of the model below.
+/// Request running on a simulated engine.
 struct Running {
     id: usize,
     unread: f64,
@@ -253,7 +253,7 @@
     started: u64,
 }
 
-/// An engine that reads prompts in chunks between the steps that make a token of each answer.
+/// Simulated engine with chunked prefill between decode steps.
 #[derive(Default)]
 struct Batch {
     running: Vec<Running>,
@@ -261,8 +261,9 @@
 }
 
 impl Batch {
-    /// Plays steps until `now`; calls `read` and `ended` with requests that got so far, and when.
-    fn play(
+    /// Simulates steps until `now`. Calls `read` and `ended` for requests that reach that point,
+    /// the latter with the time.
+    fn run_until(
         &mut self,
         now: f64,
         read: &mut dyn FnMut(&Running),
@@ -300,21 +301,21 @@
     }
 }
 
-fn chat(own: u64) -> InferenceJob {
+fn chat(own_id: u64) -> InferenceJob {
     let part = |id: u64, tokens: u32| PromptPart { id, tokens };
     InferenceJob {
-        parts: vec![part(1, 198), part(own, 628)],
+        parts: vec![part(1, 198), part(own_id, 628)],
         prompt_tokens: 826,
         max_output_tokens: 600,
         is_yielding: false,
     }
 }
 
-/// Plays briefings and chats with long answers on ten engines of one region for 40 s. Returns the
-/// share of chats that end within 12 s, and of briefings whose first token comes within 1 s.
-fn play_both_kinds(is_divided: bool, seed: u64) -> (f64, f64) {
+/// Simulates briefings, and chats with long outputs, on ten engines of one region for 40 s. Returns
+/// the share of chats that end within 12 s, and of briefings whose first token comes within 1 s.
+fn simulate_both_kinds(is_partitioned: bool, seed: u64) -> (f64, f64) {
     const ENGINES: usize = 10;
-    // Later requests have no time to end before the play does.
+    // Later requests may not end before the simulation does.
     const COUNTED_MS: u64 = 26_000;
     let mut rng = StdRng::seed_from_u64(seed);
     let mut upstreams = upstreams(ENGINES);
@@ -330,25 +331,25 @@
         for (engine, batch) in batches.iter_mut().enumerate() {
             let name: Arc<str> = format!("i-{engine}").into();
             let upstream = upstreams.by_id.get_mut(&name).unwrap();
-            let mut was_read = Vec::new();
-            let mut was_ended = Vec::new();
+            let mut prefilled = Vec::new();
+            let mut ended_jobs = Vec::new();
             #[allow(clippy::cast_precision_loss)]
             let until = now as f64;
-            batch.play(
+            batch.run_until(
                 until,
-                &mut |job| was_read.push((job.id, job.started)),
+                &mut |job| prefilled.push((job.id, job.started)),
                 &mut |job, at| {
-                    was_ended.push((job.id, at));
+                    ended_jobs.push((job.id, at));
                 },
             );
-            for (id, started) in was_read {
+            for (id, started) in prefilled {
                 let (job, placed, _) = &sent[id];
                 upstream.own.unread_tokens -= placed.load.unread_tokens;
                 if job.is_yielding && started < COUNTED_MS && now - started <= 1_000 {
                     briefings_in_time += 1.0;
                 }
             }
-            for (id, at) in was_ended {
+            for (id, at) in ended_jobs {
                 let (job, placed, started) = &sent[id];
                 let mut load = placed.load;
                 load.unread_tokens = 0;
@@ -365,11 +366,11 @@
             if !rng.random_bool(if is_chat { 0.4 } else { 0.8 }) {
                 continue;
             }
-            let own = 1_000_000 + now * 2 + kind;
+            let own_id = 1_000_000 + now * 2 + kind;
             let job = if is_chat {
-                chat(own)
+                chat(own_id)
             } else {
-                briefing(rng.random_range(0..300), own)
+                briefing(rng.random_range(0..300), own_id)
             };
             mix.add(&job, 64, Millis(now));
             mix.add(&job, 64, Millis(now));
@@ -379,10 +380,10 @@
                 evacuated: &HashSet::new(),
                 is_version_allowed: &|_| true,
                 is_cold_user: &|_| true,
-                kv_cache_tokens: MEMORY_TOKENS,
+                kv_cache_tokens: KV_CACHE_TOKENS,
                 tried: &[],
                 sample_size: 0,
-                decode_share: mix.decode_share().filter(|_| is_divided),
+                decode_share: mix.decode_share().filter(|_| is_partitioned),
             };
             if now < COUNTED_MS && is_chat {
                 chats += 1.0;
@@ -393,16 +394,16 @@
                 continue;
             };
             let upstream = upstreams.by_id.get_mut(&placed.id).unwrap();
-            let held = upstream.cache.cached_prefix_tokens(&job.parts);
+            let cached_tokens = upstream.cache.cached_prefix_tokens(&job.parts);
             upstream.cache.insert(&job.parts);
             upstream.own += placed.load;
             upstream
                 .prefill_rate
-                .add(f64::from(job.prompt_tokens - held), Millis(now));
+                .add(f64::from(job.prompt_tokens - cached_tokens), Millis(now));
             let engine: usize = placed.id[2..].parse().unwrap();
             batches[engine].running.push(Running {
                 id: sent.len(),
-                unread: f64::from(job.prompt_tokens - held),
+                unread: f64::from(job.prompt_tokens - cached_tokens),
                 left: job.max_output_tokens,
                 started: now,
             });
@@ -413,16 +414,19 @@
 }
 
 #[test]
-fn long_answers_keep_their_pace_beside_long_prompts() {
+fn long_outputs_keep_their_speed_beside_long_prompts() {
     for seed in 0..3 {
-        let (mixed_chats, mixed_briefings) = play_both_kinds(false, seed);
-        let (chats, briefings) = play_both_kinds(true, seed);
-        println!("seed {seed}: {mixed_chats:.3} and {mixed_briefings:.3} mixed; {chats:.3} and {briefings:.3} divided");
+        let (shared_chats, shared_briefings) = simulate_both_kinds(false, seed);
+        let (chats, briefings) = simulate_both_kinds(true, seed);
+        println!("seed {seed}: {shared_chats:.3} and {shared_briefings:.3} on shared engines; {chats:.3} and {briefings:.3} partitioned");
         assert!(chats >= 0.9, "seed {seed}: {chats} of the chats in time");
         assert!(
-            briefings >= mixed_briefings - 0.1,
-            "seed {seed}: {briefings} of the briefings, {mixed_briefings} before"
+            briefings >= shared_briefings - 0.1,
+            "seed {seed}: {briefings} of the briefings in time, {shared_briefings} on shared engines"
+        );
+        assert!(
+            shared_chats < 0.8,
+            "seed {seed}: the load does not delay chats on shared engines"
         );
-        assert!(mixed_chats < 0.8, "seed {seed}: the load shows nothing");
     }
 }
--- a/crates/edge/tests/retry_budget.rs
+++ b/crates/edge/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeats holds over instances that never hear each other.
+//! Retry budget over instances that do not communicate.
 
 use carobwheel_core::time::Millis;
 use carobwheel_edge::retry::{RetryBounds, RetryBudget};
@@ -14,21 +14,21 @@
 #[test_case(6, 10; "small fleet")]
 #[test_case(60, 40; "large fleet")]
 #[test_case(6, 0; "no requests at all")]
-fn the_fleet_keeps_the_budget(instances: usize, requests_per_s: u64) {
+fn fleet_stays_within_the_retry_budget(instances: usize, requests_per_s: u64) {
     let mut budgets = vec![RetryBudget::default(); instances];
     let mut requests = Vec::new();
-    let mut repeats = Vec::new();
+    let mut retries = Vec::new();
     for now in (0..40_000).step_by(20) {
         for (n, budget) in budgets.iter_mut().enumerate() {
             let period_ms = 1_000_u64.checked_div(requests_per_s).unwrap_or(u64::MAX);
-            // Requests stop half way, as when all callers leave one service.
+            // Requests stop halfway, as if all callers left the service.
             if now < 20_000 && (now + 20 * n as u64) % period_ms < 20 && requests_per_s > 0 {
                 budget.record_request(&BOUNDS, Millis(now));
                 requests.push(now);
             }
-            // Each instance would always like to repeat.
+            // Every instance attempts a retry at each step.
             if budget.try_take(&BOUNDS, instances, Millis(now)) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
     }
@@ -39,27 +39,27 @@
                 .filter(|at| (from..from + BOUNDS.window_ms).contains(at))
                 .count()
         };
-        let asked = [
+        let request_counts = [
             start,
             start.saturating_sub(5_000),
             start.saturating_sub(10_000),
         ];
-        let asked = asked
+        let request_counts = request_counts
             .map(|from| count(&requests, from))
             .into_iter()
             .max()
             .unwrap_or(0);
-        let allowed = BOUNDS.share * asked as f64 + BOUNDS.extra;
-        let sent = count(&repeats, start) as f64;
+        let allowed = BOUNDS.share * request_counts as f64 + BOUNDS.extra;
+        let sent = count(&retries, start) as f64;
         assert!(
             sent <= allowed,
-            "{sent} repeats from {start} ms, {allowed} allowed"
+            "{sent} retries from {start} ms, {allowed} allowed"
         );
     }
 }
 
 #[test]
-fn the_first_request_may_be_repeated() {
+fn first_request_may_be_retried() {
     let mut budget = RetryBudget::default();
     budget.record_request(&BOUNDS, Millis(0));
     assert!(budget.try_take(&BOUNDS, 6, Millis(1)));
--- a/crates/edge/tests/rollout_trial.rs
+++ b/crates/edge/tests/rollout_trial.rs
@@ -1,4 +1,4 @@
-//! Trials of good and bad versions, played request by request.
+//! Trials of good and faulty versions, simulated request by request.
 
 use carobwheel_core::time::Millis;
 use carobwheel_edge::rollout::{RolloutOrder, Trial, TrialBounds, Verdict, VersionCounts};
@@ -9,19 +9,20 @@
 const BOUNDS: TrialBounds = TrialBounds { share: 0.1 };
 const EXTRA: f64 = 50.0;
 
-/// How a new version behaves.
+/// Behaviour of a new version.
 #[derive(Clone, Copy)]
 struct Version {
-    /// Share of failures from `from_ms` on, on every route or only on the second one.
+    /// Share of failures from `from_ms` on; on all routes, or only on the second if `is_one_route`.
     bad_share: f64,
     from_ms: u64,
     is_one_route: bool,
-    /// Factor of its times.
-    slow: f64,
+    /// Factor on its response times.
+    time_factor: f64,
 }
 
-/// Plays a trial; returns the verdict, requests to the new version and all requests.
-fn play(version: Version, base_bad: f64, per_s: u64, seed: u64) -> (Verdict, f64, f64) {
+/// Simulates a trial. Returns the verdict, the requests to the new version before completion and
+/// the number of all requests.
+fn simulate(version: Version, base_bad: f64, per_s: u64, seed: u64) -> (Verdict, f64, f64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let order = RolloutOrder {
         service: "s".into(),
@@ -44,16 +45,20 @@
             at_new += 1.0;
         }
         let route = rng.random_range(0..2);
-        let is_hit = now >= version.from_ms && (!version.is_one_route || route == 1);
-        let bad_share = if is_new && is_hit {
+        let is_affected = now >= version.from_ms && (!version.is_one_route || route == 1);
+        let bad_share = if is_new && is_affected {
             version.bad_share.max(base_bad)
         } else {
             base_bad
         };
         let is_bad = rng.random::<f64>() < bad_share;
-        let ms = 30.0 * if is_new { version.slow } else { 1.0 } * rng.random_range(0.5..1.5);
-        let seen = trial.evidence.own.entry(route).or_default();
-        let counts: &mut VersionCounts = if is_new { &mut seen.new } else { &mut seen.old };
+        let ms = 30.0 * if is_new { version.time_factor } else { 1.0 } * rng.random_range(0.5..1.5);
+        let evidence = trial.evidence.own.entry(route).or_default();
+        let counts: &mut VersionCounts = if is_new {
+            &mut evidence.new
+        } else {
+            &mut evidence.old
+        };
         counts.sent += 1;
         counts.failed += u32::from(is_bad);
         counts.answered += u32::from(!is_bad);
@@ -66,14 +71,14 @@
     bad_share: 0.0,
     from_ms: 0,
     is_one_route: false,
-    slow: 1.0,
+    time_factor: 1.0,
 };
 
 #[test_case(0.0; "no failures")]
 #[test_case(0.14; "failures of the service itself")]
 fn a_good_version_is_complete_in_time(base_bad: f64) {
     for seed in 0..30 {
-        let (verdict, _, _) = play(GOOD, base_bad, 60, seed);
+        let (verdict, _, _) = simulate(GOOD, base_bad, 60, seed);
         assert_eq!(verdict, Verdict::Complete, "seed {seed}");
     }
 }
@@ -81,10 +86,10 @@
 #[test_case(Version { bad_share: 0.5, ..GOOD }; "fails at once")]
 #[test_case(Version { bad_share: 0.5, from_ms: 4_000, ..GOOD }; "fails later")]
 #[test_case(Version { bad_share: 0.6, is_one_route: true, ..GOOD }; "fails on one route")]
-#[test_case(Version { slow: 4.0, ..GOOD }; "is slow")]
+#[test_case(Version { time_factor: 4.0, ..GOOD }; "is slow")]
 fn a_bad_version_is_reverted_with_few_requests(version: Version) {
     for seed in 0..30 {
-        let (verdict, at_new, all) = play(version, 0.02, 60, seed);
+        let (verdict, at_new, all) = simulate(version, 0.02, 60, seed);
         assert_eq!(verdict, Verdict::Reverted, "seed {seed}");
         let allowed = BOUNDS.share * all + EXTRA;
         assert!(at_new <= allowed, "seed {seed}: {at_new} of {allowed}");
--- a/crates/edge/tests/small_parts.rs
+++ b/crates/edge/tests/small_parts.rs
@@ -1,4 +1,4 @@
-//! Small parts: the copy of the store, event streams, routes, settings, the directory of members.
+//! Unit tests of the store replica, event streams, routes, settings and the table of instances.
 
 #![allow(clippy::unwrap_used)]
 
@@ -21,18 +21,21 @@
 }
 
 #[test]
-fn a_copy_lets_each_change_through_once_and_never_backwards() {
+fn replica_returns_each_change_once_and_never_an_older_one() {
     let mut replica = Replica::new(vec!["a/".to_owned()]);
     assert!(!replica.is_complete());
-    let fresh = replica.listed(0, &[item("a/1", 3), item("a/2", 5)], 5);
-    assert_eq!(fresh.len(), 2);
+    let new_facts = replica.listed(0, &[item("a/1", 3), item("a/2", 5)], 5);
+    assert_eq!(new_facts.len(), 2);
     let removed = Change::Removed {
         key: "a/1".to_owned(),
         revision: 7,
     };
-    let fresh = replica.changed(0, vec![Change::Written(item("a/2", 6)), removed], 7);
+    let new_facts = replica.changed(0, vec![Change::Written(item("a/2", 6)), removed], 7);
     assert_eq!(
-        fresh.iter().map(|fact| fact.revision).collect::<Vec<_>>(),
+        new_facts
+            .iter()
+            .map(|fact| fact.revision)
+            .collect::<Vec<_>>(),
         [6, 7]
     );
     // An older listing from another instance changes nothing.
@@ -40,18 +43,18 @@
         .listed(0, &[item("a/1", 3), item("a/2", 5)], 5)
         .is_empty());
     // A newer listing that lacks an item removes it.
-    let fresh = replica.listed(0, &[], 9);
-    assert_eq!(fresh.len(), 1);
-    assert!(fresh[0].value.is_none() && fresh[0].key == "a/2");
+    let new_facts = replica.listed(0, &[], 9);
+    assert_eq!(new_facts.len(), 1);
+    assert!(new_facts[0].value.is_none() && new_facts[0].key == "a/2");
 }
 
 #[test]
-fn one_copy_brings_another_up_to_date() {
+fn replica_is_updated_from_another_replica() {
     let mut first = Replica::new(vec!["a/".to_owned()]);
     let mut second = first.clone();
     first.listed(0, &[item("a/1", 3), item("a/2", 5)], 5);
-    let fresh = second.merge(0, first.since(0, 0));
-    assert_eq!(fresh.len(), 2);
+    let new_facts = second.merge(0, first.since(0, 0));
+    assert_eq!(new_facts.len(), 2);
     let removed = Change::Removed {
         key: "a/2".to_owned(),
         revision: 8,
@@ -61,10 +64,14 @@
     assert_eq!(second.revisions(), first.revisions());
 }
 
-#[test_case(&["id: 1\ndata: a\n\nid: 2\n", "data: b\n\n"], &[Some(1), Some(2)], false; "cut between lines")]
+#[test_case(&["id: 1\ndata: a\n\nid: 2\n", "data: b\n\n"], &[Some(1), Some(2)], false; "split between lines")]
 #[test_case(&["id:7\r\ndata: a\r\n\r\n"], &[Some(7)], false; "carriage returns")]
-#[test_case(&["data: a\n\nid: 9\nda"], &[None], true; "part of an event is left")]
-fn a_stream_is_cut_into_whole_events(pieces: &[&'static str], ids: &[Option<u64>], has_part: bool) {
+#[test_case(&["data: a\n\nid: 9\nda"], &[None], true; "incomplete event at the end")]
+fn stream_is_split_into_complete_events(
+    pieces: &[&'static str],
+    ids: &[Option<u64>],
+    has_part: bool,
+) {
     let mut splitter = EventSplitter::default();
     let mut seen = Vec::new();
     for piece in pieces {
@@ -126,7 +133,7 @@
 }
 
 #[test]
-fn a_split_follows_its_weights() {
+fn traffic_split_follows_its_weights() {
     let route = route("r", "/", &[]);
     let to_b = (0..1_000).filter(|n| {
         split_service(&route, f64::from(*n) / 1_000.0)
@@ -138,7 +145,7 @@
 }
 
 #[test]
-fn names_spread_over_a_key() {
+fn rendezvous_spreads_keys_evenly() {
     let names: Vec<String> = (0..5).map(|n| format!("i-{n}")).collect();
     let mut counts = [0; 5];
     for key in 0..1_000 {
@@ -153,7 +160,7 @@
 }
 
 #[test]
-fn settings_name_every_fault() {
+fn settings_error_lists_every_fault() {
     let text = include_str!("settings.json");
     assert!(Settings::parse(text).is_ok());
     let faulty = text
@@ -173,7 +180,7 @@
 }
 
 #[test]
-fn a_member_is_named_only_while_it_is_heard() {
+fn member_is_listed_only_while_its_messages_arrive() {
     use carobwheel_edge::member::{MemberEntry, Members};
     let entry = MemberEntry {
         name: "i".into(),
@@ -186,15 +193,15 @@
     };
     let mut members = Members::default();
     members.update_entry(entry, Millis(0));
-    let named = |members: &Members, now: u64| members.up_in("north", Millis(now)).count();
-    assert_eq!(named(&members, 0), 0);
+    let listed = |members: &Members, now: u64| members.up_in("north", Millis(now)).count();
+    assert_eq!(listed(&members, 0), 0);
     assert!(
         !members.record_message("i", 4, true, Millis(10)),
         "an earlier lifetime"
     );
     assert!(members.record_message("i", 5, true, Millis(10)));
-    assert_eq!(named(&members, 100), 1);
-    assert_eq!(named(&members, 5_000), 0);
+    assert_eq!(listed(&members, 100), 1);
+    assert_eq!(listed(&members, 5_000), 0);
     members.entry_removed("i");
     assert_eq!(members.sweep(Millis(11_000)).len(), 1);
 }
