--- a/crates/edge/src/model/mod.rs
+++ b/crates/edge/src/model/mod.rs
@@ -59,7 +59,7 @@
     /// Target for the longest pause between events, in milliseconds; 0 if not set.
     pub pause_aim_ms: u64,
     /// Priority; 0 is the highest.
-    pub rank: u8,
+    pub priority: u8,
     /// Services that serve the route, with their weights.
     pub shares: Vec<ServiceShare>,
     /// Maximum number of upstreams to which one request may be sent.
@@ -102,7 +102,7 @@
     /// API keys of its callers.
     pub keys: Vec<String>,
     /// Priority that overrides the route's, if any.
-    pub rank: Option<u8>,
+    pub priority: Option<u8>,
     /// Tokens charged for a request that does not state its use.
     pub plain_tokens: u64,
     /// Rate limit, in tokens a second; 0 for no limit.
@@ -151,7 +151,7 @@
     /// Accounts by key.
     pub keys: HashMap<String, Rc<Account>>,
     /// Highest priority (lowest number) among the routes of each service.
-    pub first_ranks: HashMap<Arc<str>, u8>,
+    pub highest_priorities: HashMap<Arc<str>, u8>,
     /// Limits on callers.
     pub limits: CallerLimits,
 }
@@ -181,8 +181,11 @@
         for route in parts.routes {
             for share in &route.shares {
                 let service = Arc::clone(&share.service);
-                let first = config.first_ranks.entry(service).or_insert(route.rank);
-                *first = route.rank.min(*first);
+                let first = config
+                    .highest_priorities
+                    .entry(service)
+                    .or_insert(route.priority);
+                *first = route.priority.min(*first);
             }
             let routes = config.routes.entry(route.host.clone()).or_default();
             routes.push(Rc::new(route));
--- a/crates/edge/src/node/state.rs
+++ b/crates/edge/src/node/state.rs
@@ -382,7 +382,7 @@
     /// Urgency of a request of the highest rank.
     const FIRST: u8 = 3;
     let rank = account
-        .and_then(|account| account.rank)
-        .unwrap_or(route.rank);
+        .and_then(|account| account.priority)
+        .unwrap_or(route.priority);
     (FIRST + rank).min(9)
 }
--- a/crates/edge/src/pipeline/identify.rs
+++ b/crates/edge/src/pipeline/identify.rs
@@ -157,8 +157,8 @@
             .to_owned();
         let last_event =
             text(&head.headers, &names.last_event_id).and_then(|text| text.trim().parse().ok());
-        let first_rank = config.first_ranks.get(&service).copied();
-        let is_yielding = first_rank.is_some_and(|first| self.route.rank > first);
+        let first_rank = config.highest_priorities.get(&service).copied();
+        let is_yielding = first_rank.is_some_and(|first| self.route.priority > first);
         let job = job(names, &head.headers, is_yielding);
         let far = FarTicket {
             request,
--- a/crates/edge/tests/small_parts.rs
+++ b/crates/edge/tests/small_parts.rs
@@ -93,7 +93,7 @@
         timeout_ms: 1_000,
         aim_ms: 400,
         pause_aim_ms: 0,
-        rank: 0,
+        priority: 0,
         shares: vec![
             ServiceShare {
                 service: "a".into(),
