--- a/crates/edge/src/node/gossip.rs
+++ b/crates/edge/src/node/gossip.rs
@@ -4,7 +4,7 @@
 use crate::hash::short_hash;
 use crate::{
     log::Event,
-    place::{Kind, Outlook},
+    place::{JobKind, LatencyForecast},
     rollout::{RouteEvidence, Verdict},
     upstream::Load,
 };
@@ -36,7 +36,7 @@
     /// Hash of the service's name.
     pub service: u32,
     /// Kind of job.
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Wait for the first token, in milliseconds.
     pub wait_ms: u32,
     /// Time for each token, in microseconds.
@@ -44,21 +44,21 @@
 }
 
 impl OutlookNews {
-    fn new(service: &str, kind: Kind, outlook: Outlook) -> Self {
+    fn new(service: &str, kind: JobKind, outlook: LatencyForecast) -> Self {
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let bounded = |value: f64| value.clamp(0.0, MOST_TOLD) as u32;
         Self {
             service: short_hash(service),
             kind,
             wait_ms: bounded(outlook.wait_ms),
-            pace_us: bounded(outlook.pace_ms * 1_000.0),
+            pace_us: bounded(outlook.time_per_token_ms * 1_000.0),
         }
     }
 
-    fn outlook(self) -> Outlook {
-        Outlook {
+    fn outlook(self) -> LatencyForecast {
+        LatencyForecast {
             wait_ms: f64::from(self.wait_ms),
-            pace_ms: f64::from(self.pace_us) / 1_000.0,
+            time_per_token_ms: f64::from(self.pace_us) / 1_000.0,
         }
     }
 }
@@ -103,7 +103,7 @@
                 .collect()
         };
         let outlooks = services.iter().flat_map(|service| {
-            Kind::ALL.into_iter().filter_map(move |kind| {
+            JobKind::ALL.into_iter().filter_map(move |kind| {
                 let outlook = self.region_outlook(service, kind)?;
                 Some(OutlookNews::new(service, kind, outlook))
             })
@@ -136,7 +136,7 @@
         let buckets = state
             .buckets
             .iter()
-            .filter(|(_, bucket)| bucket.asked_tokens() > 0);
+            .filter(|(_, bucket)| bucket.requested_tokens() > 0);
         Gossip {
             life: self.life,
             is_ready,
@@ -148,7 +148,7 @@
                 Vec::new()
             },
             asked: buckets
-                .map(|(name, bucket)| (short_hash(name), bucket.asked_tokens()))
+                .map(|(name, bucket)| (short_hash(name), bucket.requested_tokens()))
                 .collect(),
             outlooks,
             trials: trials.collect(),
@@ -160,13 +160,16 @@
         let now = self.now();
         let verdicts = {
             let mut state = self.state.borrow_mut();
-            if !state.members.heard(name, gossip.life, gossip.is_ready, now) {
+            if !state
+                .members
+                .record_message(name, gossip.life, gossip.is_ready, now)
+            {
                 return;
             }
             state.hear_loads(name, &gossip, now);
             if let Some(member) = state.members.by_name.get_mut(name) {
                 let told = gossip.outlooks.iter();
-                member.outlooks = told
+                member.forecasts = told
                     .map(|news| ((news.service, news.kind), news.outlook()))
                     .collect();
                 member.revisions.clone_from(&gossip.revisions);
@@ -176,7 +179,7 @@
                 let hash = short_hash(account);
                 if let Some((_, asked)) = gossip.asked.iter().find(|(account, _)| *account == hash)
                 {
-                    bucket.hear(name, gossip.life, *asked, now);
+                    bucket.update_peer_demand(name, gossip.life, *asked, now);
                 }
             }
             state.hear_trials(self, name, gossip.trials)
@@ -193,10 +196,10 @@
         for upstream in self.upstreams.by_id.values_mut() {
             match loads.get(&upstream.hash) {
                 Some(load) => {
-                    upstream.others.insert(Arc::clone(name), (*load, now));
+                    upstream.peer_loads.insert(Arc::clone(name), (*load, now));
                 }
                 None => {
-                    upstream.others.remove(name);
+                    upstream.peer_loads.remove(name);
                 }
             }
         }
@@ -217,7 +220,9 @@
             let Some(trial) = self.trials.values_mut().find(is_it) else {
                 continue;
             };
-            trial.evidence.hear(name, told.routes.into_iter().collect());
+            trial
+                .evidence
+                .update_peer(name, told.routes.into_iter().collect());
             let (service, target) = (&trial.order.service, &trial.order.target);
             if told.is_suspect && !trial.is_suspect() {
                 let ended = trial.evidence.new_ended();
@@ -226,7 +231,7 @@
                     target,
                     ended,
                 });
-                trial.suspect();
+                trial.mark_suspect();
             }
             if let Some(is_complete) = told.verdict {
                 let verdict = if is_complete {
--- a/crates/edge/src/node/state.rs
+++ b/crates/edge/src/node/state.rs
@@ -1,7 +1,7 @@
 //! What one instance knows.
 
 use crate::{
-    cold::{ColdRate, COLD_USERS},
+    cold::{ColdRate, MAX_COLD_USERS},
     dispatch::Pools,
     hash::short_hash,
     limit::{AccountLimit, Bucket},
@@ -11,11 +11,14 @@
     model::{Account, Config, Route, Service},
     names::HeaderNames,
     peers::Links,
-    place::{choose, region_outlook, Choice, Job, Kind, Mix, Outlook, Placed, Rules},
+    place::{
+        choose, forecast_region, Choice, InferenceJob, JobKind, JobMix, LatencyForecast, Placement,
+        PlacementRules,
+    },
     retry::{RetryBounds, RetryBudget},
     rollout::{Trial, TrialBounds, Verdict},
     settings::Settings,
-    store::{Decoder, Recorded, Replica},
+    store::{Decoder, Replica, VerdictRecord},
     upstream::Upstreams,
 };
 use carobwheel_core::time::{Clock, Millis};
@@ -63,7 +66,7 @@
     /// Links to other instances.
     pub links: Links,
     /// States of moves to record in the store.
-    pub record: Sender<Recorded>,
+    pub record: Sender<VerdictRecord>,
     /// Whether this instance watches the store for others of its region.
     pub is_watcher: tokio::sync::watch::Sender<bool>,
     /// Requests of callers that wait for the head of their answer.
@@ -86,7 +89,7 @@
     /// Tokens of accounts.
     pub buckets: HashMap<Arc<str>, Bucket>,
     /// Work that callers have asked for lately, by service.
-    pub mixes: HashMap<Arc<str>, Mix>,
+    pub mixes: HashMap<Arc<str>, JobMix>,
     /// Budgets of repeats by service.
     pub budgets: HashMap<Arc<str>, RetryBudget>,
     /// Data centres that must get nothing.
@@ -114,7 +117,7 @@
     /// Service.
     pub service: &'a Arc<str>,
     /// Request.
-    pub job: &'a Job,
+    pub job: &'a InferenceJob,
     /// Upstreams that have had it.
     pub tried: &'a [Arc<str>],
     /// Whether it goes to the version on trial, by a draw from 0 up to 1.
@@ -159,17 +162,17 @@
     }
 
     /// What a job of the service has to expect in the own region.
-    pub fn region_outlook(&self, service: &Arc<str>, kind: Kind) -> Option<Outlook> {
+    pub fn region_outlook(&self, service: &Arc<str>, kind: JobKind) -> Option<LatencyForecast> {
         let now = self.now();
         let state = self.state.borrow();
         let offered = Offered {
             service,
-            job: &Job::default(),
+            job: &InferenceJob::default(),
             tried: &[],
             draw: 1.0,
         };
         state.with_rules(self, &offered, now, |rules| {
-            region_outlook(&state.upstreams, kind, rules, now)
+            forecast_region(&state.upstreams, kind, rules, now)
         })
     }
 
@@ -205,7 +208,7 @@
     /// Gives back tokens of a request that did not run.
     pub fn give_back(&self, account: &Account, tokens: u64) {
         if let Some(bucket) = self.state.borrow_mut().buckets.get_mut(&account.name) {
-            bucket.give_back(tokens);
+            bucket.refund(tokens);
         }
     }
 
@@ -221,11 +224,11 @@
     }
 
     /// Takes note of a request to `service` that is to run in the own region.
-    pub fn note_request(&self, service: &Arc<str>, job: &Job) {
+    pub fn note_request(&self, service: &Arc<str>, job: &InferenceJob) {
         let (bounds, now) = (self.retry_bounds(), self.now());
         let mut state = self.state.borrow_mut();
         let budget = state.budgets.entry(Arc::clone(service)).or_default();
-        budget.note_request(&bounds, now);
+        budget.record_request(&bounds, now);
         let engine = state.service(service).and_then(|service| service.engine);
         if let Some(engine) = engine {
             let mix = state.mixes.entry(Arc::clone(service)).or_default();
@@ -243,20 +246,20 @@
     }
 
     /// Takes note that a request goes to an upstream.
-    pub fn note_sent(&self, placed: &Placed, job: &Job, cold_per_s: f64) {
+    pub fn note_sent(&self, placed: &Placement, job: &InferenceJob, cold_per_s: f64) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let users = state.cold_users(self, now);
         if let Some(upstream) = state.upstreams.by_id.get_mut(&placed.id) {
             #[allow(clippy::cast_precision_loss)]
             let per_s = cold_per_s / users as f64;
-            upstream.cold.sent(ColdRate { per_s }, now);
+            upstream.cold.record_sent(ColdRate { per_s }, now);
             #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
             let expected_ms = placed.wait_ms.max(0.0) as u64;
-            upstream.health.sent(expected_ms * 2 + 500, now);
+            upstream.health.record_sent(expected_ms * 2 + 500, now);
             upstream.own += placed.load;
             upstream
-                .reads
+                .prefill_rate
                 .add(f64::from(placed.load.unread_tokens), now);
             upstream.cache.insert(&job.parts);
         }
@@ -272,16 +275,18 @@
     }
 
     /// What takes most of an upstream's time for a job.
-    pub fn kind_of(&self, service: &str, job: &Job) -> Kind {
+    pub fn kind_of(&self, service: &str, job: &InferenceJob) -> JobKind {
         let service = self.service(service);
         let engine = service.as_ref().and_then(|service| service.engine);
-        engine.map_or(Kind::Reading, |engine| Kind::of(job, engine.slots))
+        engine.map_or(JobKind::PrefillHeavy, |engine| {
+            JobKind::of(job, engine.slots)
+        })
     }
 
     /// How many instances of the region use one cold upstream.
     fn cold_users(&self, node: &Node, now: Millis) -> usize {
         let others = self.region_members(node, now).len();
-        (others + 1).min(COLD_USERS)
+        (others + 1).min(MAX_COLD_USERS)
     }
 
     /// Other instances of the region that may be at work, heard or not.
@@ -298,7 +303,7 @@
         let weight = |name: &str| short_pair_hash(name, id);
         let own = weight(&node.name);
         let ahead = self.region_members(node, now);
-        ahead.iter().filter(|name| weight(name) > own).count() < COLD_USERS
+        ahead.iter().filter(|name| weight(name) > own).count() < MAX_COLD_USERS
     }
 
     fn with_rules<T>(
@@ -306,26 +311,26 @@
         node: &Node,
         offered: &Offered<'_>,
         now: Millis,
-        decide: impl FnOnce(&Rules<'_>) -> T,
+        decide: impl FnOnce(&PlacementRules<'_>) -> T,
     ) -> T {
         let is_version_allowed =
             |version: &str| self.is_version_allowed(node, offered, version, now);
         let is_cold_user = |id: &str| self.is_cold_user(node, id, now);
         let service = self.service(offered.service);
         let engine = service.as_ref().and_then(|service| service.engine);
-        let rules = Rules {
+        let rules = PlacementRules {
             service: offered.service,
             region: &node.region,
             evacuated: &self.evacuated,
             is_version_allowed: &is_version_allowed,
             is_cold_user: &is_cold_user,
-            memory_tokens: engine.map_or(0, |engine| engine.memory_tokens),
+            kv_cache_tokens: engine.map_or(0, |engine| engine.kv_cache_tokens),
             tried: offered.tried,
-            answering_part: self
+            decode_share: self
                 .mixes
                 .get(offered.service)
-                .and_then(Mix::answering_part),
-            sampled: if self.region_members(node, now).len() < SMALL_REGION {
+                .and_then(JobMix::decode_share),
+            sample_size: if self.region_members(node, now).len() < SMALL_REGION {
                 0
             } else {
                 SAMPLED
@@ -377,7 +382,7 @@
     /// Urgency of a request of the highest rank.
     const FIRST: u8 = 3;
     let rank = account
-        .and_then(|account| account.rank)
-        .unwrap_or(route.rank);
+        .and_then(|account| account.priority)
+        .unwrap_or(route.priority);
     (FIRST + rank).min(9)
 }
--- a/crates/edge/src/store/mod.rs
+++ b/crates/edge/src/store/mod.rs
@@ -1,22 +1,23 @@
-//! The store: news from it, the instance's own entry in it, and verdicts written to it.
+//! Client of the store: updates from it, this instance's entry, and verdicts written to it.
 //!
-//! The five operations come as closures from the adapter that speaks the store's protocol.
-//! Pauses after failures, following a prefix and settling lost writes stand here once.
+//! The five operations are closures from the adapter that implements the store's protocol.
+//! Backoff, watching of prefixes and the handling of writes without a response are implemented
+//! here for all adapters.
 
 mod backoff;
 mod follow;
-mod news;
 mod ops;
 mod own_entry;
 mod replica;
 mod task;
+mod update;
 mod verdict;
 
-pub use news::{Decoder, MemberChange, News, StoreEvent};
 pub use ops::{
-    ByName, ByNumber, Call, Change, Changes, Commit, Expected, Freshness, Item, List, Listing,
-    StoreError, StoreOps, StoreResult, Watch, Write,
+    Change, Changes, Commit, Expected, Freshness, Item, KeyCall, List, Listing, NumberCall,
+    StoreCall, StoreError, StoreOps, StoreResult, Watch, Write,
 };
 pub use replica::{Fact, Facts, Replica};
-pub use task::{start, Asks, Followed, Keys, StoreSettings};
-pub use verdict::Recorded;
+pub use task::{start, StoreHandle, StoreKeys, StoreSettings, WatchedPrefix};
+pub use update::{Decoder, MemberChange, StoreEvent, StoreUpdate};
+pub use verdict::VerdictRecord;
