--- a/crates/core/src/member/detect.rs
+++ b/crates/core/src/member/detect.rs
@@ -2,7 +2,7 @@
 
 use super::rumor::Change;
 use super::table::{hash_pair, join, Member};
-use super::{Body, Health, Members, PERIOD_MS, PROBE_RETRY_MS, SUSPICION_MS};
+use super::{Health, Members, PacketBody, PROBE_PERIOD_MS, PROBE_RETRY_MS, SUSPICION_TIMEOUT_MS};
 use crate::id::{InstanceId, RegionId};
 use crate::time::Millis;
 use rand::{seq::SliceRandom, Rng};
@@ -112,13 +112,13 @@
             on_behalf,
         };
         self.probes.waiting.insert(number, probe);
-        self.send(target, Body::Ping { probe: number }, now);
+        self.send(target, PacketBody::Ping { probe: number }, now);
     }
 
     /// Sends a ping whose acknowledgement nobody waits for.
     pub(super) fn send_untracked_ping(&mut self, target: &InstanceId, now: Millis) {
         let probe = self.probes.next_number();
-        self.send(target, Body::Ping { probe }, now);
+        self.send(target, PacketBody::Ping { probe }, now);
     }
 
     /// Repeats probes without an answer, and gives them up in the end.
@@ -129,7 +129,7 @@
         for number in due {
             self.retry_probe(number, now);
         }
-        let failed: Vec<u32> = self.numbers(|probe| age_ms(probe) >= PERIOD_MS);
+        let failed: Vec<u32> = self.numbers(|probe| age_ms(probe) >= PROBE_PERIOD_MS);
         for number in failed {
             let probe = self.probes.waiting.remove(&number);
             if let Some(probe) = probe {
@@ -154,13 +154,13 @@
         probe.is_retried = true;
         let target = probe.target.clone();
         let is_own = probe.on_behalf.is_none();
-        self.send(&target, Body::Ping { probe: number }, now);
+        self.send(&target, PacketBody::Ping { probe: number }, now);
         if !is_own || !self.is_in_own_region(&target) {
             return;
         }
         for relay in self.relays(&target) {
             let target = target.clone();
-            let body = Body::Relay {
+            let body = PacketBody::Relay {
                 probe: number,
                 target,
             };
@@ -241,7 +241,7 @@
             .table
             .present()
             .filter(|m| m.status.health == Health::Suspect)
-            .filter(|m| now.since(m.changed_at) >= SUSPICION_MS)
+            .filter(|m| now.since(m.changed_at) >= SUSPICION_TIMEOUT_MS)
             .map(|m| m.identity.instance.clone())
             .collect();
         for instance in expired {
@@ -263,7 +263,7 @@
             return;
         };
         if let Some((asker, probe_of_asker)) = probe.on_behalf {
-            let body = Body::RelayedAck {
+            let body = PacketBody::RelayedAck {
                 probe: probe_of_asker,
                 target: probe.target,
             };
@@ -308,7 +308,7 @@
             return;
         }
         let present = self.table.present_in(&self.own_region).count() as f64;
-        let wanted = absent.len() as f64 * PERIOD_MS as f64 / ABSENT_PERIOD_MS / present;
+        let wanted = absent.len() as f64 * PROBE_PERIOD_MS as f64 / ABSENT_PERIOD_MS / present;
         let is_alone = present < 2.0 || self.is_starting(now);
         let probability = if is_alone {
             1.0
--- a/crates/core/src/member/event.rs
+++ b/crates/core/src/member/event.rs
@@ -1,11 +1,11 @@
 //! What the table reports to the rest of the program.
 
-use super::{Incarnation, State};
+use super::{Incarnation, MemberState};
 use crate::id::{InstanceId, RegionId};
 
 /// A change that logs and metrics report.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Event {
+pub enum MemberEvent {
     /// An incarnation became known by a packet or by gossip.
     Joined {
         /// Name of the member.
@@ -18,9 +18,9 @@
         /// Name of the member.
         instance: InstanceId,
         /// State before.
-        from: State,
+        from: MemberState,
         /// State now.
-        to: State,
+        to: MemberState,
     },
     /// A member that is gone for long has been forgotten.
     Forgotten {
--- a/crates/core/src/member/fetch.rs
+++ b/crates/core/src/member/fetch.rs
@@ -20,7 +20,7 @@
     /// A peer that has a higher revision in force than this instance, preferably of the own
     /// region, with its address. The same revision is advised again only after a while, so the
     /// caller may ask after every packet and tick, and fetches each time it gets an answer.
-    pub fn fetch_from(&mut self, now: Millis) -> Option<(InstanceId, SocketAddr)> {
+    pub fn choose_fetch_peer(&mut self, now: Millis) -> Option<(InstanceId, SocketAddr)> {
         let own_revision = self.own_member().status.revision;
         let newer = |m: &&Member| m.status.revision > own_revision;
         let highest = self
--- a/crates/core/src/member/gossip.rs
+++ b/crates/core/src/member/gossip.rs
@@ -4,8 +4,8 @@
 use super::size::{entry_bytes, update_bytes};
 use super::table::Member;
 use super::{
-    entry::is_fleet_topic, Body, EntryError, EntryView, Health, KeyedEntry, Members, Outgoing,
-    Packet, Revised, Update, MAX_ENTRIES, MAX_ENTRY_BYTES,
+    entry::is_fleet_topic, EntryError, EntryView, Health, KeyedEntry, Members, Outgoing, Packet,
+    PacketBody, RevisionUpdate, Update, MAX_ENTRIES, MAX_ENTRY_BYTES,
 };
 use crate::id::InstanceId;
 use crate::time::Millis;
@@ -59,12 +59,12 @@
     }
 
     /// Sends a packet with as many recent changes as fit.
-    pub(super) fn send(&mut self, to: &InstanceId, body: Body, now: Millis) {
+    pub(super) fn send(&mut self, to: &InstanceId, body: PacketBody, now: Millis) {
         let receiver = self.table.get(to);
         let addr = receiver.map(|m| m.identity.peer_addr);
         let receiver_region = receiver.map(|m| m.identity.region.clone());
         let is_region_local = receiver_region.as_ref() == Some(&self.own_region);
-        let is_bulk = matches!(body, Body::Records { .. } | Body::Digest { .. });
+        let is_bulk = matches!(body, PacketBody::Records { .. } | PacketBody::Digest { .. });
         let salt = self.rng.random();
         let mut packet = Packet {
             incarnation: self.own_incarnation,
@@ -72,14 +72,14 @@
             salt,
             table_hash: self.table.hash(salt),
             body,
-            beats: self.pick_beats(receiver_region.as_ref()),
+            heartbeats: self.pick_heartbeats(receiver_region.as_ref()),
             updates: self.updates_for(to, now),
-            revised: Vec::new(),
+            revisions: Vec::new(),
             entries: Vec::new(),
         };
         if !is_bulk {
             self.fill_updates(&mut packet, to);
-            packet.revised = self.pick_revised();
+            packet.revisions = self.pick_revised();
             packet.entries = self.pick_entries(is_region_local);
         }
         self.out.push(Outgoing {
@@ -130,7 +130,7 @@
         }
     }
 
-    fn pick_revised(&mut self) -> Vec<Revised> {
+    fn pick_revised(&mut self) -> Vec<RevisionUpdate> {
         let is_revision = |change: &Change| *change == Change::Revision;
         let max_sent = self.max_sent(1);
         let room = REVISION_BUDGET_BYTES / REVISED_MEMBER_BYTES;
@@ -142,7 +142,7 @@
             }
             self.rumors.mark_sent(&instance, change, max_sent);
         }
-        let to_revised = |(revision, member_keys)| Revised {
+        let to_revised = |(revision, member_keys)| RevisionUpdate {
             revision,
             member_keys,
         };
--- a/crates/core/src/member/hear.rs
+++ b/crates/core/src/member/hear.rs
@@ -4,7 +4,8 @@
 use super::rumor::Change;
 use super::table::{Member, Merged};
 use super::{
-    Body, Event, Health, Incarnation, KeyedEntry, Members, Packet, Record, Revised, Status, Update,
+    Health, Incarnation, KeyedEntry, MemberEvent, MemberRecord, Members, Packet, PacketBody,
+    RevisionUpdate, Status, Update,
 };
 use crate::id::InstanceId;
 use crate::time::Millis;
@@ -31,11 +32,11 @@
                 }
             }
         }
-        for beat in &packet.beats {
-            self.regions.merge_beat(*beat, now);
+        for heartbeat in &packet.heartbeats {
+            self.regions.merge_heartbeat(*heartbeat, now);
         }
-        for revised in &packet.revised {
-            self.take_revised(revised, now);
+        for revisions in &packet.revisions {
+            self.take_revised(revisions, now);
         }
         for entry in &packet.entries {
             self.take_entry(entry);
@@ -43,7 +44,12 @@
     }
 
     /// Merges a record; tells whether it changed anything.
-    pub(super) fn take_record(&mut self, record: &Record, is_rumor: bool, now: Millis) -> bool {
+    pub(super) fn take_record(
+        &mut self,
+        record: &MemberRecord,
+        is_rumor: bool,
+        now: Millis,
+    ) -> bool {
         let instance = &record.identity.instance;
         if *instance == self.own {
             self.hear_about_self(record.identity.incarnation, &record.status);
@@ -94,14 +100,14 @@
     /// Takes in what others believe about this instance, and refutes what is wrong.
     fn hear_about_self(&mut self, incarnation: Incarnation, status: &Status) {
         if incarnation > self.own_incarnation {
-            self.report(Event::Superseded { incarnation });
+            self.report(MemberEvent::Superseded { incarnation });
         }
         if incarnation != self.own_incarnation {
             return;
         }
         if status.is_leaving && !self.own_member().status.is_leaving {
             self.set_leaving();
-            self.report(Event::ToldToLeave);
+            self.report(MemberEvent::ToldToLeave);
         }
         let own = &mut self.own_member_mut().status;
         let is_refuted = status.health != Health::Alive && status.sequence >= own.sequence;
@@ -112,8 +118,8 @@
         }
     }
 
-    fn take_revised(&mut self, revised: &Revised, now: Millis) {
-        for key in &revised.member_keys {
+    fn take_revised(&mut self, revisions: &RevisionUpdate, now: Millis) {
+        for key in &revisions.member_keys {
             let Some(instance) = self.table.by_key(*key) else {
                 continue;
             };
@@ -123,8 +129,8 @@
             let Some(member) = self.table.members.get_mut(&instance) else {
                 continue;
             };
-            if member.status.revision < revised.revision {
-                member.status.revision = revised.revision;
+            if member.status.revision < revisions.revision {
+                member.status.revision = revisions.revision;
                 self.sync.note_change(now);
                 self.rumors.add(&instance, Change::Revision);
             }
@@ -162,24 +168,30 @@
         let region = member.identity.region.clone();
         let is_doubted = member.status.health != Health::Alive;
         self.regions.hear(&region, now);
-        if is_doubted && !matches!(packet.body, Body::Ping { .. }) {
+        if is_doubted && !matches!(packet.body, PacketBody::Ping { .. }) {
             self.send_untracked_ping(from, now);
         }
     }
 
     /// Acts on the purpose of a packet.
-    pub(super) fn handle_body(&mut self, from: &InstanceId, salt: u16, body: Body, now: Millis) {
+    pub(super) fn handle_body(
+        &mut self,
+        from: &InstanceId,
+        salt: u16,
+        body: PacketBody,
+        now: Millis,
+    ) {
         match body {
-            Body::Ping { probe } => self.send(from, Body::Ack { probe }, now),
-            Body::Ack { probe } => self.on_ack(from, probe, now),
-            Body::Relay { probe, target } => {
+            PacketBody::Ping { probe } => self.send(from, PacketBody::Ack { probe }, now),
+            PacketBody::Ack { probe } => self.on_ack(from, probe, now),
+            PacketBody::Relay { probe, target } => {
                 if target != self.own && self.table.get(&target).is_some() {
                     self.start_probe(&target, Some((from.clone(), probe)), now);
                 }
             }
-            Body::RelayedAck { probe, target } => self.on_relayed_ack(probe, &target),
-            Body::Digest { buckets } => self.on_digest(from, salt, &buckets, now),
-            Body::Records {
+            PacketBody::RelayedAck { probe, target } => self.on_relayed_ack(probe, &target),
+            PacketBody::Digest { buckets } => self.on_digest(from, salt, &buckets, now),
+            PacketBody::Records {
                 differing,
                 records,
                 wants_reply,
--- a/crates/core/src/member/members.rs
+++ b/crates/core/src/member/members.rs
@@ -7,7 +7,8 @@
 use super::sync::Sync;
 use super::table::{Member, Merged, Table};
 use super::{
-    Body, Event, Health, Identity, Incarnation, Packet, State, Status, FORGET_GONE_MS, PERIOD_MS,
+    Health, Identity, Incarnation, MemberEvent, MemberState, Packet, PacketBody, Status,
+    GONE_RETENTION_MS, PROBE_PERIOD_MS,
 };
 use crate::id::{InstanceId, RegionId};
 use crate::time::Millis;
@@ -39,7 +40,7 @@
     /// Name, incarnation, place and addresses.
     pub identity: Identity,
     /// State.
-    pub state: State,
+    pub state: MemberState,
     /// News from the member's region arrives. Always true for the own region.
     pub is_reachable: bool,
     /// The latest live list names this incarnation.
@@ -78,7 +79,7 @@
     pub(super) listed_at: Option<Millis>,
     pub(super) rng: StdRng,
     pub(super) out: Vec<Outgoing>,
-    events: Vec<Event>,
+    events: Vec<MemberEvent>,
     started_at: Millis,
     last_tick: Option<Millis>,
     next_period_at: Millis,
@@ -98,7 +99,7 @@
         let mut rumors = Rumors::default();
         rumors.add(&own, Change::Record);
         let mut rng = StdRng::seed_from_u64(seed);
-        let next_period_at = now.plus(rng.random_range(0..PERIOD_MS / 4));
+        let next_period_at = now.plus(rng.random_range(0..PROBE_PERIOD_MS / 4));
         Self {
             own,
             own_incarnation,
@@ -140,7 +141,10 @@
         }
         self.take_gossip(&packet, now);
         self.hear_from(from, &packet, now);
-        let has_hash_of_sender = !matches!(packet.body, Body::Digest { .. } | Body::Records { .. });
+        let has_hash_of_sender = !matches!(
+            packet.body,
+            PacketBody::Digest { .. } | PacketBody::Records { .. }
+        );
         self.handle_body(from, packet.salt, packet.body, now);
         if has_hash_of_sender {
             self.compare_tables(from, packet.salt, packet.table_hash, now);
@@ -177,7 +181,7 @@
     }
 
     /// Events since the last call.
-    pub fn take_events(&mut self) -> Vec<Event> {
+    pub fn take_events(&mut self) -> Vec<MemberEvent> {
         mem::take(&mut self.events)
     }
 
@@ -201,7 +205,7 @@
         }
         self.table
             .present_in(region)
-            .filter(|m| m.state() == State::Alive)
+            .filter(|m| m.state() == MemberState::Alive)
             .map(|m| &m.identity)
             .collect()
     }
@@ -270,7 +274,7 @@
         self.rumors.add(&own, Change::Status);
     }
 
-    pub(super) fn report(&mut self, event: Event) {
+    pub(super) fn report(&mut self, event: MemberEvent) {
         self.events.push(event);
     }
 
@@ -287,21 +291,21 @@
         self.sync.note_change(now);
         if merged.is_new {
             let instance = instance.clone();
-            self.report(Event::Joined {
+            self.report(MemberEvent::Joined {
                 instance,
                 incarnation,
             });
         }
         if let Some((from, to)) = merged.states {
             let instance = instance.clone();
-            self.report(Event::Changed { instance, from, to });
+            self.report(MemberEvent::Changed { instance, from, to });
         }
         self.regions.note_region(&region, &self.own_region, now);
     }
 
     fn on_namesake(&mut self, incarnation: Incarnation) {
         if incarnation >= self.own_incarnation {
-            self.report(Event::Superseded { incarnation });
+            self.report(MemberEvent::Superseded { incarnation });
         }
     }
 
@@ -322,8 +326,8 @@
     }
 
     fn begin_period(&mut self, now: Millis) {
-        let jitter_ms = self.rng.random_range(0..PERIOD_MS / 10);
-        self.next_period_at = now.plus(PERIOD_MS - PERIOD_MS / 20 + jitter_ms);
+        let jitter_ms = self.rng.random_range(0..PROBE_PERIOD_MS / 10);
+        self.next_period_at = now.plus(PROBE_PERIOD_MS - PROBE_PERIOD_MS / 20 + jitter_ms);
         self.regions.advance_own(&self.own_region, now);
         self.probe_next(now);
         self.probe_absent(now);
@@ -333,7 +337,7 @@
 
     /// Whether the instance has started only lately.
     pub(super) fn is_starting(&self, now: Millis) -> bool {
-        now.since(self.started_at) < 10 * PERIOD_MS
+        now.since(self.started_at) < 10 * PROBE_PERIOD_MS
     }
 
     /// Sends the latest changes to a few members without waiting for the next period.
@@ -354,7 +358,7 @@
         let is_old = |m: &Member| {
             let is_listed = listed.contains_key(&m.identity.instance);
             let is_old = m.status.health == Health::Gone
-                && now.since(m.changed_at) >= FORGET_GONE_MS
+                && now.since(m.changed_at) >= GONE_RETENTION_MS
                 || !m.is_confirmed;
             is_old && !is_listed && m.identity.instance != *own
         };
@@ -368,7 +372,7 @@
         for instance in old {
             self.table.members.remove(&instance);
             self.rumors.forget(&instance);
-            self.report(Event::Forgotten { instance });
+            self.report(MemberEvent::Forgotten { instance });
         }
     }
 
--- a/crates/core/src/member/mod.rs
+++ b/crates/core/src/member/mod.rs
@@ -28,26 +28,26 @@
 mod table;
 
 pub use entry::{EntryError, EntryView, MAX_ENTRIES, MAX_ENTRY_BYTES, MAX_FLEET_TOPIC};
-pub use event::Event;
+pub use event::MemberEvent;
 pub use members::{MemberView, Members, Outgoing, RevisionRange};
-pub use packet::{Beat, Body, KeyedEntry, Packet, Revised, Update};
-pub use record::{Health, Identity, Incarnation, Record, State, Status};
-pub use seed::LiveEntry;
+pub use packet::{KeyedEntry, Packet, PacketBody, RegionHeartbeat, RevisionUpdate, Update};
+pub use record::{Health, Identity, Incarnation, MemberRecord, MemberState, Status};
+pub use seed::LiveListEntry;
 
 /// Time between two probes of one instance, in milliseconds.
-pub const PERIOD_MS: u64 = 1_000;
+pub const PROBE_PERIOD_MS: u64 = 1_000;
 /// Time without an acknowledgement after which a probe is repeated directly and through others,
 /// in milliseconds.
 pub const PROBE_RETRY_MS: u64 = 300;
 /// Time for which a suspected member may refute before it counts as gone, in milliseconds.
-pub const SUSPICION_MS: u64 = 3_000;
+pub const SUSPICION_TIMEOUT_MS: u64 = 3_000;
 /// Time between two packets of one delegate to one other region, in milliseconds.
 pub const REGION_PERIOD_MS: u64 = 3_000;
 /// Time between two packets of one delegate to a region that is silent, in milliseconds.
-pub const SILENT_REGION_PERIOD_MS: u64 = 10_000;
+pub const UNREACHABLE_REGION_PERIOD_MS: u64 = 10_000;
 /// Time without news after which a region counts as unreachable, in milliseconds.
-pub const REGION_SILENT_MS: u64 = 12_000;
+pub const REGION_TIMEOUT_MS: u64 = 12_000;
 /// Time for which a member that is gone is remembered, in milliseconds.
-pub const FORGET_GONE_MS: u64 = 24 * 3_600 * 1_000;
+pub const GONE_RETENTION_MS: u64 = 24 * 3_600 * 1_000;
 /// Largest packet that is meant for one datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_000;
--- a/crates/core/src/member/packet.rs
+++ b/crates/core/src/member/packet.rs
@@ -1,6 +1,6 @@
 //! Packets between the membership tables of two instances.
 
-use super::{Incarnation, Record, Status};
+use super::{Incarnation, MemberRecord, Status};
 use crate::id::InstanceId;
 use serde::{Deserialize, Serialize};
 
@@ -16,20 +16,20 @@
     /// Hash of the sender's whole table under `salt`.
     pub table_hash: u32,
     /// What the packet is for.
-    pub body: Body,
+    pub body: PacketBody,
     /// Counters of some regions.
-    pub beats: Vec<Beat>,
+    pub heartbeats: Vec<RegionHeartbeat>,
     /// Piggybacked changes of members.
     pub updates: Vec<Update>,
     /// Piggybacked revisions of members.
-    pub revised: Vec<Revised>,
+    pub revisions: Vec<RevisionUpdate>,
     /// Piggybacked state of other modules.
     pub entries: Vec<KeyedEntry>,
 }
 
 /// What a packet is for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Body {
+pub enum PacketBody {
     /// Asks for an acknowledgement.
     Ping {
         /// Number that the acknowledgement repeats.
@@ -64,13 +64,13 @@
         /// Bit set of the buckets that differ.
         differing: u64,
         /// The sender's records in these buckets.
-        records: Vec<Record>,
+        records: Vec<MemberRecord>,
         /// The receiver should answer with its own records.
         wants_reply: bool,
     },
 }
 
-impl Body {
+impl PacketBody {
     /// Whether the receiver answers a packet of this kind in every case.
     pub const fn expects_reply(&self) -> bool {
         matches!(self, Self::Ping { .. })
@@ -79,18 +79,18 @@
 
 /// Counter of a region that rises as long as any of its instances runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct RegionHeartbeat {
     /// Hash of the region's name.
     pub region_key: [u8; 4],
     /// Highest counter known.
-    pub beat: u64,
+    pub counter: u64,
 }
 
 /// A change of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update {
     /// Everything about a member.
-    Record(Record),
+    Record(MemberRecord),
     /// The status of a member that the receiver most likely knows.
     Status {
         /// Name of the member.
@@ -104,7 +104,7 @@
 
 /// Members that have one revision in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Revised {
+pub struct RevisionUpdate {
     /// Revision in force.
     pub revision: u64,
     /// Hashes of the members' names and incarnations.
--- a/crates/core/src/member/record.rs
+++ b/crates/core/src/member/record.rs
@@ -86,7 +86,7 @@
 
 /// All that travels about one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct MemberRecord {
     /// The constant part.
     pub identity: Identity,
     /// The changing part.
@@ -98,7 +98,7 @@
 /// State of a member as the rest of the program sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum MemberState {
     /// Answers and takes work.
     Alive,
     /// Did not answer lately.
@@ -109,7 +109,7 @@
     Gone,
 }
 
-impl State {
+impl MemberState {
     /// The state that `status` amounts to.
     pub const fn of(status: &Status) -> Self {
         match status.health {
--- a/crates/core/src/member/region.rs
+++ b/crates/core/src/member/region.rs
@@ -2,7 +2,8 @@
 
 use super::table::{hash_pair, region_key, Member};
 use super::{
-    Beat, Event, Members, State, REGION_PERIOD_MS, REGION_SILENT_MS, SILENT_REGION_PERIOD_MS,
+    MemberEvent, MemberState, Members, RegionHeartbeat, REGION_PERIOD_MS, REGION_TIMEOUT_MS,
+    UNREACHABLE_REGION_PERIOD_MS,
 };
 use crate::id::{InstanceId, RegionId};
 use crate::time::Millis;
@@ -21,7 +22,7 @@
 /// What is known about one region.
 #[derive(Clone, Debug)]
 struct News {
-    beat: u64,
+    counter: u64,
     heard_at: Millis,
     due_at: Millis,
     is_silent: bool,
@@ -37,7 +38,7 @@
 impl Regions {
     fn entry(&mut self, region: &RegionId, now: Millis) -> &mut News {
         self.news.entry(region.clone()).or_insert(News {
-            beat: 0,
+            counter: 0,
             heard_at: now,
             due_at: now,
             is_silent: false,
@@ -53,7 +54,7 @@
 
     /// Counts one period of the own region.
     pub(super) fn advance_own(&mut self, own: &RegionId, now: Millis) {
-        self.entry(own, now).beat += 1;
+        self.entry(own, now).counter += 1;
     }
 
     /// Notes a packet from a member of `region`.
@@ -61,12 +62,12 @@
         self.entry(region, now).heard_at = now;
     }
 
-    pub(super) fn merge_beat(&mut self, beat: Beat, now: Millis) {
-        let is_same = |region: &RegionId| region_key(region) == beat.region_key;
+    pub(super) fn merge_heartbeat(&mut self, heartbeat: RegionHeartbeat, now: Millis) {
+        let is_same = |region: &RegionId| region_key(region) == heartbeat.region_key;
         let known = self.news.iter_mut().find(|(region, _)| is_same(region));
         if let Some((_, news)) = known {
-            if beat.beat > news.beat {
-                news.beat = beat.beat;
+            if heartbeat.counter > news.counter {
+                news.counter = heartbeat.counter;
                 news.heard_at = now;
             }
         }
@@ -102,7 +103,7 @@
 
 impl Members {
     /// Counters for a packet to a member of `receiver`'s region: its own, ours and a few others.
-    pub(super) fn pick_beats(&mut self, receiver: Option<&RegionId>) -> Vec<Beat> {
+    pub(super) fn pick_heartbeats(&mut self, receiver: Option<&RegionId>) -> Vec<RegionHeartbeat> {
         let own = &self.own_region;
         let is_first = |region: &RegionId| region == own || Some(region) == receiver;
         let (mut picked, mut others): (Vec<_>, Vec<_>) =
@@ -111,11 +112,11 @@
             let at = self.rng.random_range(0..others.len());
             picked.push(others.swap_remove(at));
         }
-        let to_beat = |(region, news): (&RegionId, &News)| Beat {
+        let to_heartbeat = |(region, news): (&RegionId, &News)| RegionHeartbeat {
             region_key: region_key(region),
-            beat: news.beat,
+            counter: news.counter,
         };
-        picked.into_iter().map(to_beat).collect()
+        picked.into_iter().map(to_heartbeat).collect()
     }
 
     /// Reports regions that fell silent or came back.
@@ -123,16 +124,16 @@
         let mut events = Vec::new();
         for (region, news) in &mut self.regions.news {
             let is_silent =
-                *region != self.own_region && now.since(news.heard_at) >= REGION_SILENT_MS;
+                *region != self.own_region && now.since(news.heard_at) >= REGION_TIMEOUT_MS;
             if is_silent == news.is_silent {
                 continue;
             }
             news.is_silent = is_silent;
             let region = region.clone();
             events.push(if is_silent {
-                Event::RegionSilent { region }
+                MemberEvent::RegionSilent { region }
             } else {
-                Event::RegionBack { region }
+                MemberEvent::RegionBack { region }
             });
         }
         for event in events {
@@ -149,7 +150,7 @@
                 continue;
             }
             let period_ms = if news.is_silent {
-                SILENT_REGION_PERIOD_MS
+                UNREACHABLE_REGION_PERIOD_MS
             } else {
                 REGION_PERIOD_MS
             };
@@ -184,7 +185,7 @@
     fn is_delegate(&self, region: &RegionId) -> bool {
         let rank = |m: &Member| hash_pair(region.as_str(), m.identity.instance.as_str());
         let own_rank = rank(self.own_member());
-        let is_candidate = |m: &&Member| m.state() == State::Alive;
+        let is_candidate = |m: &&Member| m.state() == MemberState::Alive;
         let ahead = self
             .table
             .present_in(&self.own_region)
--- a/crates/core/src/member/seed.rs
+++ b/crates/core/src/member/seed.rs
@@ -1,12 +1,12 @@
 //! The platform's live list: it names instances to turn to, and it lags.
 
 use super::table::{join, Member};
-use super::{Event, Identity, Members, Outgoing, Status};
+use super::{Identity, MemberEvent, Members, Outgoing, Status};
 use crate::time::Millis;
 
 /// One line of the live list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LiveEntry {
+pub struct LiveListEntry {
     /// Name, incarnation, place and addresses.
     pub identity: Identity,
     /// The platform says that the incarnation is leaving.
@@ -17,7 +17,7 @@
     /// Takes in the whole live list. An unknown incarnation becomes a candidate that is probed; it
     /// counts as a member once a packet or gossip confirms it. `is_leaving` counts at once. A
     /// member that the list lacks stays as it is.
-    pub fn on_live_list(&mut self, list: &[LiveEntry], now: Millis) -> Vec<Outgoing> {
+    pub fn on_live_list(&mut self, list: &[LiveListEntry], now: Millis) -> Vec<Outgoing> {
         self.listed = list
             .iter()
             .map(|line| (line.identity.instance.clone(), line.identity.incarnation))
@@ -33,19 +33,19 @@
         self.take_out()
     }
 
-    fn take_own_line(&mut self, line: &LiveEntry) {
+    fn take_own_line(&mut self, line: &LiveListEntry) {
         let incarnation = line.identity.incarnation;
         if incarnation > self.own_incarnation {
-            self.report(Event::Superseded { incarnation });
+            self.report(MemberEvent::Superseded { incarnation });
         }
         let is_news = line.is_leaving && !self.own_member().status.is_leaving;
         if incarnation == self.own_incarnation && is_news {
             self.set_leaving();
-            self.report(Event::ToldToLeave);
+            self.report(MemberEvent::ToldToLeave);
         }
     }
 
-    fn take_line(&mut self, line: &LiveEntry, now: Millis) {
+    fn take_line(&mut self, line: &LiveListEntry, now: Millis) {
         let identity = &line.identity;
         let known = self.table.get(&identity.instance);
         let is_newer = known.is_none_or(|m| m.identity.incarnation < identity.incarnation);
--- a/crates/core/src/member/size.rs
+++ b/crates/core/src/member/size.rs
@@ -1,6 +1,6 @@
 //! Encoded sizes, so that a packet can be filled up to a bound without being encoded.
 
-use super::{KeyedEntry, Record, Status, Update};
+use super::{KeyedEntry, MemberRecord, Status, Update};
 use std::net::SocketAddr;
 
 /// Bytes of a variable-length integer of seven bits a byte.
@@ -28,7 +28,7 @@
     varint_bytes(status.sequence.into()) + varint_bytes(status.revision) + flags
 }
 
-pub(super) fn record_bytes(record: &Record) -> usize {
+pub(super) fn record_bytes(record: &MemberRecord) -> usize {
     let identity = &record.identity;
     let entries: usize = record
         .entries
--- a/crates/core/src/member/sync.rs
+++ b/crates/core/src/member/sync.rs
@@ -6,7 +6,7 @@
 
 use super::size::record_bytes;
 use super::table::BUCKETS;
-use super::{Body, Members, Record};
+use super::{MemberRecord, Members, PacketBody};
 use crate::id::InstanceId;
 use crate::time::Millis;
 use rand::Rng;
@@ -74,7 +74,7 @@
         self.sync.last_at = Some(now);
         self.send(
             with,
-            Body::Digest {
+            PacketBody::Digest {
                 buckets: Vec::new(),
             },
             now,
@@ -83,7 +83,7 @@
             return;
         };
         let buckets = self.table.bucket_hashes(sent.packet.salt);
-        sent.packet.body = Body::Digest { buckets };
+        sent.packet.body = PacketBody::Digest { buckets };
     }
 
     /// Answers hashes by bucket with the records of the buckets that differ.
@@ -100,7 +100,7 @@
             return;
         }
         let records = self.bounded(self.table.records_in(differing));
-        let body = Body::Records {
+        let body = PacketBody::Records {
             differing,
             records,
             wants_reply: true,
@@ -113,7 +113,7 @@
         &mut self,
         from: &InstanceId,
         differing: u64,
-        theirs: &[Record],
+        theirs: &[MemberRecord],
         wants_reply: bool,
         now: Millis,
     ) {
@@ -124,18 +124,18 @@
         if !wants_reply {
             return;
         }
-        let by_name: BTreeMap<&InstanceId, &Record> = theirs
+        let by_name: BTreeMap<&InstanceId, &MemberRecord> = theirs
             .iter()
             .map(|record| (&record.identity.instance, record))
             .collect();
-        let is_news = |ours: &Record| by_name.get(&ours.identity.instance) != Some(&ours);
+        let is_news = |ours: &MemberRecord| by_name.get(&ours.identity.instance) != Some(&ours);
         let mut records = self.table.records_in(differing);
         records.retain(is_news);
         if records.is_empty() {
             return;
         }
         let records = self.bounded(records);
-        let body = Body::Records {
+        let body = PacketBody::Records {
             differing,
             records,
             wants_reply: false,
@@ -145,7 +145,7 @@
 
     /// A part of `records` that fits in one packet, beginning at a random place so that no record
     /// is left out every time.
-    fn bounded(&self, mut records: Vec<Record>) -> Vec<Record> {
+    fn bounded(&self, mut records: Vec<MemberRecord>) -> Vec<MemberRecord> {
         let total: usize = records.iter().map(record_bytes).sum();
         if total <= MAX_RECORDS_BYTES {
             return records;
--- a/crates/core/src/member/table.rs
+++ b/crates/core/src/member/table.rs
@@ -1,7 +1,9 @@
 //! The members by name, and the merge of records into them.
 
 use super::entry::{is_fleet_topic, Entry};
-use super::{Health, Identity, Incarnation, Record, State, Status, MAX_ENTRIES, MAX_ENTRY_BYTES};
+use super::{
+    Health, Identity, Incarnation, MemberRecord, MemberState, Status, MAX_ENTRIES, MAX_ENTRY_BYTES,
+};
 use crate::id::{InstanceId, RegionId};
 use crate::time::Millis;
 use std::collections::BTreeMap;
@@ -42,8 +44,8 @@
         }
     }
 
-    pub(super) fn state(&self) -> State {
-        State::of(&self.status)
+    pub(super) fn state(&self) -> MemberState {
+        MemberState::of(&self.status)
     }
 
     /// Whether the member is known to run.
@@ -51,14 +53,14 @@
         self.is_confirmed && self.status.health != Health::Gone
     }
 
-    pub(super) fn record(&self) -> Record {
+    pub(super) fn record(&self) -> MemberRecord {
         let entries = self
             .entries
             .iter()
             .filter(|(topic, _)| is_fleet_topic(**topic))
             .map(|(topic, entry)| (*topic, entry.version, entry.bytes.clone()))
             .collect();
-        Record {
+        MemberRecord {
             identity: self.identity.clone(),
             status: self.status,
             entries,
@@ -107,7 +109,7 @@
     /// The revision rose.
     pub(super) is_revision_changed: bool,
     /// States before and after, if they differ.
-    pub(super) states: Option<(State, State)>,
+    pub(super) states: Option<(MemberState, MemberState)>,
 }
 
 impl Merged {
@@ -128,14 +130,14 @@
     }
 
     /// Merges a record that travelled.
-    pub(super) fn merge_record(&mut self, record: &Record, now: Millis) -> Merged {
+    pub(super) fn merge_record(&mut self, record: &MemberRecord, now: Millis) -> Merged {
         let identity = &record.identity;
         let known = self.members.get(&identity.instance);
         let has_room = known.is_some() || self.members.len() < MAX_MEMBERS;
         let is_newer = known.is_none_or(|m| m.identity.incarnation < identity.incarnation);
         if is_newer && has_room {
             self.insert(record, now);
-            let states = known_state_change(None, State::of(&record.status));
+            let states = known_state_change(None, MemberState::of(&record.status));
             return Merged {
                 is_new: true,
                 is_status_changed: true,
@@ -151,7 +153,7 @@
         )
     }
 
-    fn insert(&mut self, record: &Record, now: Millis) {
+    fn insert(&mut self, record: &MemberRecord, now: Millis) {
         let identity = record.identity.clone();
         let mut member = Member::new(identity, record.status, now);
         member.is_confirmed = true;
@@ -222,7 +224,7 @@
 
     /// Records of all confirmed members in the buckets of a bit set; members that are gone are
     /// included, so that the verdict travels.
-    pub(super) fn records_in(&self, buckets: u64) -> Vec<Record> {
+    pub(super) fn records_in(&self, buckets: u64) -> Vec<MemberRecord> {
         let is_in = |m: &&Member| buckets & (1 << bucket_of(&m.identity.instance)) != 0;
         self.members
             .values()
@@ -254,7 +256,7 @@
     let before = member.status;
     member.status.join(incoming);
     let after = member.status;
-    let states = known_state_change(Some(State::of(&before)), State::of(&after));
+    let states = known_state_change(Some(MemberState::of(&before)), MemberState::of(&after));
     let is_health_changed = before.health != after.health || before.sequence != after.sequence;
     if is_health_changed {
         member.changed_at = now;
@@ -267,7 +269,10 @@
     }
 }
 
-fn known_state_change(from: Option<State>, to: State) -> Option<(State, State)> {
+fn known_state_change(
+    from: Option<MemberState>,
+    to: MemberState,
+) -> Option<(MemberState, MemberState)> {
     let from = from?;
     (from != to).then_some((from, to))
 }
--- a/crates/core/tests/member_network.rs
+++ b/crates/core/tests/member_network.rs
@@ -2,7 +2,7 @@
 
 mod member_support;
 
-use carobwheel_core::member::{Event, State, PERIOD_MS};
+use carobwheel_core::member::{MemberEvent, MemberState, PROBE_PERIOD_MS};
 use member_support::{Faults, Net};
 use rand::Rng;
 use std::{env, ops::Range};
@@ -29,7 +29,7 @@
     for seed in seeds(5) {
         let mut net = Net::new(regions, seed);
         net.faults = LOSSY;
-        net.settle(SETTLE_PERIODS * PERIOD_MS);
+        net.settle(SETTLE_PERIODS * PROBE_PERIOD_MS);
     }
 }
 
@@ -38,15 +38,15 @@
     for seed in seeds(10) {
         let mut net = Net::new(&[8, 4], seed);
         net.faults = LOSSY;
-        net.settle(SETTLE_PERIODS * PERIOD_MS);
-        net.run(30 * PERIOD_MS);
+        net.settle(SETTLE_PERIODS * PROBE_PERIOD_MS);
+        net.run(30 * PROBE_PERIOD_MS);
         net.kill(3);
         let dead = net.nodes[3].identity.instance.clone();
-        net.run(6 * PERIOD_MS);
+        net.run(6 * PROBE_PERIOD_MS);
         let state = |net: &Net, at: usize| net.nodes[at].members.member(&dead).unwrap().state;
-        assert_ne!(state(&net, 0), State::Alive, "seed {seed}");
-        net.settle(10 * PERIOD_MS);
-        assert_eq!(state(&net, 11), State::Gone);
+        assert_ne!(state(&net, 0), MemberState::Alive, "seed {seed}");
+        net.settle(10 * PROBE_PERIOD_MS);
+        assert_eq!(state(&net, 11), MemberState::Gone);
     }
 }
 
@@ -55,13 +55,13 @@
     for seed in seeds(3) {
         let mut net = Net::new(&[10, 10], seed);
         net.faults = LOSSY;
-        net.run(300 * PERIOD_MS);
+        net.run(300 * PROBE_PERIOD_MS);
         for node in &mut net.nodes {
-            let gone = |event: &Event| {
+            let gone = |event: &MemberEvent| {
                 matches!(
                     event,
-                    Event::Changed {
-                        to: State::Gone,
+                    MemberEvent::Changed {
+                        to: MemberState::Gone,
                         ..
                     }
                 )
@@ -81,10 +81,10 @@
 fn leaving_is_known_in_the_region_at_once_and_everywhere_soon() {
     for seed in seeds(20) {
         let mut net = Net::new(&[6, 6, 6], seed);
-        net.settle(SETTLE_PERIODS * PERIOD_MS);
-        net.run(20 * PERIOD_MS);
+        net.settle(SETTLE_PERIODS * PROBE_PERIOD_MS);
+        net.run(20 * PROBE_PERIOD_MS);
         net.leave(0);
-        net.settle(4 * PERIOD_MS);
+        net.settle(4 * PROBE_PERIOD_MS);
     }
 }
 
@@ -92,15 +92,15 @@
 fn a_revision_reaches_everyone_within_two_seconds() {
     for seed in seeds(6) {
         let mut net = Net::new(&[10, 10, 10], seed);
-        net.settle(SETTLE_PERIODS * PERIOD_MS);
-        net.run(20 * PERIOD_MS);
+        net.settle(SETTLE_PERIODS * PROBE_PERIOD_MS);
+        net.run(20 * PROBE_PERIOD_MS);
         net.publish(7, 2);
         net.run(2_000);
         assert!(
             net.nodes.iter().all(|node| node.revision == 2),
             "seed {seed}"
         );
-        net.settle(SETTLE_PERIODS * PERIOD_MS);
+        net.settle(SETTLE_PERIODS * PROBE_PERIOD_MS);
     }
 }
 
@@ -108,20 +108,20 @@
 fn a_region_comes_back_after_an_hour() {
     for seed in seeds(2) {
         let mut net = Net::new(&[3, 3, 3], seed);
-        net.settle(SETTLE_PERIODS * PERIOD_MS);
+        net.settle(SETTLE_PERIODS * PROBE_PERIOD_MS);
         for at in 0..3 {
             net.side[at] = 1;
         }
-        net.run(1_800 * PERIOD_MS);
+        net.run(1_800 * PROBE_PERIOD_MS);
         let region = net.nodes[8].identity.region.clone();
         assert!(!net.nodes[0].members.is_region_reachable(&region));
         assert!(net.nodes[0].members.alive_in(&region).is_empty());
         net.publish(8, 5);
         net.restart(7);
         net.restart(1);
-        net.run(1_800 * PERIOD_MS);
+        net.run(1_800 * PROBE_PERIOD_MS);
         net.side = vec![0; 9];
-        net.settle(SETTLE_PERIODS * PERIOD_MS);
+        net.settle(SETTLE_PERIODS * PROBE_PERIOD_MS);
         assert!(net.nodes[0].members.is_region_reachable(&region));
     }
 }
@@ -130,22 +130,22 @@
 fn both_halves_of_a_region_find_each_other_after_an_hour() {
     for seed in seeds(2) {
         let mut net = Net::new(&[8], seed);
-        net.settle(SETTLE_PERIODS * PERIOD_MS);
+        net.settle(SETTLE_PERIODS * PROBE_PERIOD_MS);
         for at in 0..4 {
             net.side[at] = 1;
         }
-        net.run(3_600 * PERIOD_MS);
+        net.run(3_600 * PROBE_PERIOD_MS);
         net.settle(1);
         net.side = vec![0; 8];
-        net.settle(SETTLE_PERIODS * PERIOD_MS);
+        net.settle(SETTLE_PERIODS * PROBE_PERIOD_MS);
         // Nobody on either side is taken for gone while the halves meet.
         for node in &mut net.nodes {
             let events = node.members.take_events();
             let after = events.iter().rposition(|event| {
                 matches!(
                     event,
-                    Event::Changed {
-                        from: State::Gone,
+                    MemberEvent::Changed {
+                        from: MemberState::Gone,
                         ..
                     }
                 )
@@ -153,8 +153,8 @@
             let lost = events[..after.unwrap_or(0)].iter().filter(|event| {
                 matches!(
                     event,
-                    Event::Changed {
-                        to: State::Gone,
+                    MemberEvent::Changed {
+                        to: MemberState::Gone,
                         ..
                     }
                 )
@@ -169,11 +169,11 @@
     for seed in seeds(10) {
         let mut net = Net::new(&[4, 4, 4], seed);
         net.faults = LOSSY;
-        net.run(60 * PERIOD_MS);
+        net.run(60 * PROBE_PERIOD_MS);
         for at in 0..12 {
             net.restart(at);
         }
-        net.settle(SETTLE_PERIODS * PERIOD_MS);
+        net.settle(SETTLE_PERIODS * PROBE_PERIOD_MS);
     }
 }
 
@@ -220,7 +220,7 @@
         };
         for _ in 0..30 {
             disturb(&mut net);
-            let pause_ms = net.rng.random_range(0..15 * PERIOD_MS);
+            let pause_ms = net.rng.random_range(0..15 * PROBE_PERIOD_MS);
             net.run(pause_ms);
         }
         net.side = vec![0; net.nodes.len()];
@@ -230,7 +230,7 @@
                 net.restart(at);
             }
         }
-        let limit_ms = SETTLE_PERIODS * PERIOD_MS;
+        let limit_ms = SETTLE_PERIODS * PROBE_PERIOD_MS;
         let settled_ms = net.settle(limit_ms);
         assert!(settled_ms <= limit_ms, "seed {seed}");
     }
@@ -240,9 +240,9 @@
 fn silent_regions(sizes: &[usize], seed: u64, periods: u64) -> usize {
     let mut net = Net::new(sizes, seed);
     net.faults = LOSSY;
-    net.settle(SETTLE_PERIODS * PERIOD_MS);
-    net.run(periods * PERIOD_MS);
-    let is_silent = |event: &Event| matches!(event, Event::RegionSilent { .. });
+    net.settle(SETTLE_PERIODS * PROBE_PERIOD_MS);
+    net.run(periods * PROBE_PERIOD_MS);
+    let is_silent = |event: &MemberEvent| matches!(event, MemberEvent::RegionSilent { .. });
     net.nodes
         .iter_mut()
         .map(|node| {
--- a/crates/core/tests/member_support/mod.rs
+++ b/crates/core/tests/member_support/mod.rs
@@ -3,7 +3,9 @@
 #![allow(dead_code, reason = "each test binary uses a part of it")]
 
 use carobwheel_core::id::InstanceId;
-use carobwheel_core::member::{Identity, Incarnation, LiveEntry, Members, Outgoing, Packet, State};
+use carobwheel_core::member::{
+    Identity, Incarnation, LiveListEntry, MemberState, Members, Outgoing, Packet,
+};
 use carobwheel_core::time::Millis;
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -115,10 +117,10 @@
         net
     }
 
-    pub(crate) fn live_list(&self) -> Vec<LiveEntry> {
+    pub(crate) fn live_list(&self) -> Vec<LiveListEntry> {
         let running = self.nodes.iter().filter(|node| node.is_running);
         running
-            .map(|node| LiveEntry {
+            .map(|node| LiveListEntry {
                 identity: node.identity.clone(),
                 is_leaving: false,
             })
@@ -239,7 +241,7 @@
     /// A fetch takes until the next tick, and fails across a partition.
     fn start_fetch(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        if let Some((from, _)) = node.members.fetch_from(self.now) {
+        if let Some((from, _)) = node.members.choose_fetch_peer(self.now) {
             let from = self.by_name[&from];
             let revision = self.nodes[from].revision;
             self.nodes[at].fetch = Some((from, revision));
@@ -263,13 +265,13 @@
             let is_leaving = self
                 .incarnations_left
                 .contains(&(identity.instance.clone(), identity.incarnation))
-                && view.state == State::Leaving;
+                && view.state == MemberState::Leaving;
             let own = self.nodes[at].identity.incarnation.0 as usize;
             let key = (at + 1_000 * own, identity.instance, identity.incarnation);
             let seen = self.seen.entry(key).or_insert((0, false));
             assert!(view.revision >= seen.0, "a revision went back");
             assert!(
-                !seen.1 || matches!(view.state, State::Leaving | State::Gone),
+                !seen.1 || matches!(view.state, MemberState::Leaving | MemberState::Gone),
                 "leaving was taken back"
             );
             *seen = (view.revision, seen.1 || is_leaving);
@@ -309,11 +311,11 @@
         let same_side = self.side[at] == self.side[other];
         let same_region = node.identity.region == target.identity.region;
         let expected = match (target.is_running, target.has_left) {
-            (true, false) if same_side => Some(State::Alive),
-            (true, true) if same_side => Some(State::Leaving),
-            (false, _) => Some(State::Gone),
+            (true, false) if same_side => Some(MemberState::Alive),
+            (true, true) if same_side => Some(MemberState::Leaving),
+            (false, _) => Some(MemberState::Gone),
             // Only the member's own region judges it.
-            _ if same_region => Some(State::Gone),
+            _ if same_region => Some(MemberState::Gone),
             _ => None,
         }?;
         let seen = view.as_ref().map(|view| view.state);
@@ -321,10 +323,10 @@
             .as_ref()
             .is_some_and(|view| view.identity.incarnation == target.identity.incarnation);
         let revision = view.as_ref().map_or(0, |view| view.revision);
-        let is_absent_as_expected = expected == State::Gone && view.is_none();
+        let is_absent_as_expected = expected == MemberState::Gone && view.is_none();
         let is_right = is_absent_as_expected
             || seen == Some(expected)
-                && (expected == State::Gone || is_current && revision == target.revision);
+                && (expected == MemberState::Gone || is_current && revision == target.revision);
         (!is_right).then(|| {
             format!(
                 "{} sees {} as {seen:?} revision {revision} (current {is_current}), expected {expected:?} revision {}",
--- a/crates/ctl/src/experiment/gossip/fleet.rs
+++ b/crates/ctl/src/experiment/gossip/fleet.rs
@@ -5,7 +5,7 @@
 use crate::load::process::{usage, Usage};
 use anyhow::{bail, Context as _};
 use bytes::Bytes;
-use carobwheel_core::member::{Identity, Incarnation, LiveEntry};
+use carobwheel_core::member::{Identity, Incarnation, LiveListEntry};
 use carobwheel_gateway::peers::{PeerSettings, PeerStats, TlsMaterial};
 use carobwheel_standin::tls::Authority;
 use std::net::SocketAddr;
@@ -88,9 +88,9 @@
             let node = start_node(args, &authority, index, regions, &cancel)?;
             nodes.push(node);
         }
-        let list: Vec<LiveEntry> = nodes
+        let list: Vec<LiveListEntry> = nodes
             .iter()
-            .map(|node| LiveEntry {
+            .map(|node| LiveListEntry {
                 identity: node.identity.clone(),
                 is_leaving: false,
             })
--- a/crates/ctl/src/experiment/gossip/node.rs
+++ b/crates/ctl/src/experiment/gossip/node.rs
@@ -3,7 +3,7 @@
 use anyhow::Context as _;
 use bytes::Bytes;
 use carobwheel_core::id::{InstanceId, RegionId};
-use carobwheel_core::member::{Identity, LiveEntry, Members, Outgoing, Packet};
+use carobwheel_core::member::{Identity, LiveListEntry, Members, Outgoing, Packet};
 use carobwheel_core::time::{Clock, Millis};
 use carobwheel_gateway::peers::{self, Handle, Inbound, PeerSettings, Sinks};
 use carobwheel_wire::peer::Message;
@@ -28,7 +28,7 @@
     /// Something arrived.
     Inbound(Inbound),
     /// The live list.
-    LiveList(Arc<Vec<LiveEntry>>),
+    LiveList(Arc<Vec<LiveListEntry>>),
     /// A new document from the operators.
     Publish { revision: u64, bytes: Bytes },
 }
@@ -217,7 +217,7 @@
     }
 
     fn fetch(&mut self, now: Millis) {
-        if let Some((from, addr)) = self.members.fetch_from(now) {
+        if let Some((from, addr)) = self.members.choose_fetch_peer(now) {
             // A full queue shows as a fetch that brings nothing.
             let _ = self.handle.fetch_document(from, addr, self.revision);
         }
--- a/crates/gateway/src/decide/membership.rs
+++ b/crates/gateway/src/decide/membership.rs
@@ -9,7 +9,7 @@
 };
 use carobwheel_core::{
     id::InstanceId,
-    member::{self, Event as MemberEvent, Identity, Incarnation, LiveEntry, State as MemberState},
+    member::{self, Identity, Incarnation, LiveListEntry, MemberEvent, MemberState},
     slot::Peer,
     time::Millis,
 };
@@ -80,7 +80,7 @@
 
     /// Takes the live list as read from the platform.
     pub(super) fn on_live_list(&mut self, read: &LiveListRead, now: Millis) {
-        let lines: Vec<LiveEntry> = read
+        let lines: Vec<LiveListEntry> = read
             .list
             .instances
             .iter()
@@ -119,13 +119,13 @@
     }
 
     // A platform that does not know incarnations means the one that runs now.
-    fn live_entry(&self, instance: &LiveInstance) -> LiveEntry {
+    fn live_entry(&self, instance: &LiveInstance) -> LiveListEntry {
         let known = self.members.member(&instance.id);
         let incarnation = instance
             .incarnation
             .or_else(|| known.map(|member| member.identity.incarnation.0))
             .unwrap_or(0);
-        LiveEntry {
+        LiveListEntry {
             identity: Identity {
                 instance: instance.id.clone(),
                 incarnation: Incarnation(incarnation),
@@ -140,7 +140,7 @@
 
     /// Asks a peer for a document that is newer than the one in force.
     fn fetch_document(&mut self, now: Millis) {
-        let Some((from, addr)) = self.members.fetch_from(now) else {
+        let Some((from, addr)) = self.members.choose_fetch_peer(now) else {
             return;
         };
         let above_revision = self.revision().unwrap_or(0);
--- a/crates/gateway/src/decide/rollouts/gossip.rs
+++ b/crates/gateway/src/decide/rollouts/gossip.rs
@@ -7,7 +7,7 @@
 use carobwheel_core::{
     evidence::{Digest, Suspicion},
     id::{InstanceId, RegionId},
-    member::{MemberView, State as MemberState},
+    member::{MemberState, MemberView},
     time::Millis,
 };
 use carobwheel_wire::peer::Message;
--- a/crates/gateway/src/decide/slots.rs
+++ b/crates/gateway/src/decide/slots.rs
@@ -4,7 +4,7 @@
 use crate::platform::Command;
 use carobwheel_core::{
     id::{InstanceId, RegionId},
-    member::{MemberView, State as MemberState},
+    member::{MemberState, MemberView},
     slot::{Keeper, Peer, Presence, Record, Role, SlotId, Update, View, SHARDS},
     time::Millis,
 };
--- a/crates/gateway/tests/peers_links.rs
+++ b/crates/gateway/tests/peers_links.rs
@@ -162,7 +162,7 @@
         caller_addr: peer.addr(),
     };
     let mut members = Members::new(identity(from), 0, 1, Millis(0));
-    let entry = carobwheel_core::member::LiveEntry {
+    let entry = carobwheel_core::member::LiveListEntry {
         identity: identity(to),
         is_leaving: false,
     };
--- a/crates/gateway/tests/peers_members.rs
+++ b/crates/gateway/tests/peers_members.rs
@@ -3,7 +3,7 @@
 mod peers_support;
 
 use bytes::Bytes;
-use carobwheel_core::member::State;
+use carobwheel_core::member::MemberState;
 use peers_support::instance::{Fleet, NAMES};
 use peers_support::wait;
 
@@ -39,14 +39,16 @@
     fleet.wait_agreed();
     fleet.instances[1] = None;
     fleet.get(2).leave();
-    let sees = |state: State, name: &str, incarnation: u64| {
+    let sees = |state: MemberState, name: &str, incarnation: u64| {
         fleet
             .running()
             .all(|instance| instance.seen_as(state) == [(name.to_owned(), incarnation)])
     };
-    wait("the dead one is gone", || sees(State::Gone, "north-2", 1));
+    wait("the dead one is gone", || {
+        sees(MemberState::Gone, "north-2", 1)
+    });
     wait("the leaving one leaves", || {
-        sees(State::Leaving, "centre-1", 1)
+        sees(MemberState::Leaving, "centre-1", 1)
     });
 }
 
--- a/crates/gateway/tests/peers_support/instance.rs
+++ b/crates/gateway/tests/peers_support/instance.rs
@@ -2,7 +2,9 @@
 
 use super::{authority, id, issue, wait};
 use bytes::Bytes;
-use carobwheel_core::member::{Identity, Incarnation, LiveEntry, Members, Outgoing, State};
+use carobwheel_core::member::{
+    Identity, Incarnation, LiveListEntry, MemberState, Members, Outgoing,
+};
 use carobwheel_core::time::{Clock, Millis};
 use carobwheel_gateway::peers::{start, Handle, Inbound, PeerSettings, Sinks};
 use carobwheel_standin::tls::Authority;
@@ -19,7 +21,7 @@
 /// What an instance shows.
 #[derive(Clone, Default)]
 pub(crate) struct View {
-    pub(crate) states: BTreeMap<String, (u64, State)>,
+    pub(crate) states: BTreeMap<String, (u64, MemberState)>,
     pub(crate) document: Option<(u64, Bytes)>,
 }
 
@@ -35,7 +37,7 @@
 
 enum Event {
     Inbound(Inbound),
-    LiveList(Vec<LiveEntry>),
+    LiveList(Vec<LiveListEntry>),
     Document(u64, Bytes),
     Leave,
 }
@@ -87,7 +89,7 @@
     }
 
     pub(crate) fn give_live_list(&self, list: &[Identity]) {
-        let line = |identity: &Identity| LiveEntry {
+        let line = |identity: &Identity| LiveListEntry {
             identity: identity.clone(),
             is_leaving: false,
         };
@@ -107,7 +109,7 @@
     }
 
     /// Names of the instances that this one sees in `state`, with their incarnations.
-    pub(crate) fn seen_as(&self, state: State) -> Vec<(String, u64)> {
+    pub(crate) fn seen_as(&self, state: MemberState) -> Vec<(String, u64)> {
         let states = self.view().states;
         let in_state = states.into_iter().filter(|(_, seen)| seen.1 == state);
         in_state.map(|(name, seen)| (name, seen.0)).collect()
@@ -181,7 +183,7 @@
 
     fn fetch(&mut self) {
         let above = self.revision();
-        if let Some((from, addr)) = self.members.fetch_from(self.clock.now()) {
+        if let Some((from, addr)) = self.members.choose_fetch_peer(self.clock.now()) {
             // The links may stop before this thread does.
             let _ = self.handle.fetch_document(from, addr, above);
         }
@@ -258,7 +260,7 @@
         expected.sort();
         wait("all see all", || {
             self.running()
-                .all(|instance| instance.seen_as(State::Alive) == expected)
+                .all(|instance| instance.seen_as(MemberState::Alive) == expected)
         });
     }
 
--- a/crates/wire/src/peer/tests.rs
+++ b/crates/wire/src/peer/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 use carobwheel_core::member::{
-    Beat, Body, Health, Identity, Incarnation, KeyedEntry, Packet, Record, Revised, Status, Update,
+    Health, Identity, Incarnation, KeyedEntry, MemberRecord, Packet, PacketBody, RegionHeartbeat,
+    RevisionUpdate, Status, Update,
 };
 use proptest::prelude::*;
 use test_case::test_case;
@@ -35,14 +36,14 @@
         })
 }
 
-fn record() -> impl Strategy<Value = Record> {
+fn record() -> impl Strategy<Value = MemberRecord> {
     let entry = (
         any::<u8>(),
         any::<u64>(),
         prop::collection::vec(any::<u8>(), 0..20),
     );
     (identity(), status(), prop::collection::vec(entry, 0..3)).prop_map(
-        |(identity, status, entries)| Record {
+        |(identity, status, entries)| MemberRecord {
             identity,
             status,
             entries,
@@ -50,14 +51,15 @@
     )
 }
 
-fn body() -> impl Strategy<Value = Body> {
+fn body() -> impl Strategy<Value = PacketBody> {
     let records = prop::collection::vec(record(), 0..4);
     prop_oneof![
-        any::<u32>().prop_map(|probe| Body::Ping { probe }),
-        any::<u32>().prop_map(|probe| Body::Ack { probe }),
-        prop::collection::vec(any::<u16>(), 0..64).prop_map(|buckets| Body::Digest { buckets }),
+        any::<u32>().prop_map(|probe| PacketBody::Ping { probe }),
+        any::<u32>().prop_map(|probe| PacketBody::Ack { probe }),
+        prop::collection::vec(any::<u16>(), 0..64)
+            .prop_map(|buckets| PacketBody::Digest { buckets }),
         (any::<u64>(), records, any::<bool>()).prop_map(|(differing, records, wants_reply)| {
-            Body::Records {
+            PacketBody::Records {
                 differing,
                 records,
                 wants_reply,
@@ -89,12 +91,12 @@
             salt: 7,
             table_hash: 9,
             body,
-            beats: vec![Beat {
+            heartbeats: vec![RegionHeartbeat {
                 region_key: [1; 4],
-                beat: number,
+                counter: number,
             }],
             updates,
-            revised: vec![Revised {
+            revisions: vec![RevisionUpdate {
                 revision: number,
                 member_keys: vec![[2; 4]],
             }],
@@ -211,10 +213,10 @@
         status: Status::new(41),
         salt: 0x1234,
         table_hash: 0xdead_beef,
-        body: Body::Ping { probe: 300 },
-        beats: vec![Beat {
+        body: PacketBody::Ping { probe: 300 },
+        heartbeats: vec![RegionHeartbeat {
             region_key: [1, 2, 3, 4],
-            beat: 5,
+            counter: 5,
         }],
         updates: vec![Update::Status {
             instance: "north-1".parse().unwrap(),
@@ -226,7 +228,7 @@
                 revision: 40,
             },
         }],
-        revised: Vec::new(),
+        revisions: Vec::new(),
         entries: Vec::new(),
     };
     insta::assert_snapshot!(hex(&Message::Member(packet)), @"010180d095ffbc3100000029b424effdb6f50d00ac020101020304050101076e6f7274682d3102010201280000");
