--- a/crates/core/src/once/action.rs
+++ b/crates/core/src/once/action.rs
@@ -1,13 +1,13 @@
 //! The state machine of one action at one instance.
 
 use super::{
-    Answer, Effect, Input, MayHaveRun, NotRun, OnceKey, Outcome, Record, StoreAnswer,
-    UpstreamEvent, WriterMark,
+    ActionRecord, Answer, Effect, Input, MayHaveRun, NotRun, OnceKey, Outcome, StoreAnswer,
+    UpstreamEvent, WriterId,
 };
 use crate::time::Millis;
 
 /// Longest pause of a process that a claim outlives, in milliseconds.
-pub const LONGEST_PAUSE_MS: u64 = 60_000;
+pub const MAX_PROCESS_PAUSE_MS: u64 = 60_000;
 /// Calls of the store after which an instance gives up claiming.
 pub const MAX_CLAIM_CALLS: u32 = 4;
 /// Dispatches of one action; all but the last ended before a byte could leave.
@@ -17,7 +17,7 @@
 
 /// What an action has to know of its request.
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct ActionSpec {
     /// Key of the record; absent if the caller sent no idempotency key.
     pub key: Option<OnceKey>,
     /// Hash of the request, by [`super::request_hash`].
@@ -50,8 +50,8 @@
 /// when none did.
 #[derive(Clone, Debug)]
 pub struct Action {
-    spec: Spec,
-    writer: WriterMark,
+    spec: ActionSpec,
+    writer: WriterId,
     state: State,
     call: u32,
     claim_calls: u32,
@@ -68,7 +68,7 @@
 
 impl Action {
     /// An action with a `writer` mark that no other action has.
-    pub fn new(spec: Spec, writer: WriterMark) -> Self {
+    pub fn new(spec: ActionSpec, writer: WriterId) -> Self {
         Self {
             spec,
             writer,
@@ -96,7 +96,8 @@
             return self.dispatch(now);
         }
         self.requested_at = now;
-        self.life_ms = self.spec.outcome_kept_ms + self.spec.deadline.since(now) + LONGEST_PAUSE_MS;
+        self.life_ms =
+            self.spec.outcome_kept_ms + self.spec.deadline.since(now) + MAX_PROCESS_PAUSE_MS;
         self.create(now)
     }
 
@@ -143,7 +144,7 @@
         assert!(self.claim_revision.is_some(), "bytes leave under a claim");
         let age_ms = now.since(self.requested_at);
         assert!(
-            age_ms + self.spec.outcome_kept_ms + LONGEST_PAUSE_MS <= self.life_ms,
+            age_ms + self.spec.outcome_kept_ms + MAX_PROCESS_PAUSE_MS <= self.life_ms,
             "a claim outlives the dispatch by the longest pause and the time of keeping"
         );
     }
@@ -154,8 +155,8 @@
             .clone()
     }
 
-    fn record(&self, outcome: Option<Outcome>) -> Record {
-        Record {
+    fn record(&self, outcome: Option<Outcome>) -> ActionRecord {
+        ActionRecord {
             writer: self.writer,
             request_sha256: self.spec.request_sha256,
             outcome,
@@ -239,13 +240,13 @@
         self.claim_revision = Some(revision);
     }
 
-    fn found(&mut self, record: Record, now: Millis) -> Vec<Effect> {
+    fn found(&mut self, record: ActionRecord, now: Millis) -> Vec<Effect> {
         if record.request_sha256 != self.spec.request_sha256 {
             return self.answer(Answer::NotRun(NotRun::KeyReused));
         }
         match record.outcome {
             Some(outcome) if outcome.body.bytes().is_some() => self.answer(Answer::Replay(outcome)),
-            Some(outcome) => self.answer(Answer::RanUnkept {
+            Some(outcome) => self.answer(Answer::ReplayUnavailable {
                 status: outcome.status,
             }),
             None if self.spec.deduplicates => self.dispatch(now),
@@ -276,7 +277,7 @@
         match self.state {
             State::Connecting => match event {
                 UpstreamEvent::Failed {
-                    bytes_may_have_left: false,
+                    may_have_sent_bytes: false,
                 } => self.not_connected(now),
                 _ => panic!("an upstream answers only after bytes were permitted to leave"),
             },
@@ -311,7 +312,7 @@
                 self.refuse(NotRun::UpstreamUnavailable)
             }
             UpstreamEvent::Failed {
-                bytes_may_have_left: false,
+                may_have_sent_bytes: false,
             } => {
                 self.has_sent = false;
                 if answered {
@@ -320,10 +321,10 @@
                 self.not_connected(now)
             }
             UpstreamEvent::Failed {
-                bytes_may_have_left: true,
+                may_have_sent_bytes: true,
             } if answered => self.end(),
             UpstreamEvent::Failed {
-                bytes_may_have_left: true,
+                may_have_sent_bytes: true,
             } => self.answer(Answer::MayHaveRun(MayHaveRun::UpstreamLost)),
             UpstreamEvent::Head if answered => Vec::new(),
             UpstreamEvent::Head => self.relay(),
--- a/crates/core/src/once/effect.rs
+++ b/crates/core/src/once/effect.rs
@@ -1,11 +1,11 @@
 //! Events that an action takes and effects that it asks for.
 
-use super::{OnceKey, Outcome, Record};
+use super::{ActionRecord, OnceKey, Outcome};
 use crate::time::Millis;
 
 /// Whether a request ran at an upstream, as told to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Run {
+pub enum Execution {
     /// No upstream ran the request, and none will.
     NotRun,
     /// An upstream may have run the request or may still run it.
@@ -25,7 +25,7 @@
     /// The key is present; the write, if it was one, had no effect.
     Found {
         /// Record under the key.
-        record: Record,
+        record: ActionRecord,
         /// Revision of the store at which the key was last written.
         revision: u64,
     },
@@ -45,7 +45,7 @@
     /// The dispatch ended before the whole answer was there.
     Failed {
         /// Whether any byte of the request may have reached the upstream.
-        bytes_may_have_left: bool,
+        may_have_sent_bytes: bool,
     },
     /// The upstream itself says that it did not run the request.
     Refused,
@@ -118,7 +118,7 @@
     /// The request ran before; this is its answer.
     Replay(Outcome),
     /// The request ran before; its answer was too long to keep (409).
-    RanUnkept {
+    ReplayUnavailable {
         /// Status of the first answer.
         status: u16,
     },
@@ -126,11 +126,11 @@
 
 impl Answer {
     /// Whether the request ran.
-    pub fn run(&self) -> Run {
+    pub fn run(&self) -> Execution {
         match self {
-            Self::NotRun(_) => Run::NotRun,
-            Self::MayHaveRun(_) => Run::MayHaveRun,
-            Self::Replay(_) | Self::RanUnkept { .. } => Run::Ran,
+            Self::NotRun(_) => Execution::NotRun,
+            Self::MayHaveRun(_) => Execution::MayHaveRun,
+            Self::Replay(_) | Self::ReplayUnavailable { .. } => Execution::Ran,
         }
     }
 }
@@ -145,7 +145,7 @@
         /// Key to create.
         key: OnceKey,
         /// Value to write.
-        record: Record,
+        record: ActionRecord,
         /// Time for which the record has to live from now on, in milliseconds.
         life_ms: u64,
     },
@@ -172,7 +172,7 @@
         /// Key to write.
         key: OnceKey,
         /// Value to write.
-        record: Record,
+        record: ActionRecord,
         /// Revision of the claim.
         revision: u64,
         /// Time before which the call has to wait.
@@ -183,7 +183,7 @@
         /// Key to delete.
         key: OnceKey,
         /// Value that the key has to hold.
-        record: Record,
+        record: ActionRecord,
     },
     /// Answer the caller.
     Answer(Answer),
--- a/crates/core/src/once/lease.rs
+++ b/crates/core/src/once/lease.rs
@@ -3,7 +3,7 @@
 use crate::time::Millis;
 
 /// Time during which new records hang on the same lease, in milliseconds.
-pub const LEASE_SHARED_MS: u64 = 60_000;
+pub const LEASE_SHARING_MS: u64 = 60_000;
 
 /// Identifier of a lease of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -31,7 +31,7 @@
 /// The leases that an instance holds for records, one for each length of life in use.
 ///
 /// Leases are never renewed: a record lives for at least its own life and at most
-/// [`LEASE_SHARED_MS`] and a second longer. One grant then serves all actions of a minute.
+/// [`LEASE_SHARING_MS`] and a second longer. One grant then serves all actions of a minute.
 #[derive(Clone, Debug, Default)]
 pub struct LeasePool {
     leases: Vec<Lease>,
@@ -41,12 +41,12 @@
     /// The lease for a record that has to live for `life_ms` from `now` on.
     pub fn choose(&self, life_ms: u64, now: Millis) -> LeaseChoice {
         let needed_until = now.plus(life_ms);
-        let longest_useful = needed_until.plus(LEASE_SHARED_MS + 1_000);
+        let longest_useful = needed_until.plus(LEASE_SHARING_MS + 1_000);
         let fits = |lease: &&Lease| (needed_until..=longest_useful).contains(&lease.ends_at);
         match self.leases.iter().find(fits) {
             Some(lease) => LeaseChoice::Use(lease.id),
             None => LeaseChoice::Grant {
-                ttl_s: (life_ms + LEASE_SHARED_MS).div_ceil(1_000),
+                ttl_s: (life_ms + LEASE_SHARING_MS).div_ceil(1_000),
             },
         }
     }
--- a/crates/core/src/once/record.rs
+++ b/crates/core/src/once/record.rs
@@ -15,12 +15,12 @@
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct WriterMark(#[serde_as(as = "Hex")] pub [u8; 16]);
+pub struct WriterId(#[serde_as(as = "Hex")] pub [u8; 16]);
 
 /// A kept body.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Body {
+pub enum StoredBody {
     /// A body in UTF-8.
     #[serde(rename = "t")]
     Text(String),
@@ -32,7 +32,7 @@
     TooLong,
 }
 
-impl Body {
+impl StoredBody {
     /// The body to keep of an answer of `bytes`.
     pub fn new(bytes: Vec<u8>) -> Self {
         if bytes.len() > MAX_OUTCOME_BYTES {
@@ -65,7 +65,7 @@
     pub content_type: Option<String>,
     /// Body.
     #[serde(rename = "b")]
-    pub body: Body,
+    pub body: StoredBody,
 }
 
 /// Value of the store under the key of an action.
@@ -74,10 +74,10 @@
 /// have been sent.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct ActionRecord {
     /// Writer that holds the claim.
     #[serde(rename = "w")]
-    pub writer: WriterMark,
+    pub writer: WriterId,
     /// Hash of the request, by [`super::request_hash`].
     #[serde_as(as = "Hex")]
     #[serde(rename = "h")]
@@ -99,7 +99,7 @@
 
 impl std::error::Error for RecordError {}
 
-impl Record {
+impl ActionRecord {
     /// The record as stored.
     pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("a record has only text keys")
--- a/crates/core/src/order/issuer.rs
+++ b/crates/core/src/order/issuer.rs
@@ -1,15 +1,15 @@
 //! Bringing engines into the state that they are to be in.
 
-use super::lease::{FencingNumber, ORDER_LATENCY_MS};
+use super::lease::{FencingNumber, MAX_ORDER_LATENCY_MS};
 use crate::id::{ModelId, UpstreamId, VersionId};
 use crate::time::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Time after an order at which the engine is read back, in milliseconds.
-pub const READ_BACK_MS: u64 = 1_000;
+pub const READ_BACK_DELAY_MS: u64 = 1_000;
 /// Time between two readings of an engine that is as it is to be, in milliseconds.
-pub const REREAD_MS: u64 = 30_000;
+pub const REREAD_INTERVAL_MS: u64 = 30_000;
 
 /// What an engine does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -63,7 +63,7 @@
 
 /// What the issuer asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum IssueEffect {
+pub enum IssuerEffect {
     /// Read the state of the engine.
     Read {
         /// Number of the call.
@@ -171,7 +171,7 @@
     }
 
     /// The next calls, while the lease is held.
-    pub fn tick(&mut self, now: Millis) -> Vec<IssueEffect> {
+    pub fn tick(&mut self, now: Millis) -> Vec<IssuerEffect> {
         let mut effects = Vec::new();
         if self.is_fenced {
             return effects;
@@ -186,15 +186,15 @@
             let is_right = engine.actual.as_ref() == Some(&engine.target);
             if is_known && !is_right && now >= engine.settles_at {
                 engine.step = Step::Sending;
-                engine.settles_at = now.plus(ORDER_LATENCY_MS);
-                effects.push(IssueEffect::Send {
+                engine.settles_at = now.plus(MAX_ORDER_LATENCY_MS);
+                effects.push(IssuerEffect::Send {
                     call: engine.call,
                     upstream: upstream.clone(),
                     target: engine.target.clone(),
                 });
             } else {
                 engine.step = Step::Reading;
-                effects.push(IssueEffect::Read {
+                effects.push(IssuerEffect::Read {
                     call: engine.call,
                     upstream: upstream.clone(),
                 });
@@ -213,12 +213,12 @@
         }
         let was_sending = engine.step == Step::Sending;
         engine.step = Step::Idle;
-        engine.next_at = now.plus(READ_BACK_MS);
+        engine.next_at = now.plus(READ_BACK_DELAY_MS);
         match answer {
             EngineAnswer::State(actual) => {
                 let is_right = actual == engine.target;
                 engine.actual = Some(actual);
-                let delay_ms = if is_right { REREAD_MS } else { 0 };
+                let delay_ms = if is_right { REREAD_INTERVAL_MS } else { 0 };
                 engine.next_at =
                     now.plus(delay_ms)
                         .max(if is_right { now } else { engine.settles_at });
@@ -233,7 +233,7 @@
             EngineAnswer::Lost => {
                 engine.actual = None;
                 if was_sending {
-                    engine.settles_at = now.plus(ORDER_LATENCY_MS);
+                    engine.settles_at = now.plus(MAX_ORDER_LATENCY_MS);
                 }
             }
         }
@@ -247,7 +247,7 @@
         if call == engine.call && engine.step == Step::Sending {
             engine.step = Step::Idle;
             engine.settles_at = now;
-            engine.next_at = now.plus(READ_BACK_MS);
+            engine.next_at = now.plus(READ_BACK_DELAY_MS);
         }
     }
 }
--- a/crates/core/src/order/lease.rs
+++ b/crates/core/src/order/lease.rs
@@ -1,7 +1,7 @@
 //! The lease under which one instance of a region issues orders.
 
 use crate::id::{InstanceId, RegionId};
-use crate::once::WriterMark;
+use crate::once::WriterId;
 use crate::time::Millis;
 use serde::{Deserialize, Serialize};
 
@@ -9,7 +9,7 @@
 pub const LEASE_TTL_MS: u64 = 30_000;
 /// Longest time for which an order travels before it has arrived or never will, in milliseconds.
 /// The call that carries it has this deadline.
-pub const ORDER_LATENCY_MS: u64 = 5_000;
+pub const MAX_ORDER_LATENCY_MS: u64 = 5_000;
 /// Pause between the last look at the clock and the sending of an order that a new holder allows
 /// for, in milliseconds.
 pub const PAUSE_ALLOWANCE_MS: u64 = 20_000;
@@ -34,7 +34,7 @@
     /// Instance that issues orders.
     pub holder: InstanceId,
     /// Mark of this attempt to become the holder.
-    pub writer: WriterMark,
+    pub writer: WriterId,
 }
 
 /// Answer of the store.
@@ -112,7 +112,7 @@
     retry_at: Millis,
     rank: u64,
     highest_seen: FencingNumber,
-    mark: WriterMark,
+    mark: WriterId,
 }
 
 impl OrderLease {
@@ -128,13 +128,13 @@
             retry_at: Millis(0),
             rank,
             highest_seen: FencingNumber(0),
-            mark: WriterMark([0; 16]),
+            mark: WriterId([0; 16]),
         }
     }
 
     /// Acquires, renews or gives up the lease as time goes by. `mark` is random and new for each
     /// call.
-    pub fn tick(&mut self, mark: WriterMark, now: Millis) -> Vec<LeaseEffect> {
+    pub fn tick(&mut self, mark: WriterId, now: Millis) -> Vec<LeaseEffect> {
         match self.state {
             State::Out if now >= self.retry_at => {
                 self.mark = mark;
@@ -191,11 +191,11 @@
         else {
             return None;
         };
-        if now.plus(ORDER_LATENCY_MS) > valid_until {
+        if now.plus(MAX_ORDER_LATENCY_MS) > valid_until {
             return None;
         }
         let waited_ms = now.since(acquired_at);
-        if !checks_fencing && waited_ms < ORDER_LATENCY_MS + PAUSE_ALLOWANCE_MS {
+        if !checks_fencing && waited_ms < MAX_ORDER_LATENCY_MS + PAUSE_ALLOWANCE_MS {
             return None;
         }
         assert!(
--- a/crates/core/src/order/mod.rs
+++ b/crates/core/src/order/mod.rs
@@ -12,9 +12,10 @@
 mod lease;
 
 pub use issuer::{
-    EngineAnswer, EngineTarget, IssueEffect, Issuer, Order, Role, READ_BACK_MS, REREAD_MS,
+    EngineAnswer, EngineTarget, Issuer, IssuerEffect, Order, Role, READ_BACK_DELAY_MS,
+    REREAD_INTERVAL_MS,
 };
 pub use lease::{
     order_lease_key, FencingNumber, LeaseAnswer, LeaseEffect, LeaseRecord, OrderLease,
-    LEASE_TTL_MS, ORDER_LATENCY_MS, PAUSE_ALLOWANCE_MS,
+    LEASE_TTL_MS, MAX_ORDER_LATENCY_MS, PAUSE_ALLOWANCE_MS,
 };
--- a/crates/core/tests/once_cases.rs
+++ b/crates/core/tests/once_cases.rs
@@ -1,15 +1,15 @@
 //! Single actions step by step: effects, keys, records and leases.
 
 use carobwheel_core::once::{
-    request_hash, Action, Answer, Body, Effect, Input, LeaseChoice, LeaseId, LeasePool, MayHaveRun,
-    NotRun, OnceKey, Outcome, Record, Spec, StoreAnswer, UpstreamEvent, WriterMark,
-    MAX_OUTCOME_BYTES,
+    request_hash, Action, ActionRecord, ActionSpec, Answer, Effect, Input, LeaseChoice, LeaseId,
+    LeasePool, MayHaveRun, NotRun, OnceKey, Outcome, StoreAnswer, StoredBody, UpstreamEvent,
+    WriterId, MAX_OUTCOME_BYTES,
 };
 use carobwheel_core::time::Millis;
 use test_case::test_case;
 
-const MARK: WriterMark = WriterMark([0xab; 16]);
-const OTHER: WriterMark = WriterMark([0xcd; 16]);
+const MARK: WriterId = WriterId([0xab; 16]);
+const OTHER: WriterId = WriterId([0xcd; 16]);
 const NOW: Millis = Millis(1_000);
 
 fn key() -> OnceKey {
@@ -17,8 +17,8 @@
     OnceKey::new(&account, "pledge-7").expect("a valid key")
 }
 
-fn spec() -> Spec {
-    Spec {
+fn spec() -> ActionSpec {
+    ActionSpec {
         key: Some(key()),
         request_sha256: [1; 32],
         deadline: Millis(6_000),
@@ -27,20 +27,20 @@
     }
 }
 
-fn record(writer: WriterMark, hash: u8, body: Option<Body>) -> Record {
+fn record(writer: WriterId, hash: u8, body: Option<StoredBody>) -> ActionRecord {
     let outcome = body.map(|body| Outcome {
         status: 201,
         content_type: Some("application/json".to_owned()),
         body,
     });
-    Record {
+    ActionRecord {
         writer,
         request_sha256: [hash; 32],
         outcome,
     }
 }
 
-fn found(writer: WriterMark, hash: u8, body: Option<Body>) -> StoreAnswer {
+fn found(writer: WriterId, hash: u8, body: Option<StoredBody>) -> StoreAnswer {
     StoreAnswer::Found {
         record: record(writer, hash, body),
         revision: 9,
@@ -69,7 +69,7 @@
 }
 
 /// Feeds store answers until the action dispatches or ends.
-fn claim(spec: Spec, answers: Vec<StoreAnswer>) -> (Action, Vec<String>) {
+fn claim(spec: ActionSpec, answers: Vec<StoreAnswer>) -> (Action, Vec<String>) {
     let mut action = Action::new(spec, MARK);
     let mut names: Vec<String> = action.start(NOW).iter().map(name).collect();
     for (call, answer) in (1..).zip(answers) {
@@ -86,7 +86,7 @@
 #[test_case(vec![StoreAnswer::Lost, StoreAnswer::NotSent], "create, read back, NotRun(StoreUnavailable), release, end"; "budget exhausted while settling")]
 #[test_case(vec![found(OTHER, 1, None)], "create, MayHaveRun(Unfinished), end"; "unfinished")]
 #[test_case(vec![found(OTHER, 2, None)], "create, NotRun(KeyReused), end"; "other request")]
-#[test_case(vec![found(OTHER, 1, Some(Body::TooLong))], "create, RanUnkept { status: 201 }, end"; "answer not kept")]
+#[test_case(vec![found(OTHER, 1, Some(StoredBody::TooLong))], "create, ReplayUnavailable { status: 201 }, end"; "answer not kept")]
 #[test_case(vec![StoreAnswer::Unreadable], "create, MayHaveRun(Unreadable), end"; "unreadable")]
 fn claiming(answers: Vec<StoreAnswer>, expected: &str) {
     assert_eq!(claim(spec(), answers).1.join(", "), expected);
@@ -96,7 +96,7 @@
 #[test_case(vec![StoreAnswer::Lost; 4]; "lost for good")]
 #[test_case(vec![found(OTHER, 1, None)]; "unfinished elsewhere")]
 fn an_upstream_that_deduplicates_is_served_all_the_same(answers: Vec<StoreAnswer>) {
-    let spec = Spec {
+    let spec = ActionSpec {
         deduplicates: true,
         ..spec()
     };
@@ -106,7 +106,7 @@
 
 #[test]
 fn a_repeat_gets_the_first_answer() {
-    let body = Body::Text("{\"receipt\":7}".to_owned());
+    let body = StoredBody::Text("{\"receipt\":7}".to_owned());
     let mut action = Action::new(spec(), MARK);
     action.start(NOW);
     let effects = action.step(store(1, found(OTHER, 1, Some(body.clone()))), NOW);
@@ -118,7 +118,7 @@
 
 #[test]
 fn an_action_without_a_key_is_dispatched_without_the_store() {
-    let spec = Spec {
+    let spec = ActionSpec {
         key: None,
         ..spec()
     };
@@ -126,7 +126,7 @@
     assert_eq!(name(&action.start(NOW)[0]), "dispatch");
     assert!(action.permit_send(1, NOW));
     let failed = UpstreamEvent::Failed {
-        bytes_may_have_left: true,
+        may_have_sent_bytes: true,
     };
     let effects = action.step(upstream(1, failed), NOW);
     let lost = Answer::MayHaveRun(MayHaveRun::UpstreamLost);
@@ -137,7 +137,7 @@
 fn an_upstream_out_of_reach_is_tried_again_then_the_claim_is_released() {
     let (mut action, _) = claim(spec(), vec![StoreAnswer::Written { revision: 9 }]);
     let failed = UpstreamEvent::Failed {
-        bytes_may_have_left: false,
+        may_have_sent_bytes: false,
     };
     let mut names = Vec::new();
     for call in 2..5 {
@@ -153,7 +153,7 @@
     let (mut action, _) = claim(spec(), vec![StoreAnswer::Written { revision: 9 }]);
     assert!(!action.permit_send(2, Millis(6_000)));
     let failed = UpstreamEvent::Failed {
-        bytes_may_have_left: false,
+        may_have_sent_bytes: false,
     };
     let effects = action.step(upstream(2, failed), Millis(6_000));
     let refused = Answer::NotRun(NotRun::DeadlinePassed);
@@ -164,7 +164,7 @@
 fn an_outcome_is_written_under_the_revision_of_the_claim_and_tried_again() {
     let (mut action, _) = claim(spec(), vec![StoreAnswer::Written { revision: 9 }]);
     assert!(action.permit_send(2, NOW));
-    let done = record(MARK, 1, Some(Body::Text("ok".to_owned())));
+    let done = record(MARK, 1, Some(StoredBody::Text("ok".to_owned())));
     let event = UpstreamEvent::Done(done.outcome.clone().expect("an outcome"));
     let effects = action.step(upstream(2, event), NOW);
     let write = |call, not_before| Effect::WriteOutcome {
@@ -188,7 +188,7 @@
     let effects = action.step(Input::DeadlinePassed, Millis(6_000));
     let late = Answer::MayHaveRun(MayHaveRun::DeadlinePassed);
     assert_eq!(effects, [Effect::Answer(late)]);
-    let outcome = record(MARK, 1, Some(Body::Text("ok".to_owned()))).outcome;
+    let outcome = record(MARK, 1, Some(StoredBody::Text("ok".to_owned()))).outcome;
     let event = UpstreamEvent::Done(outcome.expect("an outcome"));
     let effects = action.step(upstream(2, event), Millis(7_000));
     let names: Vec<String> = effects.iter().map(name).collect();
@@ -205,8 +205,12 @@
 #[test]
 fn records_are_compact() {
     let claim = record(MARK, 1, None).to_json();
-    let text = Record::to_json(&record(MARK, 1, Some(Body::new(b"{\"ok\":1}".to_vec()))));
-    let binary = Record::to_json(&record(MARK, 1, Some(Body::new(vec![0xff, 0x00]))));
+    let text = ActionRecord::to_json(&record(
+        MARK,
+        1,
+        Some(StoredBody::new(b"{\"ok\":1}".to_vec())),
+    ));
+    let binary = ActionRecord::to_json(&record(MARK, 1, Some(StoredBody::new(vec![0xff, 0x00]))));
     let lines = [claim, text, binary].map(|json| String::from_utf8(json).expect("JSON is UTF-8"));
     insta::assert_snapshot!(lines.join("\n"), @r#"
     {"w":"abababababababababababababababab","h":"0101010101010101010101010101010101010101010101010101010101010101"}
@@ -218,7 +222,7 @@
 #[test_case(vec![b'a'; MAX_OUTCOME_BYTES] => true; "kept")]
 #[test_case(vec![b'a'; MAX_OUTCOME_BYTES + 1] => false; "too long")]
 fn bodies_are_bounded(bytes: Vec<u8>) -> bool {
-    Body::new(bytes).bytes().is_some()
+    StoredBody::new(bytes).bytes().is_some()
 }
 
 #[test_case("pledge-7" => true; "plain")]
--- a/crates/core/tests/once_world/mod.rs
+++ b/crates/core/tests/once_world/mod.rs
@@ -1,8 +1,8 @@
 //! A small world of instances, one store and one upstream, in which actions race.
 
 use carobwheel_core::once::{
-    Action, Answer, Body, Effect, Input, NotRun, OnceKey, Outcome, Record, Run, Spec, StoreAnswer,
-    UpstreamEvent, WriterMark,
+    Action, ActionRecord, ActionSpec, Answer, Effect, Execution, Input, NotRun, OnceKey, Outcome,
+    StoreAnswer, StoredBody, UpstreamEvent, WriterId,
 };
 use carobwheel_core::time::Millis;
 use rand::rngs::StdRng;
@@ -92,7 +92,7 @@
     now_ms: u64,
     sequence: u64,
     events: BTreeMap<(u64, u64), Event>,
-    store: BTreeMap<String, (Record, u64, u64)>,
+    store: BTreeMap<String, (ActionRecord, u64, u64)>,
     revision: u64,
     store_down: std::ops::Range<u64>,
     paused_until_ms: Vec<u64>,
@@ -164,7 +164,7 @@
 
     fn attempt(&mut self, key: usize, body: u8, at_ms: u64) {
         let account = "ledger".parse().expect("a valid identifier");
-        let spec = Spec {
+        let spec = ActionSpec {
             key: Some(OnceKey::new(&account, &format!("key-{key}")).expect("a valid key")),
             request_sha256: [body; 32],
             deadline: Millis(at_ms + DEADLINE_MS),
@@ -180,7 +180,7 @@
             instance: self.rng.random_range(0..3),
             key,
             body,
-            action: Action::new(spec, WriterMark(mark)),
+            action: Action::new(spec, WriterId(mark)),
             is_lost: false,
             answers: Vec::new(),
         });
@@ -324,7 +324,7 @@
         match answer {
             Answer::NotRun(_) => self.tally.not_run += 1,
             Answer::MayHaveRun(_) => self.tally.may_have_run += 1,
-            Answer::Replay(_) | Answer::RanUnkept { .. } => self.tally.replayed += 1,
+            Answer::Replay(_) | Answer::ReplayUnavailable { .. } => self.tally.replayed += 1,
         }
     }
 
@@ -390,7 +390,7 @@
     }
 
     fn store_apply(&mut self, effect: &Effect) -> Option<StoreAnswer> {
-        let found = |entry: Option<&(Record, u64, u64)>| match entry {
+        let found = |entry: Option<&(ActionRecord, u64, u64)>| match entry {
             Some((record, revision, _)) => StoreAnswer::Found {
                 record: record.clone(),
                 revision: *revision,
@@ -449,8 +449,8 @@
         }
     }
 
-    fn put(&mut self, key: &OnceKey, record: &Record, ends_ms: u64) -> Option<StoreAnswer> {
-        let stored = Record::from_json(&record.to_json()).expect("a record reads back");
+    fn put(&mut self, key: &OnceKey, record: &ActionRecord, ends_ms: u64) -> Option<StoreAnswer> {
+        let stored = ActionRecord::from_json(&record.to_json()).expect("a record reads back");
         self.revision += 1;
         let entry = (stored, self.revision, ends_ms);
         self.store.insert(key.as_str().to_owned(), entry);
@@ -479,7 +479,7 @@
         let delay_ms = self.rng.random_range(1..300);
         if self.rng.random_bool(self.weather.cut) {
             let event = UpstreamEvent::Failed {
-                bytes_may_have_left: self.planted != Planted::FalseNoBytes,
+                may_have_sent_bytes: self.planted != Planted::FalseNoBytes,
             };
             self.after(
                 delay_ms,
@@ -530,7 +530,7 @@
                 self.tally.relayed += 1;
                 continue;
             };
-            let is_wrong = answer.run() == Run::NotRun && ran.contains(&index);
+            let is_wrong = answer.run() == Execution::NotRun && ran.contains(&index);
             if is_wrong {
                 return Err(format!("attempt {index} ran and was told {answer:?}"));
             }
@@ -557,13 +557,13 @@
     Outcome {
         status: 200,
         content_type: Some("application/json".to_owned()),
-        body: Body::new(format!("{{\"attempt\":{attempt}}}").into_bytes()),
+        body: StoredBody::new(format!("{{\"attempt\":{attempt}}}").into_bytes()),
     }
 }
 
 fn not_sent(call: u32) -> Input {
     let event = UpstreamEvent::Failed {
-        bytes_may_have_left: false,
+        may_have_sent_bytes: false,
     };
     Input::Upstream { call, event }
 }
--- a/crates/core/tests/order_runs.rs
+++ b/crates/core/tests/order_runs.rs
@@ -1,10 +1,10 @@
 //! Randomised runs of two issuers of one region, with pauses, lost answers and late orders.
 
 use carobwheel_core::id::UpstreamId;
-use carobwheel_core::once::WriterMark;
+use carobwheel_core::once::WriterId;
 use carobwheel_core::order::{
-    EngineAnswer, EngineTarget, FencingNumber, IssueEffect, Issuer, LeaseAnswer, LeaseEffect,
-    LeaseRecord, OrderLease, Role, LEASE_TTL_MS, ORDER_LATENCY_MS, PAUSE_ALLOWANCE_MS,
+    EngineAnswer, EngineTarget, FencingNumber, Issuer, IssuerEffect, LeaseAnswer, LeaseEffect,
+    LeaseRecord, OrderLease, Role, LEASE_TTL_MS, MAX_ORDER_LATENCY_MS, PAUSE_ALLOWANCE_MS,
 };
 use carobwheel_core::time::Millis;
 use rand::rngs::StdRng;
@@ -204,7 +204,7 @@
     fn tick(&mut self, index: usize) {
         self.after(500, Event::Tick(index));
         let now = Millis(self.now_ms);
-        let mark = WriterMark(self.rng.random());
+        let mark = WriterId(self.rng.random());
         let effects = self.holders[index].lease.tick(mark, now);
         self.lease_effects(index, effects);
         let holder = &mut self.holders[index];
@@ -222,8 +222,8 @@
         for effect in holder.issuer.tick(now) {
             let delay_ms = self.rng.random_range(0..50);
             match effect {
-                IssueEffect::Read { call, .. } => self.after(delay_ms, Event::Read(index, call)),
-                IssueEffect::Send { call, target, .. } => {
+                IssuerEffect::Read { call, .. } => self.after(delay_ms, Event::Read(index, call)),
+                IssuerEffect::Send { call, target, .. } => {
                     self.after(delay_ms, Event::Send(index, call, target));
                 }
             }
@@ -250,14 +250,14 @@
         } else {
             0
         };
-        let way_ms = self.rng.random_range(1..ORDER_LATENCY_MS);
+        let way_ms = self.rng.random_range(1..MAX_ORDER_LATENCY_MS);
         let arrives = Event::Arrives(index, call, target, number, self.sent);
         let until_ms = &mut self.holders[index].paused_until_ms;
         *until_ms = self.now_ms.max(*until_ms) + pause_ms;
         self.after(pause_ms + way_ms, arrives);
         let answer = EngineAnswer::Lost;
         self.after(
-            pause_ms + ORDER_LATENCY_MS,
+            pause_ms + MAX_ORDER_LATENCY_MS,
             Event::EngineAnswer(index, call, answer),
         );
     }
--- a/crates/gateway/src/intake/action/claims.rs
+++ b/crates/gateway/src/intake/action/claims.rs
@@ -2,7 +2,7 @@
 
 use crate::store::{Record as Stored, StoreClient, WriteOutcome};
 use carobwheel_core::{
-    once::{LeaseChoice, LeaseId, LeasePool, OnceKey, Record, StoreAnswer},
+    once::{ActionRecord, LeaseChoice, LeaseId, LeasePool, OnceKey, StoreAnswer},
     time::Millis,
 };
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -38,7 +38,7 @@
     pub(super) async fn create(
         &self,
         key: &OnceKey,
-        record: &Record,
+        record: &ActionRecord,
         lease: LeaseId,
     ) -> StoreAnswer {
         let written = self
@@ -65,7 +65,7 @@
     pub(super) async fn write(
         &self,
         key: &OnceKey,
-        record: &Record,
+        record: &ActionRecord,
         revision: u64,
         lease: LeaseId,
     ) -> StoreAnswer {
@@ -80,9 +80,9 @@
     }
 
     /// Deletes the key if it still holds `record`.
-    pub(super) async fn release(&self, key: &OnceKey, record: &Record) {
+    pub(super) async fn release(&self, key: &OnceKey, record: &ActionRecord) {
         if let Ok(Some(stored)) = self.store.get(key.as_str()).await {
-            if Record::from_json(&stored.value).is_ok_and(|held| held == *record) {
+            if ActionRecord::from_json(&stored.value).is_ok_and(|held| held == *record) {
                 // A claim that stays until its lease ends only blocks a repeat.
                 let _ = self
                     .store
@@ -112,7 +112,7 @@
 }
 
 fn found(stored: &Stored) -> StoreAnswer {
-    match Record::from_json(&stored.value) {
+    match ActionRecord::from_json(&stored.value) {
         Ok(record) => StoreAnswer::Found {
             record,
             revision: stored.mod_revision.unsigned_abs(),
--- a/crates/gateway/src/intake/action/mod.rs
+++ b/crates/gateway/src/intake/action/mod.rs
@@ -16,13 +16,13 @@
 };
 use crate::{
     in_flight::Running,
-    refusal::{run_of_status, Cause, Refusal, Run},
+    refusal::{run_of_status, Cause, Execution, Refusal},
 };
 use carobwheel_core::{
     identity::Caller,
     once::{
-        self, request_hash, Action, Effect, Input, LeaseId, MayHaveRun, NotRun, OnceKey, Record,
-        Spec, StoreAnswer,
+        self, request_hash, Action, ActionRecord, ActionSpec, Effect, Input, LeaseId, MayHaveRun,
+        NotRun, OnceKey, StoreAnswer,
     },
     time::Millis,
 };
@@ -50,7 +50,7 @@
     let (reply, answer) = oneshot::channel();
     let driver = Driver {
         shared: Arc::clone(shared),
-        action: Action::new(spec, once::WriterMark(rand::random())),
+        action: Action::new(spec, once::WriterId(rand::random())),
         work,
         upstream,
         reply: Some(reply),
@@ -65,7 +65,7 @@
     })
 }
 
-fn spec(work: &Work) -> Result<Spec, Refusal> {
+fn spec(work: &Work) -> Result<ActionSpec, Refusal> {
     let key = match (&work.caller, &work.idempotency_key) {
         (Caller::Account(credential), Some(key)) => {
             let key = OnceKey::new(&credential.account, key).map_err(|err| {
@@ -80,7 +80,7 @@
         }
         (_, None) => None,
     };
-    Ok(Spec {
+    Ok(ActionSpec {
         key,
         request_sha256: request_hash(work.method.as_str(), &work.path_and_query, &work.body),
         deadline: work.deadline,
@@ -171,7 +171,7 @@
         }
     }
 
-    async fn create(&mut self, key: &OnceKey, record: &Record, life_ms: u64) -> StoreAnswer {
+    async fn create(&mut self, key: &OnceKey, record: &ActionRecord, life_ms: u64) -> StoreAnswer {
         let claims = &self.shared.claims;
         let Some(lease) = claims.lease(life_ms, self.shared.clock.now()).await else {
             return StoreAnswer::NotSent;
@@ -184,7 +184,7 @@
     async fn write_outcome(
         &mut self,
         key: &OnceKey,
-        record: &Record,
+        record: &ActionRecord,
         revision: u64,
     ) -> StoreAnswer {
         let lease = self.lease.expect("an outcome follows a claim on a lease");
@@ -214,7 +214,7 @@
             events
         } else {
             vec![once::UpstreamEvent::Failed {
-                bytes_may_have_left: false,
+                may_have_sent_bytes: false,
             }]
         };
         events
@@ -236,8 +236,8 @@
 fn final_answer(answer: &once::Answer, refusal: Option<Refusal>) -> Result<Answer, Refusal> {
     match answer {
         once::Answer::Replay(outcome) => Ok(replay(outcome)),
-        once::Answer::RanUnkept { status } => Err(Refusal {
-            run: Run::Ran,
+        once::Answer::ReplayUnavailable { status } => Err(Refusal {
+            run: Execution::Ran,
             ..Refusal::not_run(
                 Cause::InProgress,
                 format!("the action ran with status {status}; its answer was too long to keep"),
--- a/crates/gateway/src/intake/action/upstream.rs
+++ b/crates/gateway/src/intake/action/upstream.rs
@@ -15,7 +15,7 @@
 use bytes::BytesMut;
 use carobwheel_core::{
     id::UpstreamId,
-    once::{Body, Outcome, UpstreamEvent},
+    once::{Outcome, StoredBody, UpstreamEvent},
     retry::Failure,
 };
 use reqwest::header::RETRY_AFTER;
@@ -90,9 +90,9 @@
                 self.charged = settling.take_charge();
                 settling.settle(Ending::Failed(err.failure()));
                 self.tried.push(place.placed.upstream);
-                let bytes_may_have_left = err.failure() != Failure::ConnectFailed;
+                let may_have_sent_bytes = err.failure() != Failure::ConnectFailed;
                 let failed = UpstreamEvent::Failed {
-                    bytes_may_have_left,
+                    may_have_sent_bytes,
                 };
                 (vec![failed], None)
             }
@@ -131,7 +131,7 @@
     let outcome = Outcome {
         status: head.status,
         content_type: content_type.map(|(_, value)| value.clone()),
-        body: Body::new(body.to_vec()),
+        body: StoredBody::new(body.to_vec()),
     };
     let mut answer = Answer::whole(head.status, run_of_status(head.status), body.freeze());
     answer.headers = headers;
--- a/crates/gateway/src/intake/answer.rs
+++ b/crates/gateway/src/intake/answer.rs
@@ -1,7 +1,7 @@
 //! Answers to callers.
 
 use crate::{
-    refusal::{self, Refusal, Run},
+    refusal::{self, Execution, Refusal},
     relay::RelayBody,
 };
 use bytes::Bytes;
@@ -31,13 +31,13 @@
 pub(super) struct Answer {
     pub(super) status: u16,
     pub(super) headers: Vec<(&'static str, String)>,
-    pub(super) run: Run,
+    pub(super) run: Execution,
     pub(super) body: AnswerBody,
 }
 
 impl Answer {
     /// An answer with its body in hand.
-    pub(super) fn whole(status: u16, run: Run, body: Bytes) -> Self {
+    pub(super) fn whole(status: u16, run: Execution, body: Bytes) -> Self {
         Self {
             status,
             headers: Vec::new(),
@@ -47,7 +47,7 @@
     }
 
     /// A JSON answer of the gateway's own.
-    pub(super) fn json(status: u16, run: Run, body: &serde_json::Value) -> Self {
+    pub(super) fn json(status: u16, run: Execution, body: &serde_json::Value) -> Self {
         Self {
             status,
             headers: vec![("content-type", "application/json".to_owned())],
--- a/crates/gateway/src/intake/forward.rs
+++ b/crates/gateway/src/intake/forward.rs
@@ -6,7 +6,7 @@
     dispatch::{ExchangeError, Head},
     in_flight::Running,
     peers::{ForwardAnswer, ForwardError, Part},
-    refusal::{Cause, Refusal, Run},
+    refusal::{Cause, Execution, Refusal},
     relay::Settling,
 };
 use bytes::Bytes;
@@ -57,17 +57,17 @@
     Ran,
 }
 
-impl From<Run> for ForwardedRun {
-    fn from(run: Run) -> Self {
+impl From<Execution> for ForwardedRun {
+    fn from(run: Execution) -> Self {
         match run {
-            Run::NotRun => Self::NotRun,
-            Run::MayHaveRun => Self::MayHaveRun,
-            Run::Ran => Self::Ran,
+            Execution::NotRun => Self::NotRun,
+            Execution::MayHaveRun => Self::MayHaveRun,
+            Execution::Ran => Self::Ran,
         }
     }
 }
 
-impl From<ForwardedRun> for Run {
+impl From<ForwardedRun> for Execution {
     fn from(run: ForwardedRun) -> Self {
         match run {
             ForwardedRun::NotRun => Self::NotRun,
--- a/crates/gateway/src/intake/handler.rs
+++ b/crates/gateway/src/intake/handler.rs
@@ -5,7 +5,7 @@
     head, pass, Shared,
 };
 use crate::{
-    refusal::{Cause, Refusal, Run},
+    refusal::{Cause, Execution, Refusal},
     report::Trace,
 };
 use carobwheel_core::{id::RequestId, identity::Caller};
@@ -107,7 +107,7 @@
     Answer {
         status,
         headers: vec![("content-type", "text/plain".to_owned())],
-        run: Run::NotRun,
+        run: Execution::NotRun,
         body: AnswerBody::Whole(text.into()),
     }
 }
@@ -128,7 +128,11 @@
 fn entry(shared: &Shared, key: Option<&str>) -> Result<Answer, Refusal> {
     let list = shared.entries.load();
     let Some(in_force) = shared.current.load().filter(|_| key.is_some()) else {
-        return Ok(Answer::json(200, Run::NotRun, &serde_json::json!(*list)));
+        return Ok(Answer::json(
+            200,
+            Execution::NotRun,
+            &serde_json::json!(*list),
+        ));
     };
     let caller = pass::identify(&in_force, key, false)?;
     let account = match &caller {
@@ -136,7 +140,11 @@
         Caller::Open => None,
     };
     let list = account.map_or_else(|| (*list).clone(), |account| list.for_account(account));
-    Ok(Answer::json(200, Run::NotRun, &serde_json::json!(list)))
+    Ok(Answer::json(
+        200,
+        Execution::NotRun,
+        &serde_json::json!(list),
+    ))
 }
 
 fn models(shared: &Shared, key: Option<&str>) -> Result<Answer, Refusal> {
@@ -153,7 +161,7 @@
         })
         .collect();
     let body = serde_json::json!({"object": "list", "data": models});
-    Ok(Answer::json(200, Run::NotRun, &body))
+    Ok(Answer::json(200, Execution::NotRun, &body))
 }
 
 impl Shared {
--- a/crates/gateway/src/refusal/mod.rs
+++ b/crates/gateway/src/refusal/mod.rs
@@ -1,24 +1,24 @@
 //! Typed refusals and what each says about the request having run.
 
-pub use carobwheel_core::once::Run;
+pub use carobwheel_core::once::Execution;
 
 use std::fmt;
 
 /// The value of the `carobwheel-run` header.
-pub fn run_name(run: Run) -> &'static str {
+pub fn run_name(run: Execution) -> &'static str {
     match run {
-        Run::NotRun => "not-run",
-        Run::MayHaveRun => "may-have-run",
-        Run::Ran => "ran",
+        Execution::NotRun => "not-run",
+        Execution::MayHaveRun => "may-have-run",
+        Execution::Ran => "ran",
     }
 }
 
 /// What the status of an upstream's answer says about the request having run. An upstream that
 /// fails may have failed before or after it ran the request.
-pub fn run_of_status(status: u16) -> Run {
+pub fn run_of_status(status: u16) -> Execution {
     match status {
-        500.. => Run::MayHaveRun,
-        _ => Run::Ran,
+        500.. => Execution::MayHaveRun,
+        _ => Execution::Ran,
     }
 }
 
@@ -122,7 +122,7 @@
     /// Why the request was refused.
     pub cause: Cause,
     /// Whether the request ran.
-    pub run: Run,
+    pub run: Execution,
     /// Explanation for the caller.
     pub message: String,
     /// Time after which another try makes sense, in milliseconds.
@@ -134,7 +134,7 @@
     pub fn not_run(cause: Cause, message: impl Into<String>) -> Self {
         Self {
             cause,
-            run: Run::NotRun,
+            run: Execution::NotRun,
             message: message.into(),
             retry_after_ms: None,
         }
@@ -143,7 +143,7 @@
     /// A refusal of a request that may have run.
     pub fn may_have_run(cause: Cause, message: impl Into<String>) -> Self {
         Self {
-            run: Run::MayHaveRun,
+            run: Execution::MayHaveRun,
             ..Self::not_run(cause, message)
         }
     }
