--- a/crates/core/src/member/mod.rs
+++ b/crates/core/src/member/mod.rs
@@ -16,23 +16,23 @@
 mod event;
 mod fetch;
 mod gossip;
-mod hear;
+mod live_list;
 mod members;
 mod packet;
+mod receive;
 mod record;
 mod region;
 mod rumor;
-mod seed;
 mod size;
 mod sync;
 mod table;
 
 pub use entry::{EntryError, EntryView, MAX_ENTRIES, MAX_ENTRY_BYTES, MAX_FLEET_TOPIC};
 pub use event::MemberEvent;
+pub use live_list::LiveListEntry;
 pub use members::{MemberView, Members, Outgoing, RevisionRange};
 pub use packet::{KeyedEntry, Packet, PacketBody, RegionHeartbeat, RevisionUpdate, Update};
 pub use record::{Health, Identity, Incarnation, MemberRecord, MemberState, Status};
-pub use seed::LiveListEntry;
 
 /// Time between two probes of one instance, in milliseconds.
 pub const PROBE_PERIOD_MS: u64 = 1_000;
