--- a/crates/core/src/member/detect.rs
+++ b/crates/core/src/member/detect.rs
@@ -8,44 +8,44 @@
 use rand::{seq::SliceRandom, Rng};
 use std::collections::BTreeMap;
 
-/// Members that are asked to probe on an instance's behalf.
-const RELAYS: usize = 2;
-/// Probes outstanding at a time; further relay requests are ignored.
-const MAX_PROBES: usize = 64;
-/// Members of the own region that an instance probes in turn, at most. It bounds the number of
-/// links in a large region.
-const MAX_TARGETS: usize = 24;
-/// Of these, the ones that follow the instance in the ring of hashed names. They give every member
-/// a least number of others that probe it.
+/// Number of members that are asked to probe a target that did not acknowledge.
+const RELAYS_PER_PROBE: usize = 2;
+/// Maximum number of outstanding probes; further relay requests are ignored.
+const MAX_OUTSTANDING_PROBES: usize = 64;
+/// Maximum number of members of the own region that an instance probes in rotation. It bounds the
+/// number of links per instance in a large region.
+const MAX_PROBE_TARGETS: usize = 24;
+/// Number of probe targets taken from the successors of the instance in the ring of hashed names.
+/// They guarantee that a minimum number of instances probe each member.
 const RING_TARGETS: usize = 8;
-/// Time between two probes that one absent member gets from the whole region, in milliseconds.
-const ABSENT_PERIOD_MS: f64 = 5_000.0;
-/// Highest probability with which an instance probes an absent member in one period.
+/// Mean time between two probes of one absent member by the whole region, in milliseconds.
+const ABSENT_PROBE_PERIOD_MS: f64 = 5_000.0;
+/// Maximum probability that an instance probes an absent member in one period.
 const MAX_ABSENT_PROBABILITY: f64 = 0.2;
-/// Hearers of a suspicion that tell the suspected member at once, on average over the region.
-const TELLERS: f64 = 3.0;
+/// Mean number of instances per region that notify a newly suspected member directly.
+const MEAN_SUSPECT_NOTIFIERS: f64 = 3.0;
 
-/// A probe that waits for its acknowledgement.
+/// A probe whose acknowledgement has not arrived yet.
 #[derive(Clone, Debug)]
 struct Probe {
     target: InstanceId,
     started_at: Millis,
     is_retried: bool,
-    /// The instance that asked for the probe, with its own number for it.
-    on_behalf: Option<(InstanceId, u32)>,
+    /// Instance that requested the probe, with its number for the request; none for an own probe.
+    requester: Option<(InstanceId, u32)>,
 }
 
-/// Probes that wait, and the order in which members are probed.
+/// Outstanding probes and the shuffled order in which members are probed next.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Probes {
-    waiting: BTreeMap<u32, Probe>,
+    outstanding: BTreeMap<u32, Probe>,
     last_number: u32,
     queue: Vec<InstanceId>,
 }
 
 impl Probes {
     pub(super) fn clear(&mut self) {
-        self.waiting.clear();
+        self.outstanding.clear();
     }
 
     pub(super) fn next_number(&mut self) -> u32 {
@@ -55,10 +55,10 @@
 }
 
 impl Members {
-    /// Probes the next member of the own region.
+    /// Probes the next member of the own region; reshuffles the targets after each full round.
     pub(super) fn probe_next(&mut self, now: Millis) {
         if self.probes.queue.is_empty() {
-            self.probes.queue = self.targets();
+            self.probes.queue = self.probe_targets();
             self.probes.queue.shuffle(&mut self.rng);
         }
         while let Some(target) = self.probes.queue.pop() {
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Members of the own region that this instance probes.
-    fn targets(&self) -> Vec<InstanceId> {
+    /// Returns the members of the own region that this instance probes.
+    fn probe_targets(&self) -> Vec<InstanceId> {
         let own = self.own.as_str();
         let mut others: Vec<&str> = self
             .table
@@ -79,11 +79,11 @@
             .map(|m| m.identity.instance.as_str())
             .filter(|name| *name != own)
             .collect();
-        if others.len() > MAX_TARGETS {
-            let own_place = hash_pair("ring", own);
-            others.sort_by_key(|name| hash_pair("ring", name).wrapping_sub(own_place));
+        if others.len() > MAX_PROBE_TARGETS {
+            let own_position = hash_pair("ring", own);
+            others.sort_by_key(|name| hash_pair("ring", name).wrapping_sub(own_position));
             others[RING_TARGETS..].sort_by_key(|name| hash_pair(own, name));
-            others.truncate(MAX_TARGETS);
+            others.truncate(MAX_PROBE_TARGETS);
         }
         let is_target = |name: &&InstanceId| others.contains(&name.as_str());
         self.table
@@ -94,14 +94,14 @@
             .collect()
     }
 
-    /// Starts a probe of `target`.
+    /// Sends a ping to `target` and tracks its acknowledgement.
     pub(super) fn start_probe(
         &mut self,
         target: &InstanceId,
-        on_behalf: Option<(InstanceId, u32)>,
+        requester: Option<(InstanceId, u32)>,
         now: Millis,
     ) {
-        if self.probes.waiting.len() >= MAX_PROBES {
+        if self.probes.outstanding.len() >= MAX_OUTSTANDING_PROBES {
             return;
         }
         let number = self.probes.next_number();
@@ -109,38 +109,38 @@
             target: target.clone(),
             started_at: now,
             is_retried: false,
-            on_behalf,
+            requester,
         };
-        self.probes.waiting.insert(number, probe);
+        self.probes.outstanding.insert(number, probe);
         self.send(target, PacketBody::Ping { probe: number }, now);
     }
 
-    /// Sends a ping whose acknowledgement nobody waits for.
+    /// Sends a ping without tracking its acknowledgement.
     pub(super) fn send_untracked_ping(&mut self, target: &InstanceId, now: Millis) {
         let probe = self.probes.next_number();
         self.send(target, PacketBody::Ping { probe }, now);
     }
 
-    /// Repeats probes without an answer, and gives them up in the end.
+    /// Retries probes without an acknowledgement, and fails them after one period.
     pub(super) fn check_probes(&mut self, now: Millis) {
         let age_ms = |probe: &Probe| now.since(probe.started_at);
         let is_due = |probe: &Probe| age_ms(probe) >= PROBE_RETRY_MS && !probe.is_retried;
-        let due: Vec<u32> = self.numbers(is_due);
+        let due: Vec<u32> = self.matching_probes(is_due);
         for number in due {
             self.retry_probe(number, now);
         }
-        let failed: Vec<u32> = self.numbers(|probe| age_ms(probe) >= PROBE_PERIOD_MS);
+        let failed: Vec<u32> = self.matching_probes(|probe| age_ms(probe) >= PROBE_PERIOD_MS);
         for number in failed {
-            let probe = self.probes.waiting.remove(&number);
+            let probe = self.probes.outstanding.remove(&number);
             if let Some(probe) = probe {
                 self.on_probe_failed(&probe, now);
             }
         }
     }
 
-    fn numbers(&self, is_wanted: impl Fn(&Probe) -> bool) -> Vec<u32> {
+    fn matching_probes(&self, is_wanted: impl Fn(&Probe) -> bool) -> Vec<u32> {
         self.probes
-            .waiting
+            .outstanding
             .iter()
             .filter(|(_, probe)| is_wanted(probe))
             .map(|(number, _)| *number)
@@ -148,12 +148,12 @@
     }
 
     fn retry_probe(&mut self, number: u32, now: Millis) {
-        let Some(probe) = self.probes.waiting.get_mut(&number) else {
+        let Some(probe) = self.probes.outstanding.get_mut(&number) else {
             return;
         };
         probe.is_retried = true;
         let target = probe.target.clone();
-        let is_own = probe.on_behalf.is_none();
+        let is_own = probe.requester.is_none();
         self.send(&target, PacketBody::Ping { probe: number }, now);
         if !is_own || !self.is_in_own_region(&target) {
             return;
@@ -168,13 +168,13 @@
         }
     }
 
-    /// Members that may probe `target` on this instance's behalf, those of the own region first.
+    /// Picks members to probe `target` on this instance's behalf, those of the own region first.
     fn relays(&mut self, target: &InstanceId) -> Vec<InstanceId> {
-        let mut relays = self.random_present(RELAYS, |m, own_region| {
+        let mut relays = self.random_present(RELAYS_PER_PROBE, |m, own_region| {
             m.identity.region == *own_region && m.identity.instance != *target
         });
-        if relays.len() < RELAYS {
-            let missing = RELAYS - relays.len();
+        if relays.len() < RELAYS_PER_PROBE {
+            let missing = RELAYS_PER_PROBE - relays.len();
             relays.extend(
                 self.random_present(missing, |m, own_region| m.identity.region != *own_region),
             );
@@ -182,7 +182,7 @@
         relays
     }
 
-    /// Random members that are known to run, other than this instance.
+    /// Picks random members that are known to run, other than this instance.
     pub(super) fn random_present(
         &mut self,
         count: usize,
@@ -206,7 +206,7 @@
     }
 
     fn on_probe_failed(&mut self, probe: &Probe, now: Millis) {
-        if probe.on_behalf.is_some() {
+        if probe.requester.is_some() {
             return;
         }
         if !self.is_in_own_region(&probe.target) {
@@ -218,13 +218,13 @@
             .get(&probe.target)
             .is_some_and(|m| m.is_present() && m.status.health == Health::Alive);
         if is_alive {
-            self.judge(&probe.target, Health::Suspect, now);
+            self.set_health(&probe.target, Health::Suspect, now);
             self.send_untracked_ping(&probe.target, now);
         }
     }
 
-    /// Sets the health of a member at its present sequence, and spreads it.
-    pub(super) fn judge(&mut self, instance: &InstanceId, health: Health, now: Millis) {
+    /// Sets the health of a member at its current sequence and gossips the change.
+    pub(super) fn set_health(&mut self, instance: &InstanceId, health: Health, now: Millis) {
         let Some(member) = self.table.members.get_mut(instance) else {
             return;
         };
@@ -235,7 +235,7 @@
         self.note_merge(instance, merged, now);
     }
 
-    /// Counts suspected members that did not refute in time as gone.
+    /// Declares suspected members gone that did not refute within [`SUSPICION_TIMEOUT_MS`].
     pub(super) fn expire_suspicions(&mut self, now: Millis) {
         let expired: Vec<InstanceId> = self
             .table
@@ -245,57 +245,62 @@
             .map(|m| m.identity.instance.clone())
             .collect();
         for instance in expired {
-            self.judge(&instance, Health::Gone, now);
+            self.set_health(&instance, Health::Gone, now);
         }
     }
 
-    /// Takes in an acknowledgement.
+    /// Handles an acknowledgement; forwards it to the requester of a relayed probe.
     pub(super) fn on_ack(&mut self, from: &InstanceId, number: u32, now: Millis) {
         let is_match = self
             .probes
-            .waiting
+            .outstanding
             .get(&number)
             .is_some_and(|probe| probe.target == *from);
         if !is_match {
             return;
         }
-        let Some(probe) = self.probes.waiting.remove(&number) else {
+        let Some(probe) = self.probes.outstanding.remove(&number) else {
             return;
         };
-        if let Some((asker, probe_of_asker)) = probe.on_behalf {
+        if let Some((requester, requester_probe)) = probe.requester {
             let body = PacketBody::RelayedAck {
-                probe: probe_of_asker,
+                probe: requester_probe,
                 target: probe.target,
             };
-            self.send(&asker, body, now);
+            self.send(&requester, body, now);
         }
     }
 
-    /// Takes in the news that `target` answered somebody else.
+    /// Handles a relay's report that `target` acknowledged its probe.
     pub(super) fn on_relayed_ack(&mut self, number: u32, target: &InstanceId) {
         let is_match = self
             .probes
-            .waiting
+            .outstanding
             .get(&number)
             .is_some_and(|probe| probe.target == *target);
         if is_match {
-            self.probes.waiting.remove(&number);
+            self.probes.outstanding.remove(&number);
         }
     }
 
-    /// Tells a newly suspected member, so that it can refute; a few hearers of a region do so.
-    pub(super) fn tell_suspected(&mut self, instance: &InstanceId, now: Millis) {
+    /// Pings a newly suspected member so that it can refute. Each instance of the region does so with
+    /// a probability that yields [`MEAN_SUSPECT_NOTIFIERS`] pings on average.
+    pub(super) fn notify_suspect(&mut self, instance: &InstanceId, now: Millis) {
         if !self.is_in_own_region(instance) {
             return;
         }
-        let hearers = self.table.present_in(&self.own_region).count() as f64;
-        if self.rng.random_bool((TELLERS / hearers).min(1.0)) {
+        let present = self.table.present_in(&self.own_region).count() as f64;
+        if self
+            .rng
+            .random_bool((MEAN_SUSPECT_NOTIFIERS / present).min(1.0))
+        {
             self.send_untracked_ping(instance, now);
         }
     }
 
-    /// Probes, now and then, a member of the own region that is gone or known from the live list
-    /// only. All instances together try each such member about once in [`ABSENT_PERIOD_MS`].
+    /// Probes, with a certain probability, a member of the own region that is gone or known from the
+    /// live list only. All instances together probe each such member about once in
+    /// [`ABSENT_PROBE_PERIOD_MS`].
     pub(super) fn probe_absent(&mut self, now: Millis) {
         let absent: Vec<InstanceId> = self
             .table
@@ -308,7 +313,8 @@
             return;
         }
         let present = self.table.present_in(&self.own_region).count() as f64;
-        let wanted = absent.len() as f64 * PROBE_PERIOD_MS as f64 / ABSENT_PERIOD_MS / present;
+        let wanted =
+            absent.len() as f64 * PROBE_PERIOD_MS as f64 / ABSENT_PROBE_PERIOD_MS / present;
         let is_alone = present < 2.0 || self.is_starting(now);
         let probability = if is_alone {
             1.0
--- a/crates/core/src/member/entry.rs
+++ b/crates/core/src/member/entry.rs
@@ -1,17 +1,17 @@
-//! Small opaque state of other modules that travels with the heartbeats.
+//! Small opaque values of other modules, distributed by membership gossip.
 
 use crate::id::InstanceId;
 use std::fmt;
 
-/// Entries that one member may have at a time.
+/// Maximum number of entries per member.
 pub const MAX_ENTRIES: usize = 16;
-/// Largest content of one entry, in bytes.
+/// Maximum content of one entry, in bytes.
 pub const MAX_ENTRY_BYTES: usize = 512;
-/// Highest topic that travels to the whole fleet. Higher topics stay inside the region, are not
-/// repaired by digests and suit values that change every second.
+/// Highest topic that is gossiped to the whole fleet. Higher topics stay inside the region, are not
+/// repaired by digests and are meant for values that change every second.
 pub const MAX_FLEET_TOPIC: u8 = 127;
 
-/// Why an entry was refused.
+/// Error of [`Members::set_entry`](super::Members::set_entry).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EntryError {
     /// The content has this many bytes, more than [`MAX_ENTRY_BYTES`].
@@ -36,25 +36,25 @@
 
 impl std::error::Error for EntryError {}
 
-/// An entry as stored.
+/// Stored entry of one member and topic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Entry {
     pub(super) version: u64,
     pub(super) bytes: Vec<u8>,
 }
 
-/// An entry as read by other modules.
+/// Read-only view of an entry for other modules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryView<'a> {
-    /// Member that the entry comes from.
+    /// Member that published the entry.
     pub origin: &'a InstanceId,
-    /// Version that the origin gave it; rises with each change inside an incarnation.
+    /// Version assigned by the origin; increases with each change within an incarnation.
     pub version: u64,
     /// Content.
     pub bytes: &'a [u8],
 }
 
-/// Whether entries of `topic` travel to the whole fleet.
+/// Returns whether entries of `topic` are gossiped to the whole fleet.
 pub(super) const fn is_fleet_topic(topic: u8) -> bool {
     topic <= MAX_FLEET_TOPIC
 }
--- a/crates/core/src/member/event.rs
+++ b/crates/core/src/member/event.rs
@@ -1,12 +1,12 @@
-//! What the table reports to the rest of the program.
+//! Events that the membership table reports to the rest of the program.
 
 use super::{Incarnation, MemberState};
 use crate::id::{InstanceId, RegionId};
 
-/// A change that logs and metrics report.
+/// A membership change for logs and metrics. The `Debug` output is logged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberEvent {
-    /// An incarnation became known by a packet or by gossip.
+    /// An incarnation was first confirmed by a packet or by gossip.
     Joined {
         /// Name of the member.
         instance: InstanceId,
@@ -17,30 +17,32 @@
     Changed {
         /// Name of the member.
         instance: InstanceId,
-        /// State before.
+        /// Previous state.
         from: MemberState,
-        /// State now.
+        /// New state.
         to: MemberState,
     },
-    /// A member that is gone for long has been forgotten.
+    /// A member was removed from the table: it is not on the live list, and it has been gone for
+    /// longer than the retention or was never confirmed.
     Forgotten {
         /// Name of the member.
         instance: InstanceId,
     },
-    /// Another incarnation under this instance's own name is at least as new. Two processes share
-    /// a name, or the clock went back between two starts; this process has to stop.
+    /// Another incarnation under this instance's own name is at least as new: two processes share a
+    /// name, or the clock went backwards between two starts. This process has to stop.
     Superseded {
         /// The other incarnation.
         incarnation: Incarnation,
     },
-    /// The live list or a peer says that this instance is leaving.
+    /// The live list or a peer reports that this instance is leaving.
     ToldToLeave,
-    /// No news from a region has arrived for some time.
+    /// A region timed out: nothing from it has arrived, directly or by gossip, for
+    /// [`REGION_TIMEOUT_MS`](super::REGION_TIMEOUT_MS).
     RegionSilent {
         /// The region.
         region: RegionId,
     },
-    /// News from a silent region arrives again.
+    /// A region that had timed out is reachable again.
     RegionBack {
         /// The region.
         region: RegionId,
--- a/crates/core/src/member/fetch.rs
+++ b/crates/core/src/member/fetch.rs
@@ -1,4 +1,4 @@
-//! From which peer to fetch a document of a higher revision.
+//! Choice of the peer from which to fetch a newer document revision.
 
 use super::table::Member;
 use super::Members;
@@ -7,19 +7,20 @@
 use rand::Rng;
 use std::net::SocketAddr;
 
-/// Time after which another peer is tried when a fetch has brought nothing, in milliseconds.
+/// Time after which a fetch of the same revision is advised again, in milliseconds.
 const FETCH_RETRY_MS: u64 = 700;
 
-/// The fetch that was last advised.
+/// Time and revision of the last fetch that was advised.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Fetch {
+pub(super) struct LastFetch {
     last: Option<(Millis, u64)>,
 }
 
 impl Members {
-    /// A peer that has a higher revision in force than this instance, preferably of the own
-    /// region, with its address. The same revision is advised again only after a while, so the
-    /// caller may ask after every packet and tick, and fetches each time it gets an answer.
+    /// Chooses a random peer, with its address, that has the highest revision in force if that is
+    /// higher than this instance's; peers of the own region are preferred. The same revision is
+    /// advised again, perhaps from another peer, only after a retry delay. The caller may
+    /// therefore ask after every packet and tick, and fetches whenever a peer is returned.
     pub fn choose_fetch_peer(&mut self, now: Millis) -> Option<(InstanceId, SocketAddr)> {
         let own_revision = self.own_member().status.revision;
         let newer = |m: &&Member| m.status.revision > own_revision;
--- a/crates/core/src/member/gossip.rs
+++ b/crates/core/src/member/gossip.rs
@@ -1,4 +1,4 @@
-//! Piggybacked changes: what a packet carries.
+//! Sending packets and selecting the changes piggybacked on them.
 
 use super::rumor::Change;
 use super::size::{entry_bytes, update_bytes};
@@ -12,21 +12,23 @@
 use rand::Rng;
 use std::{collections::BTreeMap, mem};
 
-/// Bytes of one packet for changes of members.
+/// Maximum bytes of member updates in one packet.
 const UPDATE_BUDGET_BYTES: usize = 360;
-/// Bytes of one packet for revisions.
+/// Maximum bytes of revision updates in one packet.
 const REVISION_BUDGET_BYTES: usize = 200;
-/// Bytes of one packet for entries of other modules; one entry always fits.
+/// Maximum bytes of entries of other modules in one packet. The first entry is sent even if it is
+/// larger.
 const ENTRY_BUDGET_BYTES: usize = 300;
-/// Bytes of one member in a list of revisions.
-const REVISED_MEMBER_BYTES: usize = 4;
+/// Encoded size of one member key in a revision update, in bytes.
+const MEMBER_KEY_BYTES: usize = 4;
 
 impl Members {
-    /// Sets an entry of this instance, which replaces the former one of the topic everywhere.
+    /// Sets an entry of this instance and gossips it; it replaces the previous one of the topic.
     ///
     /// # Errors
     ///
-    /// Refuses content over [`MAX_ENTRY_BYTES`] and a topic beyond [`MAX_ENTRIES`] of them.
+    /// Returns an error if the content exceeds [`MAX_ENTRY_BYTES`], or if the topic is new and the
+    /// instance has [`MAX_ENTRIES`] entries already.
     pub fn set_entry(&mut self, topic: u8, bytes: &[u8]) -> Result<(), EntryError> {
         if bytes.len() > MAX_ENTRY_BYTES {
             return Err(EntryError::TooLarge(bytes.len()));
@@ -46,7 +48,7 @@
         Ok(())
     }
 
-    /// The newest entries of a topic, from all members that are known to run.
+    /// Returns the newest entry of a topic from each member that is known to run.
     pub fn entries(&self, topic: u8) -> impl Iterator<Item = EntryView<'_>> {
         self.table.present().filter_map(move |m| {
             let entry = m.entries.get(&topic)?;
@@ -58,7 +60,7 @@
         })
     }
 
-    /// Sends a packet with as many recent changes as fit.
+    /// Queues a packet with as many recent changes as fit; digests and records carry none.
     pub(super) fn send(&mut self, to: &InstanceId, body: PacketBody, now: Millis) {
         let receiver = self.table.get(to);
         let addr = receiver.map(|m| m.identity.peer_addr);
@@ -79,7 +81,7 @@
         };
         if !is_bulk {
             self.fill_updates(&mut packet, to);
-            packet.revisions = self.pick_revised();
+            packet.revisions = self.pick_revisions();
             packet.entries = self.pick_entries(is_region_local);
         }
         self.out.push(Outgoing {
@@ -89,8 +91,8 @@
         });
     }
 
-    /// Updates that the receiver has to get: who we are if it may not know, and that it counts as
-    /// suspected or gone so that it can refute.
+    /// Returns the updates that the receiver must get: this instance's record if the receiver may
+    /// not know it, and the receiver's own status if it is not alive, so that it can refute.
     fn updates_for(&self, to: &InstanceId, now: Millis) -> Vec<Update> {
         let mut updates = Vec::new();
         let receiver = self.table.get(to);
@@ -130,10 +132,10 @@
         }
     }
 
-    fn pick_revised(&mut self) -> Vec<RevisionUpdate> {
+    fn pick_revisions(&mut self) -> Vec<RevisionUpdate> {
         let is_revision = |change: &Change| *change == Change::Revision;
         let max_sent = self.max_sent(1);
-        let room = REVISION_BUDGET_BYTES / REVISED_MEMBER_BYTES;
+        let room = REVISION_BUDGET_BYTES / MEMBER_KEY_BYTES;
         let mut by_revision: BTreeMap<u64, Vec<[u8; 4]>> = BTreeMap::new();
         for (instance, change) in self.rumors.least_sent(is_revision).into_iter().take(room) {
             if let Some(member) = self.table.get(&instance) {
@@ -142,11 +144,11 @@
             }
             self.rumors.mark_sent(&instance, change, max_sent);
         }
-        let to_revised = |(revision, member_keys)| RevisionUpdate {
+        let to_update = |(revision, member_keys)| RevisionUpdate {
             revision,
             member_keys,
         };
-        by_revision.into_iter().map(to_revised).collect()
+        by_revision.into_iter().map(to_update).collect()
     }
 
     fn pick_entries(&mut self, is_region_local: bool) -> Vec<KeyedEntry> {
@@ -186,15 +188,15 @@
         })
     }
 
-    /// Transmissions after which a change is no longer passed on: a multiple of the logarithm of
-    /// the fleet.
+    /// Returns the number of transmissions after which a change is no longer gossiped: a multiple of
+    /// the logarithm of the fleet size.
     fn max_sent(&self, factor: u32) -> u32 {
         let members = self.table.members.len() as u64 + 1;
         factor * (u64::BITS - members.leading_zeros()) + 1
     }
 
-    /// Packets collected so far.
-    pub(super) fn take_out(&mut self) -> Vec<Outgoing> {
+    /// Removes and returns the queued packets.
+    pub(super) fn take_outgoing(&mut self) -> Vec<Outgoing> {
         mem::take(&mut self.out)
     }
 }
--- a/crates/core/src/member/live_list.rs
+++ b/crates/core/src/member/live_list.rs
@@ -1,57 +1,57 @@
-//! The platform's live list: it names instances to turn to, and it lags.
+//! Handling of the platform's live list, a delayed list of instances that is used for discovery.
 
 use super::table::{join, Member};
 use super::{Identity, MemberEvent, Members, Outgoing, Status};
 use crate::time::Millis;
 
-/// One line of the live list.
+/// One instance on the live list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LiveListEntry {
     /// Name, incarnation, place and addresses.
     pub identity: Identity,
-    /// The platform says that the incarnation is leaving.
+    /// Whether the platform reports that the incarnation is leaving.
     pub is_leaving: bool,
 }
 
 impl Members {
-    /// Takes in the whole live list. An unknown incarnation becomes a candidate that is probed; it
-    /// counts as a member once a packet or gossip confirms it. `is_leaving` counts at once. A
-    /// member that the list lacks stays as it is.
+    /// Applies a complete live list and returns the packets to send. An unknown incarnation becomes a
+    /// candidate that is probed; it counts as a member once a packet or gossip confirms it.
+    /// `is_leaving` takes effect at once. Members that are missing from the list are not changed.
     pub fn on_live_list(&mut self, list: &[LiveListEntry], now: Millis) -> Vec<Outgoing> {
         self.listed = list
             .iter()
-            .map(|line| (line.identity.instance.clone(), line.identity.incarnation))
+            .map(|entry| (entry.identity.instance.clone(), entry.identity.incarnation))
             .collect();
         self.listed_at = Some(now);
-        for line in list {
-            if line.identity.instance == self.own {
-                self.take_own_line(line);
+        for entry in list {
+            if entry.identity.instance == self.own {
+                self.apply_own_list_entry(entry);
             } else {
-                self.take_line(line, now);
+                self.apply_list_entry(entry, now);
             }
         }
-        self.take_out()
+        self.take_outgoing()
     }
 
-    fn take_own_line(&mut self, line: &LiveListEntry) {
-        let incarnation = line.identity.incarnation;
+    fn apply_own_list_entry(&mut self, entry: &LiveListEntry) {
+        let incarnation = entry.identity.incarnation;
         if incarnation > self.own_incarnation {
             self.report(MemberEvent::Superseded { incarnation });
         }
-        let is_news = line.is_leaving && !self.own_member().status.is_leaving;
-        if incarnation == self.own_incarnation && is_news {
+        let is_newly_leaving = entry.is_leaving && !self.own_member().status.is_leaving;
+        if incarnation == self.own_incarnation && is_newly_leaving {
             self.set_leaving();
             self.report(MemberEvent::ToldToLeave);
         }
     }
 
-    fn take_line(&mut self, line: &LiveListEntry, now: Millis) {
-        let identity = &line.identity;
+    fn apply_list_entry(&mut self, entry: &LiveListEntry, now: Millis) {
+        let identity = &entry.identity;
         let known = self.table.get(&identity.instance);
         let is_newer = known.is_none_or(|m| m.identity.incarnation < identity.incarnation);
         if is_newer {
             let mut status = Status::new(0);
-            status.is_leaving = line.is_leaving;
+            status.is_leaving = entry.is_leaving;
             let candidate = Member::new(identity.clone(), status, now);
             self.table
                 .members
@@ -60,7 +60,7 @@
                 .note_region(&identity.region, &self.own_region, now);
             return;
         }
-        if !line.is_leaving {
+        if !entry.is_leaving {
             return;
         }
         let member = self.table.members.get_mut(&identity.instance);
--- a/crates/core/src/member/members.rs
+++ b/crates/core/src/member/members.rs
@@ -1,11 +1,11 @@
-//! The membership table of one instance: its state and its entry points.
+//! State and public API of the membership table.
 
 use super::detect::Probes;
-use super::fetch::Fetch;
+use super::fetch::LastFetch;
 use super::region::Regions;
 use super::rumor::{Change, Rumors};
-use super::sync::Sync;
-use super::table::{Member, Merged, Table};
+use super::sync::SyncSchedule;
+use super::table::{Member, MergeResult, Table};
 use super::{
     Health, Identity, Incarnation, MemberEvent, MemberState, Packet, PacketBody, Status,
     GONE_RETENTION_MS, PROBE_PERIOD_MS,
@@ -15,35 +15,36 @@
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::{collections::BTreeMap, mem, net::SocketAddr};
 
-/// Gap between two ticks from which on the instance counts as having been paused, in milliseconds.
-const PAUSE_MS: u64 = 2_000;
-/// Instances of the own region that an urgent change goes to at once.
+/// Gap between two ticks at or above which the process counts as having been paused, in
+/// milliseconds.
+const MIN_PAUSE_MS: u64 = 2_000;
+/// Number of instances of the own region that an urgent change is sent to at once.
 const URGENT_FANOUT: usize = 3;
-/// Time for which a region has to be silent, and a member of it unlisted, before the member
-/// counts as gone, in milliseconds.
+/// Time without any sign of a region after which its members that are missing from the live list
+/// count as gone, in milliseconds.
 const UNLISTED_GONE_MS: u64 = 600_000;
 
-/// A packet to be sent.
+/// A packet to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
     /// Receiver.
     pub to: InstanceId,
-    /// Address to dial, or none if only a link that the receiver opened will do.
+    /// Address to dial, or none if the packet can only use a link opened by the receiver.
     pub addr: Option<SocketAddr>,
     /// The packet.
     pub packet: Packet,
 }
 
-/// One member as the rest of the program sees it.
+/// Read-only view of one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
     /// Name, incarnation, place and addresses.
     pub identity: Identity,
-    /// State.
+    /// State derived from health and leaving flag.
     pub state: MemberState,
-    /// News from the member's region arrives. Always true for the own region.
+    /// Whether the member's region is reachable. Always true for the own region.
     pub is_reachable: bool,
-    /// The latest live list names this incarnation.
+    /// Whether the latest live list contains this incarnation.
     pub is_listed: bool,
     /// Highest document revision that the member has reported as in force.
     pub revision: u64,
@@ -53,7 +54,7 @@
     pub changed_at: Millis,
 }
 
-/// Revisions in force over all members that are known to run.
+/// Lowest and highest revision in force among the members that are known to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RevisionRange {
     /// Lowest revision.
@@ -73,8 +74,8 @@
     pub(super) rumors: Rumors,
     pub(super) regions: Regions,
     pub(super) probes: Probes,
-    pub(super) sync: Sync,
-    pub(super) fetch: Fetch,
+    pub(super) sync: SyncSchedule,
+    pub(super) fetch: LastFetch,
     pub(super) listed: BTreeMap<InstanceId, Incarnation>,
     pub(super) listed_at: Option<Millis>,
     pub(super) rng: StdRng,
@@ -86,8 +87,8 @@
 }
 
 impl Members {
-    /// A table that knows the own instance only. `revision` is the document revision in force, 0
-    /// for none; `seed` feeds the random choices.
+    /// Creates a table that contains this instance only. `revision` is the document revision in
+    /// force, 0 for none; `seed` initialises the random generator.
     pub fn new(identity: Identity, revision: u64, seed: u64, now: Millis) -> Self {
         let own = identity.instance.clone();
         let own_incarnation = identity.incarnation;
@@ -108,8 +109,8 @@
             rumors,
             regions: Regions::default(),
             probes: Probes::default(),
-            sync: Sync::default(),
-            fetch: Fetch::default(),
+            sync: SyncSchedule::default(),
+            fetch: LastFetch::default(),
             listed: BTreeMap::new(),
             listed_at: None,
             rng,
@@ -121,9 +122,9 @@
         }
     }
 
-    /// Lets time pass. Call it at least every 100 ms; packets to send are returned.
+    /// Runs the timers and returns the packets to send. Call it at least every 100 ms.
     pub fn tick(&mut self, now: Millis) -> Vec<Outgoing> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         self.expire_suspicions(now);
         self.check_probes(now);
         self.check_regions(now);
@@ -133,14 +134,14 @@
         mem::take(&mut self.out)
     }
 
-    /// Takes in a packet from the authenticated instance `from`; answers are returned.
+    /// Handles a packet from the authenticated instance `from` and returns the packets to send.
     pub fn on_packet(&mut self, from: &InstanceId, packet: Packet, now: Millis) -> Vec<Outgoing> {
         if *from == self.own {
-            self.on_namesake(packet.incarnation);
+            self.on_own_name(packet.incarnation);
             return Vec::new();
         }
-        self.take_gossip(&packet, now);
-        self.hear_from(from, &packet, now);
+        self.apply_gossip(&packet, now);
+        self.record_sender_contact(from, &packet, now);
         let has_hash_of_sender = !matches!(
             packet.body,
             PacketBody::Digest { .. } | PacketBody::Records { .. }
@@ -152,23 +153,24 @@
         mem::take(&mut self.out)
     }
 
-    /// Announces that this instance is leaving; the packets spread the word at once.
+    /// Marks this instance as leaving and returns packets that announce it at once.
     pub fn leave(&mut self, now: Millis) -> Vec<Outgoing> {
         self.set_leaving();
         self.push_urgent(now);
         mem::take(&mut self.out)
     }
 
-    /// Records the document revision in force here and spreads it at once.
+    /// Sets the document revision in force at this instance and returns packets that announce it at
+    /// once.
     ///
     /// # Panics
     ///
-    /// Panics when `revision` is lower than the one in force: a revision never goes back.
+    /// Panics if `revision` is lower than the one in force: revisions never decrease.
     pub fn set_revision(&mut self, revision: u64, now: Millis) -> Vec<Outgoing> {
         let own = self.own_member_mut();
         assert!(
             revision >= own.status.revision,
-            "a revision never goes back"
+            "a revision never decreases"
         );
         if revision == own.status.revision {
             return Vec::new();
@@ -180,25 +182,25 @@
         mem::take(&mut self.out)
     }
 
-    /// Events since the last call.
+    /// Removes and returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<MemberEvent> {
         mem::take(&mut self.events)
     }
 
-    /// Every known member, the own instance included, in order of name.
+    /// Returns all confirmed members, this instance included, ordered by name.
     pub fn snapshot(&self) -> Vec<MemberView> {
         let confirmed = self.table.members.values().filter(|m| m.is_confirmed);
         confirmed.map(|m| self.view(m)).collect()
     }
 
-    /// One member; none if nothing but the live list has named it yet.
+    /// Returns one member, or none if it is unknown or known from the live list only.
     pub fn member(&self, instance: &InstanceId) -> Option<MemberView> {
         let member = self.table.get(instance).filter(|m| m.is_confirmed)?;
         Some(self.view(member))
     }
 
-    /// Members of `region` that are alive, neither suspected nor leaving, and reachable; the own
-    /// instance is one of them.
+    /// Returns the members of `region` that are reachable and alive, neither suspected nor leaving;
+    /// this instance is included if it is one of them.
     pub fn alive_in<'a>(&'a self, region: &'a RegionId) -> Vec<&'a Identity> {
         if !self.is_region_reachable(region) {
             return Vec::new();
@@ -210,12 +212,13 @@
             .collect()
     }
 
-    /// Whether news from `region` arrives. Always true for the own region.
+    /// Returns whether `region` is reachable: something from it arrived, directly or by gossip, within
+    /// the region timeout. Always true for the own region.
     pub fn is_region_reachable(&self, region: &RegionId) -> bool {
-        *region == self.own_region || self.regions.is_heard(region)
+        *region == self.own_region || self.regions.is_reachable(region)
     }
 
-    /// Regions with at least one known member.
+    /// Returns the regions with at least one known member.
     pub fn regions(&self) -> Vec<&RegionId> {
         let mut regions: Vec<_> = self
             .table
@@ -228,7 +231,7 @@
         regions
     }
 
-    /// Lowest and highest revision over the members that are known to run.
+    /// Returns the lowest and highest revision among the members that are known to run.
     pub fn revision_range(&self) -> RevisionRange {
         let revision_of = |m: &&Member| m.status.revision;
         let own = self.own_member();
@@ -278,8 +281,8 @@
         self.events.push(event);
     }
 
-    /// Reports and passes on what a merge changed.
-    pub(super) fn note_merge(&mut self, instance: &InstanceId, merged: Merged, now: Millis) {
+    /// Records what a merge changed: reports events, delays the next digest and adds the region.
+    pub(super) fn note_merge(&mut self, instance: &InstanceId, merged: MergeResult, now: Millis) {
         if !merged.is_change() {
             return;
         }
@@ -303,21 +306,22 @@
         self.regions.note_region(&region, &self.own_region, now);
     }
 
-    fn on_namesake(&mut self, incarnation: Incarnation) {
+    fn on_own_name(&mut self, incarnation: Incarnation) {
         if incarnation >= self.own_incarnation {
             self.report(MemberEvent::Superseded { incarnation });
         }
     }
 
-    /// Gives everyone the benefit of the doubt after this process itself has stood still.
-    fn notice_pause(&mut self, now: Millis) {
+    /// Detects a pause of this process, and restarts suspicion and region timeouts, which ran while
+    /// no packet could be received.
+    fn detect_pause(&mut self, now: Millis) {
         let gap_ms = self.last_tick.map_or(0, |last| now.since(last));
         self.last_tick = Some(now);
-        if gap_ms < PAUSE_MS {
+        if gap_ms < MIN_PAUSE_MS {
             return;
         }
         self.probes.clear();
-        self.regions.forgive_pause(now);
+        self.regions.reset_silence(now);
         for member in self.table.members.values_mut() {
             if member.status.health == Health::Suspect {
                 member.changed_at = now;
@@ -335,7 +339,7 @@
         self.forget_old(now);
     }
 
-    /// Whether the instance has started only lately.
+    /// Returns whether the instance started less than ten probe periods ago.
     pub(super) fn is_starting(&self, now: Millis) -> bool {
         now.since(self.started_at) < 10 * PROBE_PERIOD_MS
     }
@@ -352,7 +356,7 @@
     }
 
     fn forget_old(&mut self, now: Millis) {
-        self.give_up_unlisted(now);
+        self.expire_unlisted(now);
         let listed = &self.listed;
         let own = &self.own;
         let is_old = |m: &Member| {
@@ -376,8 +380,9 @@
         }
     }
 
-    /// Judges members of a region that is silent for long and that the live list no longer names.
-    fn give_up_unlisted(&mut self, now: Millis) {
+    /// Declares members gone whose region has been silent for [`UNLISTED_GONE_MS`] and that a recent
+    /// live list does not contain.
+    fn expire_unlisted(&mut self, now: Millis) {
         let is_list_fresh = self
             .listed_at
             .is_some_and(|at| now.since(at) < UNLISTED_GONE_MS / 10);
@@ -393,7 +398,7 @@
             .map(|m| m.identity.instance.clone())
             .collect();
         for instance in lost {
-            self.judge(&instance, Health::Gone, now);
+            self.set_health(&instance, Health::Gone, now);
         }
     }
 }
--- a/crates/core/src/member/mod.rs
+++ b/crates/core/src/member/mod.rs
@@ -1,15 +1,15 @@
-//! Membership: which instances exist, which of them answer, and which revision each has in force.
+//! Membership: known instances, their liveness, and the document revision in force at each.
 //!
-//! [`Members`] is the table of one instance. Inside a region every instance probes one other
-//! instance each period, asks others to probe on its behalf before it suspects anyone, and
-//! piggybacks recent changes on every packet (the SWIM family of protocols). Only instances of
-//! the same region judge a member; other regions learn the verdict. Between regions a few
-//! delegates on each side exchange the same packets at a lower rate, and a counter for each
-//! region tells whether any news from it still arrives.
+//! [`Members`] is the table of one instance. Within a region every instance probes one other
+//! instance per period, asks others to probe on its behalf before it suspects a member, and
+//! piggybacks recent changes on its packets (a SWIM-style protocol). Only instances of the same
+//! region decide whether a member is suspected or gone; other regions receive the result by
+//! gossip. Between regions a few delegates on each side exchange the same packets at a lower rate,
+//! and a heartbeat counter per region shows whether that region is still reachable.
 //!
-//! Records merge as a join semilattice: a higher incarnation replaces a lower one; inside an
-//! incarnation `leaving` is sticky, the revision only rises, and the highest pair of sequence and
-//! health wins. The order in which packets arrive therefore does not matter.
+//! Records merge as a join semilattice: a higher incarnation replaces a lower one; within an
+//! incarnation `leaving` is sticky, the revision only increases, and the highest pair of sequence
+//! and health wins. The result therefore does not depend on the order in which packets arrive.
 
 mod detect;
 mod entry;
@@ -36,18 +36,19 @@
 
 /// Time between two probes of one instance, in milliseconds.
 pub const PROBE_PERIOD_MS: u64 = 1_000;
-/// Time without an acknowledgement after which a probe is repeated directly and through others,
-/// in milliseconds.
+/// Time without an acknowledgement after which a probe is retried, directly and through relays, in
+/// milliseconds.
 pub const PROBE_RETRY_MS: u64 = 300;
-/// Time for which a suspected member may refute before it counts as gone, in milliseconds.
+/// Time within which a suspected member can refute before it counts as gone, in milliseconds.
 pub const SUSPICION_TIMEOUT_MS: u64 = 3_000;
-/// Time between two packets of one delegate to one other region, in milliseconds.
+/// Mean time between two probes by one delegate of one other region, in milliseconds.
 pub const REGION_PERIOD_MS: u64 = 3_000;
-/// Time between two packets of one delegate to a region that is silent, in milliseconds.
+/// The same for a region that is unreachable, in milliseconds.
 pub const UNREACHABLE_REGION_PERIOD_MS: u64 = 10_000;
-/// Time without news after which a region counts as unreachable, in milliseconds.
+/// Time without a packet or a new heartbeat after which a region counts as unreachable, in
+/// milliseconds.
 pub const REGION_TIMEOUT_MS: u64 = 12_000;
-/// Time for which a member that is gone is remembered, in milliseconds.
+/// Time for which a member that is gone stays in the table, in milliseconds.
 pub const GONE_RETENTION_MS: u64 = 24 * 3_600 * 1_000;
-/// Largest packet that is meant for one datagram, in bytes.
+/// Maximum size of a packet that is sent as one datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_000;
--- a/crates/core/src/member/packet.rs
+++ b/crates/core/src/member/packet.rs
@@ -1,10 +1,10 @@
-//! Packets between the membership tables of two instances.
+//! Packets exchanged between the membership tables of two instances.
 
 use super::{Incarnation, MemberRecord, Status};
 use crate::id::InstanceId;
 use serde::{Deserialize, Serialize};
 
-/// One packet. The sender's name comes from its authenticated connection.
+/// A membership packet. The sender's name is known from its authenticated connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
     /// Incarnation of the sender.
@@ -13,50 +13,50 @@
     pub status: Status,
     /// Salt of `table_hash`.
     pub salt: u16,
-    /// Hash of the sender's whole table under `salt`.
+    /// Hash of the sender's whole table, computed with `salt`.
     pub table_hash: u32,
-    /// What the packet is for.
+    /// Request or response that the packet carries.
     pub body: PacketBody,
-    /// Counters of some regions.
+    /// Heartbeat counters of some regions.
     pub heartbeats: Vec<RegionHeartbeat>,
-    /// Piggybacked changes of members.
+    /// Piggybacked records and statuses of members.
     pub updates: Vec<Update>,
     /// Piggybacked revisions of members.
     pub revisions: Vec<RevisionUpdate>,
-    /// Piggybacked state of other modules.
+    /// Piggybacked entries of other modules.
     pub entries: Vec<KeyedEntry>,
 }
 
-/// What a packet is for.
+/// Request or response of a [`Packet`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PacketBody {
     /// Asks for an acknowledgement.
     Ping {
-        /// Number that the acknowledgement repeats.
+        /// Probe number that the acknowledgement repeats.
         probe: u32,
     },
-    /// Answers a ping.
+    /// Acknowledges a ping.
     Ack {
-        /// Number of the ping.
+        /// Probe number of the ping.
         probe: u32,
     },
     /// Asks the receiver to ping `target` on the sender's behalf.
     Relay {
-        /// Number that the answer repeats.
+        /// Probe number that [`RelayedAck`](Self::RelayedAck) repeats.
         probe: u32,
         /// Member to ping.
         target: InstanceId,
     },
-    /// Tells that `target` answered a relayed ping.
+    /// Reports that `target` acknowledged a relayed ping.
     RelayedAck {
-        /// Number of the relay request.
+        /// Probe number of the relay request.
         probe: u32,
-        /// Member that answered.
+        /// Member that acknowledged.
         target: InstanceId,
     },
-    /// Hashes of the sender's table by bucket, sent when two tables differ.
+    /// Hashes of the sender's table per bucket, sent when two tables differ.
     Digest {
-        /// One hash for each bucket, under the packet's salt.
+        /// One hash per bucket, computed with the packet's salt.
         buckets: Vec<u16>,
     },
     /// Records of the buckets that differ.
@@ -65,33 +65,33 @@
         differing: u64,
         /// The sender's records in these buckets.
         records: Vec<MemberRecord>,
-        /// The receiver should answer with its own records.
+        /// Whether the receiver should reply with the records that the sender lacks.
         wants_reply: bool,
     },
 }
 
 impl PacketBody {
-    /// Whether the receiver answers a packet of this kind in every case.
+    /// Returns whether the receiver always replies to a packet of this kind.
     pub const fn expects_reply(&self) -> bool {
         matches!(self, Self::Ping { .. })
     }
 }
 
-/// Counter of a region that rises as long as any of its instances runs.
+/// Heartbeat counter of a region; increases as long as any of its instances runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionHeartbeat {
     /// Hash of the region's name.
     pub region_key: [u8; 4],
-    /// Highest counter known.
+    /// Highest counter value that the sender knows.
     pub counter: u64,
 }
 
-/// A change of one member.
+/// A piggybacked change of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update {
-    /// Everything about a member.
+    /// The whole record of a member.
     Record(MemberRecord),
-    /// The status of a member that the receiver most likely knows.
+    /// The status only, of a member that the receiver most likely knows.
     Status {
         /// Name of the member.
         instance: InstanceId,
@@ -102,7 +102,7 @@
     },
 }
 
-/// Members that have one revision in force.
+/// Members that have the given revision in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionUpdate {
     /// Revision in force.
@@ -111,14 +111,14 @@
     pub member_keys: Vec<[u8; 4]>,
 }
 
-/// One entry of another module, addressed by the hash of its origin.
+/// Entry of another module, with a hash in place of the origin's name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyedEntry {
     /// Hash of the origin's name and incarnation.
     pub member_key: [u8; 4],
     /// Topic of the entry.
     pub topic: u8,
-    /// Version; the newest wins.
+    /// Version; the highest wins.
     pub version: u64,
     /// Content.
     pub bytes: Vec<u8>,
--- a/crates/core/src/member/receive.rs
+++ b/crates/core/src/member/receive.rs
@@ -1,8 +1,8 @@
-//! What is taken in from a packet.
+//! Handling of received packets.
 
 use super::entry::is_fleet_topic;
 use super::rumor::Change;
-use super::table::{Member, Merged};
+use super::table::{Member, MergeResult};
 use super::{
     Health, Incarnation, KeyedEntry, MemberEvent, MemberRecord, Members, Packet, PacketBody,
     RevisionUpdate, Status, Update,
@@ -11,12 +11,12 @@
 use crate::time::Millis;
 
 impl Members {
-    /// Takes in everything that a packet carries beside its purpose.
-    pub(super) fn take_gossip(&mut self, packet: &Packet, now: Millis) {
+    /// Applies the piggybacked changes of a packet.
+    pub(super) fn apply_gossip(&mut self, packet: &Packet, now: Millis) {
         for update in &packet.updates {
             match update {
                 Update::Record(record) => {
-                    self.take_record(record, true, now);
+                    self.apply_record(record, true, now);
                 }
                 Update::Status {
                     instance,
@@ -24,7 +24,7 @@
                     status,
                 } => {
                     if *instance == self.own {
-                        self.hear_about_self(*incarnation, status);
+                        self.handle_own_status(*incarnation, status);
                         continue;
                     }
                     let merged = self.table.merge_status(instance, *incarnation, status, now);
@@ -35,16 +35,17 @@
         for heartbeat in &packet.heartbeats {
             self.regions.merge_heartbeat(*heartbeat, now);
         }
-        for revisions in &packet.revisions {
-            self.take_revised(revisions, now);
+        for update in &packet.revisions {
+            self.apply_revision_update(update, now);
         }
         for entry in &packet.entries {
-            self.take_entry(entry);
+            self.apply_entry(entry);
         }
     }
 
-    /// Merges a record; tells whether it changed anything.
-    pub(super) fn take_record(
+    /// Merges a record; returns whether it changed anything. Changes are gossiped further if
+    /// `is_rumor` is set.
+    pub(super) fn apply_record(
         &mut self,
         record: &MemberRecord,
         is_rumor: bool,
@@ -52,7 +53,7 @@
     ) -> bool {
         let instance = &record.identity.instance;
         if *instance == self.own {
-            self.hear_about_self(record.identity.incarnation, &record.status);
+            self.handle_own_status(record.identity.incarnation, &record.status);
             return false;
         }
         let merged = self.table.merge_record(record, now);
@@ -78,10 +79,16 @@
         is_changed
     }
 
-    fn after_merge(&mut self, instance: &InstanceId, merged: Merged, is_rumor: bool, now: Millis) {
+    fn after_merge(
+        &mut self,
+        instance: &InstanceId,
+        merged: MergeResult,
+        is_rumor: bool,
+        now: Millis,
+    ) {
         let is_transition = merged.states.is_some();
         if merged.is_new {
-            // While this instance starts everyone is new to it, and digests bring the rest.
+            // During start-up every member is new, and digests distribute the records anyway.
             if is_rumor && !self.is_starting(now) {
                 self.rumors.add(instance, Change::Record);
             }
@@ -93,12 +100,13 @@
         self.note_merge(instance, merged, now);
         let is_suspect = |m: &Member| m.status.health == Health::Suspect;
         if is_transition && self.table.get(instance).is_some_and(is_suspect) {
-            self.tell_suspected(instance, now);
+            self.notify_suspect(instance, now);
         }
     }
 
-    /// Takes in what others believe about this instance, and refutes what is wrong.
-    fn hear_about_self(&mut self, incarnation: Incarnation, status: &Status) {
+    /// Handles another instance's view of this one: refutes a suspicion by a higher sequence, and
+    /// detects a newer incarnation and a request to leave.
+    fn handle_own_status(&mut self, incarnation: Incarnation, status: &Status) {
         if incarnation > self.own_incarnation {
             self.report(MemberEvent::Superseded { incarnation });
         }
@@ -118,8 +126,8 @@
         }
     }
 
-    fn take_revised(&mut self, revisions: &RevisionUpdate, now: Millis) {
-        for key in &revisions.member_keys {
+    fn apply_revision_update(&mut self, update: &RevisionUpdate, now: Millis) {
+        for key in &update.member_keys {
             let Some(instance) = self.table.by_key(*key) else {
                 continue;
             };
@@ -129,15 +137,15 @@
             let Some(member) = self.table.members.get_mut(&instance) else {
                 continue;
             };
-            if member.status.revision < revisions.revision {
-                member.status.revision = revisions.revision;
+            if member.status.revision < update.revision {
+                member.status.revision = update.revision;
                 self.sync.note_change(now);
                 self.rumors.add(&instance, Change::Revision);
             }
         }
     }
 
-    fn take_entry(&mut self, entry: &KeyedEntry) {
+    fn apply_entry(&mut self, entry: &KeyedEntry) {
         let Some(instance) = self.table.by_key(entry.member_key) else {
             return;
         };
@@ -152,8 +160,14 @@
         }
     }
 
-    /// Takes in that the sender itself is there.
-    pub(super) fn hear_from(&mut self, from: &InstanceId, packet: &Packet, now: Millis) {
+    /// Records that a packet arrived from the sender itself, and merges the sender's status. A sender
+    /// that still counts as suspected or gone gets a ping so that it can refute.
+    pub(super) fn record_sender_contact(
+        &mut self,
+        from: &InstanceId,
+        packet: &Packet,
+        now: Millis,
+    ) {
         let merged = self
             .table
             .merge_status(from, packet.incarnation, &packet.status, now);
@@ -166,14 +180,14 @@
         }
         member.heard_at = Some(now);
         let region = member.identity.region.clone();
-        let is_doubted = member.status.health != Health::Alive;
-        self.regions.hear(&region, now);
-        if is_doubted && !matches!(packet.body, PacketBody::Ping { .. }) {
+        let is_not_alive = member.status.health != Health::Alive;
+        self.regions.record_packet(&region, now);
+        if is_not_alive && !matches!(packet.body, PacketBody::Ping { .. }) {
             self.send_untracked_ping(from, now);
         }
     }
 
-    /// Acts on the purpose of a packet.
+    /// Handles the body of a packet.
     pub(super) fn handle_body(
         &mut self,
         from: &InstanceId,
--- a/crates/core/src/member/record.rs
+++ b/crates/core/src/member/record.rs
@@ -1,60 +1,60 @@
-//! What is known about one member, and how two records of it merge.
+//! Record of one member and the merge of its status.
 
 use crate::id::{DataCentreId, InstanceId, RegionId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Number that separates a restarted instance from its past; the start time in milliseconds since
-/// the Unix epoch is a good one.
+/// Incarnation number of an instance; has to increase with each restart, for example the start time
+/// in milliseconds since the Unix epoch.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// The part of a record that stays the same for one incarnation.
+/// Immutable part of a record; constant for one incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// Name of the instance.
     pub instance: InstanceId,
     /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// Region that the instance stands in.
+    /// Region of the instance.
     pub region: RegionId,
-    /// Data centre that the instance stands in.
+    /// Data centre of the instance.
     pub data_centre: DataCentreId,
     /// Address for other instances (UDP).
     pub peer_addr: SocketAddr,
-    /// Address for callers (TCP), as given out by `/v1/entry`.
+    /// Address for callers (TCP), as returned by `/v1/entry`.
     pub caller_addr: SocketAddr,
 }
 
-/// Whether an incarnation answers. A higher value wins inside one sequence.
+/// Liveness of an incarnation. The higher value wins within one sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Health {
-    /// The incarnation answers.
+    /// The incarnation responds.
     Alive,
-    /// The incarnation did not answer and may refute by a higher sequence.
+    /// The incarnation did not respond; it can refute by a higher sequence.
     Suspect,
     /// The incarnation did not refute in time. A higher sequence still refutes.
     Gone,
 }
 
-/// The part of a record that changes.
+/// Mutable part of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Sequence that only the member itself raises.
+    /// Sequence number; only the member itself increments it.
     pub sequence: u32,
     /// Health at this sequence.
     pub health: Health,
-    /// The incarnation is leaving. It never returns from that.
+    /// Whether the incarnation is leaving. Never reset within an incarnation.
     pub is_leaving: bool,
     /// Highest document revision that the incarnation has reported as in force.
     pub revision: u64,
 }
 
 impl Status {
-    /// The status of an incarnation that has just started.
+    /// Returns the status of an incarnation that has just started.
     pub const fn new(revision: u64) -> Self {
         Self {
             sequence: 0,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Joins `other` into `self`; both belong to the same incarnation.
+    /// Merges `other` into `self`; both have to belong to the same incarnation.
     pub(super) fn join(&mut self, other: &Self) {
         let before = *self;
         if (other.sequence, other.health) > (self.sequence, self.health) {
@@ -75,7 +75,7 @@
         self.revision = self.revision.max(other.revision);
         assert!(
             self.revision >= before.revision,
-            "a revision never goes back"
+            "a revision never decreases"
         );
         assert!(
             self.is_leaving || !before.is_leaving,
@@ -84,33 +84,33 @@
     }
 }
 
-/// All that travels about one member.
+/// Full state of one member, as exchanged between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The constant part.
+    /// Immutable part.
     pub identity: Identity,
-    /// The changing part.
+    /// Mutable part.
     pub status: Status,
     /// Fleet-wide entries of the member, as topic, version and content.
     pub entries: Vec<(u8, u64, Vec<u8>)>,
 }
 
-/// State of a member as the rest of the program sees it.
+/// State of a member, derived from its [`Status`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Answers and takes work.
+    /// Responds and accepts work.
     Alive,
-    /// Did not answer lately.
+    /// Did not respond to recent probes.
     Suspect,
-    /// Finishes what it has and takes no new work.
+    /// Finishes its work in progress and accepts no new work.
     Leaving,
-    /// Does not answer.
+    /// Does not respond.
     Gone,
 }
 
 impl MemberState {
-    /// The state that `status` amounts to.
+    /// Derives the state from `status`.
     pub const fn of(status: &Status) -> Self {
         match status.health {
             Health::Gone => Self::Gone,
--- a/crates/core/src/member/rumor.rs
+++ b/crates/core/src/member/rumor.rs
@@ -1,35 +1,35 @@
-//! Recent changes and how often each was passed on.
+//! Recent changes that are still gossiped, with transmission counts.
 
 use super::entry::is_fleet_topic;
 use crate::id::InstanceId;
 use std::collections::BTreeMap;
 
-/// Equal tables in a row after which changes are no longer passed on.
-const MIN_EQUAL_TABLES: u32 = 6;
+/// Number of consecutive equal table hashes after which changes are no longer gossiped.
+const EQUAL_TABLES_TO_STOP: u32 = 6;
 
-/// What changed about a member.
+/// Part of a member's state that changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Change {
-    /// The whole record is news.
+    /// The whole record.
     Record,
-    /// The status is news.
+    /// The status.
     Status,
-    /// The revision is news.
+    /// The revision.
     Revision,
-    /// One entry is news.
+    /// The entry of a topic.
     Entry(u8),
 }
 
-/// Changes that are still passed on, each with the number of times it was sent.
+/// Changes that are still gossiped, each with the number of transmissions.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Rumors {
     sent: BTreeMap<(InstanceId, Change), u32>,
-    /// Equal tables that were met in a row since the latest change.
+    /// Consecutive equal table hashes received since the latest change or different hash.
     equal_tables: u32,
 }
 
 impl Rumors {
-    /// Begins to pass on a change, or begins again if a newer one replaced it.
+    /// Starts to gossip a change; resets its transmission count if it is present already.
     pub(super) fn add(&mut self, instance: &InstanceId, change: Change) {
         if change == Change::Record {
             self.sent.remove(&(instance.clone(), Change::Status));
@@ -39,7 +39,7 @@
         self.equal_tables = 0;
     }
 
-    /// Changes for which `is_wanted` holds, the least often sent first.
+    /// Returns the changes for which `is_wanted` holds, those with the fewest transmissions first.
     pub(super) fn least_sent(
         &self,
         is_wanted: impl Fn(&Change) -> bool,
@@ -65,16 +65,16 @@
         }
     }
 
-    /// Notes that a member's table differs from the own one.
+    /// Records that a member's table differs from the own one.
     pub(super) fn note_different_table(&mut self) {
         self.equal_tables = 0;
     }
 
-    /// Notes that a member's table equals the own one. After several in a row the changes have
-    /// most likely reached everyone.
+    /// Records that a member's table equals the own one. After several in a row the changes have
+    /// most likely reached all members, and are dropped.
     pub(super) fn note_equal_table(&mut self) {
         self.equal_tables += 1;
-        if self.equal_tables >= MIN_EQUAL_TABLES {
+        if self.equal_tables >= EQUAL_TABLES_TO_STOP {
             self.forget_hashed();
         }
     }
--- a/crates/core/src/member/size.rs
+++ b/crates/core/src/member/size.rs
@@ -1,9 +1,9 @@
-//! Encoded sizes, so that a packet can be filled up to a bound without being encoded.
+//! Encoded sizes of packet parts, to fill a packet up to a limit without encoding it.
 
 use super::{KeyedEntry, MemberRecord, Status, Update};
 use std::net::SocketAddr;
 
-/// Bytes of a variable-length integer of seven bits a byte.
+/// Encoded size of a variable-length integer (7 bits per byte), in bytes.
 pub(super) const fn varint_bytes(value: u64) -> usize {
     let bits = 64 - value.leading_zeros() as usize;
     if bits == 0 {
@@ -13,7 +13,7 @@
     }
 }
 
-/// Bytes of an encoded socket address.
+/// Encoded size of a socket address, in bytes.
 fn addr_bytes(addr: &SocketAddr) -> usize {
     let ip = if addr.is_ipv4() { 4 } else { 16 };
     1 + ip + varint_bytes(addr.port().into())
--- a/crates/core/src/member/sync.rs
+++ b/crates/core/src/member/sync.rs
@@ -1,8 +1,8 @@
-//! Repair of differences between two tables by digests.
+//! Anti-entropy: repair of differences between two tables by digests.
 //!
-//! Every packet carries a hash of the sender's table. When two tables differ although no change
-//! is on its way, one side sends hashes by bucket, the other answers with its records in the
-//! buckets that differ, and the first returns what the other lacks.
+//! Every packet carries a hash of the sender's table. When two tables differ although no recent
+//! change explains it, one side sends a hash per bucket, the other replies with its records in the
+//! buckets that differ, and the first returns the records that the other lacks.
 
 use super::size::record_bytes;
 use super::table::BUCKETS;
@@ -12,45 +12,45 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Shortest time between two digests of one instance, in milliseconds.
+/// Minimum time between two digests sent by one instance, in milliseconds.
 const SYNC_PERIOD_MS: u64 = 2_000;
-/// The same while the instance starts, in milliseconds.
+/// The same during start-up, in milliseconds.
 const STARTING_SYNC_PERIOD_MS: u64 = 300;
-/// Time for which the own table has to be unchanged before a digest is sent, in milliseconds.
-const QUIET_MS: u64 = 2_000;
-/// Time after which a digest is sent although the table keeps changing, in milliseconds.
+/// Minimum time since the last change of the own table before a digest is sent, in milliseconds.
+const MIN_UNCHANGED_MS: u64 = 2_000;
+/// Time after which a digest is sent even if the table keeps changing, in milliseconds.
 const MAX_SYNC_PERIOD_MS: u64 = 15_000;
-/// Largest list of records in one packet, in bytes.
+/// Maximum encoded size of the records in one packet, in bytes.
 const MAX_RECORDS_BYTES: usize = 48 * 1_024;
-/// Records learnt from one exchange up to which they are passed on at once.
-const MAX_RUMORS_OF_SYNC: usize = 16;
+/// Maximum number of records received at once for which the changes are gossiped further.
+const MAX_RUMORED_RECORDS: usize = 16;
 
-/// Times that pace the digests.
+/// Times of the last digest and of the last table change.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Sync {
+pub(super) struct SyncSchedule {
     last_at: Option<Millis>,
     changed_at: Option<Millis>,
 }
 
-impl Sync {
+impl SyncSchedule {
     pub(super) fn note_change(&mut self, now: Millis) {
         self.changed_at = Some(now);
     }
 
     fn is_due(&self, is_starting: bool, now: Millis) -> bool {
         let since_last_ms = self.last_at.map_or(u64::MAX, |at| now.since(at));
-        let quiet_ms = self.changed_at.map_or(u64::MAX, |at| now.since(at));
+        let unchanged_ms = self.changed_at.map_or(u64::MAX, |at| now.since(at));
         if is_starting {
             return since_last_ms >= STARTING_SYNC_PERIOD_MS;
         }
-        let is_quiet = quiet_ms >= QUIET_MS && since_last_ms >= SYNC_PERIOD_MS;
-        is_quiet || since_last_ms >= MAX_SYNC_PERIOD_MS
+        let is_unchanged = unchanged_ms >= MIN_UNCHANGED_MS && since_last_ms >= SYNC_PERIOD_MS;
+        is_unchanged || since_last_ms >= MAX_SYNC_PERIOD_MS
     }
 }
 
 impl Members {
-    /// Acts on the hash of a sender's table: repairs a difference, and stops passing on changes that
-    /// several members in a row know already.
+    /// Compares the sender's table hash with the own one: starts a repair if they differ, and stops
+    /// gossiping changes after several equal tables in a row.
     pub(super) fn compare_tables(
         &mut self,
         from: &InstanceId,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Sends the hashes by bucket to an instance whose table differs, if a digest is due.
+    /// Sends the hashes per bucket to an instance whose table differs, if a digest is due.
     pub(super) fn begin_sync(&mut self, with: &InstanceId, now: Millis) {
         if !self.sync.is_due(self.is_starting(now), now) {
             return;
@@ -86,7 +86,7 @@
         sent.packet.body = PacketBody::Digest { buckets };
     }
 
-    /// Answers hashes by bucket with the records of the buckets that differ.
+    /// Replies to a digest with the records of the buckets that differ.
     pub(super) fn on_digest(&mut self, from: &InstanceId, salt: u16, theirs: &[u16], now: Millis) {
         if theirs.len() != BUCKETS {
             return;
@@ -108,7 +108,7 @@
         self.send(from, body, now);
     }
 
-    /// Takes in records, and returns those that the other side lacks.
+    /// Merges the received records, and replies with those that the other side lacks.
     pub(super) fn on_records(
         &mut self,
         from: &InstanceId,
@@ -117,9 +117,9 @@
         wants_reply: bool,
         now: Millis,
     ) {
-        let is_rumor = theirs.len() <= MAX_RUMORS_OF_SYNC;
+        let is_rumor = theirs.len() <= MAX_RUMORED_RECORDS;
         for record in theirs {
-            self.take_record(record, is_rumor, now);
+            self.apply_record(record, is_rumor, now);
         }
         if !wants_reply {
             return;
@@ -128,9 +128,10 @@
             .iter()
             .map(|record| (&record.identity.instance, record))
             .collect();
-        let is_news = |ours: &MemberRecord| by_name.get(&ours.identity.instance) != Some(&ours);
+        let is_missing_there =
+            |ours: &MemberRecord| by_name.get(&ours.identity.instance) != Some(&ours);
         let mut records = self.table.records_in(differing);
-        records.retain(is_news);
+        records.retain(is_missing_there);
         if records.is_empty() {
             return;
         }
@@ -143,8 +144,8 @@
         self.send(from, body, now);
     }
 
-    /// A part of `records` that fits in one packet, beginning at a random place so that no record
-    /// is left out every time.
+    /// Limits `records` to those that fit in one packet, starting at a random position so that no
+    /// record is omitted every time.
     fn bounded(&self, mut records: Vec<MemberRecord>) -> Vec<MemberRecord> {
         let total: usize = records.iter().map(record_bytes).sum();
         if total <= MAX_RECORDS_BYTES {
--- a/crates/core/src/member/table.rs
+++ b/crates/core/src/member/table.rs
@@ -1,4 +1,4 @@
-//! The members by name, and the merge of records into them.
+//! Table of members and the merge of received records.
 
 use super::entry::{is_fleet_topic, Entry};
 use super::{
@@ -8,24 +8,25 @@
 use crate::time::Millis;
 use std::collections::BTreeMap;
 
-/// Number of buckets that a table is hashed by.
+/// Number of hash buckets of a table in a digest.
 pub(super) const BUCKETS: usize = 64;
-/// Largest number of members; further ones are ignored.
+/// Maximum number of members; further ones are ignored.
 const MAX_MEMBERS: usize = 4_096;
-/// Time for which a suspicion is held before a report of `gone` is believed, in milliseconds.
-const HEARSAY_MS: u64 = 1_000;
+/// Minimum time for which a member has to be suspected here before another instance's report that
+/// it is gone is accepted, in milliseconds.
+const MIN_SUSPECT_BEFORE_GONE_MS: u64 = 1_000;
 
-/// One member as stored.
+/// Stored state of one member.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) identity: Identity,
     pub(super) status: Status,
     pub(super) entries: BTreeMap<u8, Entry>,
-    /// Known by a packet or by gossip, not by the live list alone.
+    /// Whether a packet or gossip has confirmed the member, not the live list alone.
     pub(super) is_confirmed: bool,
     /// Time of the last packet from the member itself.
     pub(super) heard_at: Option<Millis>,
-    /// Time at which the state last changed.
+    /// Time at which sequence or health last changed.
     pub(super) changed_at: Millis,
     pub(super) key: [u8; 4],
 }
@@ -48,7 +49,7 @@
         MemberState::of(&self.status)
     }
 
-    /// Whether the member is known to run.
+    /// Returns whether the member is known to run.
     pub(super) fn is_present(&self) -> bool {
         self.is_confirmed && self.status.health != Health::Gone
     }
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Stores an entry if it is newer than the one known; tells whether it was.
+    /// Stores an entry if it is newer than the known one; returns whether it was stored.
     pub(super) fn put_entry(&mut self, topic: u8, version: u64, bytes: &[u8]) -> bool {
         let known = self.entries.get(&topic);
         let is_newer = known.is_none_or(|entry| entry.version < version);
@@ -99,26 +100,26 @@
     }
 }
 
-/// What a merge changed.
+/// Changes made by a merge.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Merged {
-    /// The incarnation was not known.
+pub(super) struct MergeResult {
+    /// The incarnation was not known or not confirmed before.
     pub(super) is_new: bool,
     /// Sequence, health or the leaving flag changed.
     pub(super) is_status_changed: bool,
-    /// The revision rose.
+    /// The revision increased.
     pub(super) is_revision_changed: bool,
-    /// States before and after, if they differ.
+    /// Previous and new state, if they differ.
     pub(super) states: Option<(MemberState, MemberState)>,
 }
 
-impl Merged {
+impl MergeResult {
     pub(super) const fn is_change(&self) -> bool {
         self.is_new || self.is_status_changed || self.is_revision_changed
     }
 }
 
-/// The members by name; the instance itself is one of them.
+/// Members by name, including this instance.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Table {
     pub(super) members: BTreeMap<InstanceId, Member>,
@@ -129,8 +130,8 @@
         self.members.get(instance)
     }
 
-    /// Merges a record that travelled.
-    pub(super) fn merge_record(&mut self, record: &MemberRecord, now: Millis) -> Merged {
+    /// Merges a received record.
+    pub(super) fn merge_record(&mut self, record: &MemberRecord, now: Millis) -> MergeResult {
         let identity = &record.identity;
         let known = self.members.get(&identity.instance);
         let has_room = known.is_some() || self.members.len() < MAX_MEMBERS;
@@ -138,7 +139,7 @@
         if is_newer && has_room {
             self.insert(record, now);
             let states = known_state_change(None, MemberState::of(&record.status));
-            return Merged {
+            return MergeResult {
                 is_new: true,
                 is_status_changed: true,
                 is_revision_changed: true,
@@ -161,30 +162,30 @@
             .insert(member.identity.instance.clone(), member);
     }
 
-    /// Merges a status that travelled. A status of an unknown incarnation changes nothing; the
-    /// digests bring the record.
+    /// Merges a received status. A status of an unknown incarnation is ignored; a digest exchange
+    /// delivers the record.
     pub(super) fn merge_status(
         &mut self,
         instance: &InstanceId,
         incarnation: Incarnation,
         status: &Status,
         now: Millis,
-    ) -> Merged {
+    ) -> MergeResult {
         let Some(member) = self.members.get_mut(instance) else {
-            return Merged::default();
+            return MergeResult::default();
         };
         if member.identity.incarnation != incarnation {
-            return Merged::default();
+            return MergeResult::default();
         }
         let was_confirmed = member.is_confirmed;
         member.is_confirmed = true;
-        let incoming = temper(member, status, was_confirmed, now);
+        let incoming = defer_gone(member, status, was_confirmed, now);
         let mut merged = join(member, &incoming, now);
         merged.is_new = !was_confirmed;
         merged
     }
 
-    /// Members that are known to run, without order of preference.
+    /// Returns the members that are known to run.
     pub(super) fn present(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|m| m.is_present())
     }
@@ -196,7 +197,7 @@
         self.present().filter(move |m| m.identity.region == *region)
     }
 
-    /// The only member with this key, or none if two share it.
+    /// Returns the member with this key, or none if no member or several members have it.
     pub(super) fn by_key(&self, key: [u8; 4]) -> Option<InstanceId> {
         let mut found = self.members.values().filter(|m| m.key == key);
         let first = found.next()?;
@@ -206,13 +207,13 @@
         }
     }
 
-    /// Hash of all members that are known to run.
+    /// Returns the hash of all members that are known to run.
     pub(super) fn hash(&self, salt: u16) -> u32 {
         let hash = self.present().fold(0, |hash, m| hash ^ m.hash(salt));
         (hash ^ (hash >> 32)) as u32
     }
 
-    /// Hashes by bucket of all members that are known to run.
+    /// Returns the hashes per bucket of all members that are known to run.
     pub(super) fn bucket_hashes(&self, salt: u16) -> Vec<u16> {
         let mut hashes = vec![0u64; BUCKETS];
         for member in self.present() {
@@ -222,8 +223,8 @@
         hashes.into_iter().map(fold).collect()
     }
 
-    /// Records of all confirmed members in the buckets of a bit set; members that are gone are
-    /// included, so that the verdict travels.
+    /// Returns the records of all confirmed members in the buckets of a bit set. Members that are
+    /// gone are included, so that this status reaches other instances.
     pub(super) fn records_in(&self, buckets: u64) -> Vec<MemberRecord> {
         let is_in = |m: &&Member| buckets & (1 << bucket_of(&m.identity.instance)) != 0;
         self.members
@@ -235,24 +236,24 @@
     }
 }
 
-/// Turns a report that a member is gone into a suspicion, unless the suspicion has been held for
-/// some time. After a partition has healed, members on this side can thereby refute before anyone
-/// here believes that they are gone.
-fn temper(member: &Member, incoming: &Status, was_confirmed: bool, now: Millis) -> Status {
-    let mut tempered = *incoming;
-    let is_held = match member.status.health {
+/// Downgrades a received `gone` status to a suspicion, unless the member has been suspected here
+/// for [`MIN_SUSPECT_BEFORE_GONE_MS`]. After a partition has healed, members on this side can
+/// therefore refute before other instances on this side consider them gone.
+fn defer_gone(member: &Member, incoming: &Status, was_confirmed: bool, now: Millis) -> Status {
+    let mut deferred = *incoming;
+    let may_become_gone = match member.status.health {
         Health::Alive => false,
-        Health::Suspect => now.since(member.changed_at) >= HEARSAY_MS,
+        Health::Suspect => now.since(member.changed_at) >= MIN_SUSPECT_BEFORE_GONE_MS,
         Health::Gone => true,
     };
-    if was_confirmed && !is_held && incoming.health == Health::Gone {
-        tempered.health = Health::Suspect;
+    if was_confirmed && !may_become_gone && incoming.health == Health::Gone {
+        deferred.health = Health::Suspect;
     }
-    tempered
+    deferred
 }
 
-/// Joins `incoming` into the member's status.
-pub(super) fn join(member: &mut Member, incoming: &Status, now: Millis) -> Merged {
+/// Merges `incoming` into the member's status.
+pub(super) fn join(member: &mut Member, incoming: &Status, now: Millis) -> MergeResult {
     let before = member.status;
     member.status.join(incoming);
     let after = member.status;
@@ -261,7 +262,7 @@
     if is_health_changed {
         member.changed_at = now;
     }
-    Merged {
+    MergeResult {
         is_new: false,
         is_status_changed: is_health_changed || before.is_leaving != after.is_leaving,
         is_revision_changed: before.revision != after.revision,
@@ -277,12 +278,12 @@
     (from != to).then_some((from, to))
 }
 
-/// Bucket that a member belongs to.
+/// Returns the bucket of a member.
 fn bucket_of(instance: &InstanceId) -> usize {
     (hash_text(instance.as_str()) % BUCKETS as u64) as usize
 }
 
-/// Short key of an incarnation.
+/// Short hash that identifies an incarnation in packets.
 pub(super) fn member_key(instance: &InstanceId, incarnation: Incarnation) -> [u8; 4] {
     let mut hash = Fnv::new();
     hash.write(instance.as_str().as_bytes());
@@ -290,12 +291,12 @@
     fold32(hash.finish()).to_le_bytes()
 }
 
-/// Short key of a region.
+/// Short hash that identifies a region in packets.
 pub(super) fn region_key(region: &RegionId) -> [u8; 4] {
     fold32(hash_text(region.as_str())).to_le_bytes()
 }
 
-/// Hash of an ordered pair of texts.
+/// Hashes an ordered pair of strings.
 pub(super) fn hash_pair(first: &str, second: &str) -> u64 {
     let mut hash = Fnv::new();
     hash.write(first.as_bytes());
@@ -314,7 +315,7 @@
     (hash ^ (hash >> 32)) as u32
 }
 
-/// The FNV-1a hash with a final mix; the same on every machine and version.
+/// FNV-1a hash with a finaliser; its value is the same on all platforms and in all versions.
 struct Fnv(u64);
 
 impl Fnv {
--- a/crates/core/tests/member_network.rs
+++ b/crates/core/tests/member_network.rs
@@ -1,4 +1,4 @@
-//! Membership over a network that loses, delays, doubles and partitions.
+//! Membership over a simulated network that drops, delays, duplicates and partitions packets.
 
 mod member_support;
 
@@ -10,10 +10,10 @@
 
 const LOSSY: Faults = Faults {
     lost_per_mille: 10,
-    doubled_per_mille: 20,
+    duplicated_per_mille: 20,
     jitter_ms: 20,
 };
-/// Bound on the time to agreement after the last fault, in periods.
+/// Maximum time to agreement after the last fault, in probe periods.
 const SETTLE_PERIODS: u64 = 40;
 
 fn seeds(count: u64) -> Range<u64> {
@@ -138,7 +138,7 @@
         net.settle(1);
         net.side = vec![0; 8];
         net.settle(SETTLE_PERIODS * PROBE_PERIOD_MS);
-        // Nobody on either side is taken for gone while the halves meet.
+        // While the halves reconnect, no instance declares any further member gone.
         for node in &mut net.nodes {
             let events = node.members.take_events();
             let after = events.iter().rposition(|event| {
@@ -177,8 +177,8 @@
     }
 }
 
-/// One random fault.
-fn disturb(net: &mut Net) {
+/// Injects one random fault.
+fn inject_random_fault(net: &mut Net) {
     let at = net.rng.random_range(0..net.nodes.len());
     let is_running = net.nodes[at].is_running;
     match net.rng.random_range(0..8) {
@@ -219,7 +219,7 @@
             ..LOSSY
         };
         for _ in 0..30 {
-            disturb(&mut net);
+            inject_random_fault(&mut net);
             let pause_ms = net.rng.random_range(0..15 * PROBE_PERIOD_MS);
             net.run(pause_ms);
         }
@@ -236,7 +236,8 @@
     }
 }
 
-/// Regions that count as silent, over all instances, without any fault but loss.
+/// Counts the unreachable-region events of all instances when packet loss, duplication and jitter are
+/// the only faults.
 fn silent_regions(sizes: &[usize], seed: u64, periods: u64) -> usize {
     let mut net = Net::new(sizes, seed);
     net.faults = LOSSY;
--- a/crates/core/tests/member_support/mod.rs
+++ b/crates/core/tests/member_support/mod.rs
@@ -1,6 +1,6 @@
-//! A seeded fake network that membership tables run over.
+//! Seeded simulation of a network of membership tables.
 
-#![allow(dead_code, reason = "each test binary uses a part of it")]
+#![allow(dead_code, reason = "each test binary uses only some of the helpers")]
 
 use carobwheel_core::id::InstanceId;
 use carobwheel_core::member::{
@@ -11,28 +11,28 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::{cmp::Reverse, net::SocketAddr};
 
-/// Time between two ticks of every table, in milliseconds.
+/// Tick interval of every table, in milliseconds.
 pub(crate) const TICK_MS: u64 = 100;
 
-/// Faults of the network.
+/// Fault rates of the simulated network.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
     /// Packets lost, out of 1,000.
     pub(crate) lost_per_mille: u32,
-    /// Packets doubled, out of 1,000.
-    pub(crate) doubled_per_mille: u32,
-    /// Largest additional delay, in milliseconds.
+    /// Packets duplicated, out of 1,000.
+    pub(crate) duplicated_per_mille: u32,
+    /// Maximum additional delay, in milliseconds.
     pub(crate) jitter_ms: u64,
 }
 
-/// A packet under way.
-struct Flight {
+/// A packet that has been sent but not delivered.
+struct InFlightPacket {
     from: usize,
     to: usize,
     packet: Packet,
 }
 
-/// One instance of the network.
+/// One simulated instance.
 pub(crate) struct Node {
     pub(crate) members: Members,
     pub(crate) identity: Identity,
@@ -43,20 +43,21 @@
     fetch: Option<(usize, u64)>,
 }
 
-/// The network.
+/// The simulated network.
 pub(crate) struct Net {
     pub(crate) nodes: Vec<Node>,
     pub(crate) now: Millis,
     pub(crate) faults: Faults,
     pub(crate) rng: StdRng,
-    /// Side of each node; packets pass only inside a side.
+    /// Partition side of each node; packets are delivered only within a side.
     pub(crate) side: Vec<u8>,
     pub(crate) incarnations_left: BTreeSet<(InstanceId, Incarnation)>,
     by_name: BTreeMap<InstanceId, usize>,
     queue: BinaryHeap<Reverse<(Millis, u64)>>,
-    flights: BTreeMap<u64, Flight>,
-    last_flight: u64,
-    /// Highest revision seen of each node's view of each member, to catch one that goes back.
+    in_flight: BTreeMap<u64, InFlightPacket>,
+    last_packet_number: u64,
+    /// Highest revision and leaving flag seen in each node's view of each member, to detect a
+    /// regression.
     seen: BTreeMap<(usize, InstanceId, Incarnation), (u64, bool)>,
 }
 
@@ -78,7 +79,7 @@
 }
 
 impl Net {
-    /// Regions of the given sizes; every node knows all others from the live list.
+    /// Creates regions of the given sizes; every node gets all others from the live list.
     pub(crate) fn new(region_sizes: &[usize], seed: u64) -> Self {
         let mut net = Self {
             nodes: Vec::new(),
@@ -89,8 +90,8 @@
             incarnations_left: BTreeSet::new(),
             by_name: BTreeMap::new(),
             queue: BinaryHeap::new(),
-            flights: BTreeMap::new(),
-            last_flight: 0,
+            in_flight: BTreeMap::new(),
+            last_packet_number: 0,
             seen: BTreeMap::new(),
         };
         for (region, size) in region_sizes.iter().enumerate() {
@@ -112,7 +113,7 @@
             }
         }
         for at in 0..net.nodes.len() {
-            net.give_live_list(at);
+            net.deliver_live_list(at);
         }
         net
     }
@@ -127,7 +128,7 @@
             .collect()
     }
 
-    pub(crate) fn give_live_list(&mut self, at: usize) {
+    pub(crate) fn deliver_live_list(&mut self, at: usize) {
         let list = self.live_list();
         let out = self.nodes[at].members.on_live_list(&list, self.now);
         self.dispatch(at, out);
@@ -137,7 +138,7 @@
         self.nodes[at].is_running = false;
     }
 
-    /// Starts a killed or running node again with nothing but the live list.
+    /// Restarts a node with a new incarnation; it knows only the live list.
     pub(crate) fn restart(&mut self, at: usize) {
         let seed = self.rng.random();
         let node = &mut self.nodes[at];
@@ -147,7 +148,7 @@
         node.has_left = false;
         node.revision = 0;
         node.fetch = None;
-        self.give_live_list(at);
+        self.deliver_live_list(at);
     }
 
     pub(crate) fn leave(&mut self, at: usize) {
@@ -181,22 +182,22 @@
             if lost || self.side[from] != self.side[to] || !self.nodes[to].is_running {
                 continue;
             }
-            let doubled = self.rng.random_range(0..1_000) < self.faults.doubled_per_mille;
-            for _ in 0..=u32::from(doubled) {
+            let duplicated = self.rng.random_range(0..1_000) < self.faults.duplicated_per_mille;
+            for _ in 0..=u32::from(duplicated) {
                 let same = self.nodes[from].identity.region == self.nodes[to].identity.region;
                 let jitter_ms = self.rng.random_range(0..=self.faults.jitter_ms);
                 let delay_ms = if same { 1 } else { 80 } + jitter_ms;
-                self.last_flight += 1;
+                self.last_packet_number += 1;
                 let packet = outgoing.packet.clone();
                 let at = self.now.plus(delay_ms);
-                self.queue.push(Reverse((at, self.last_flight)));
-                self.flights
-                    .insert(self.last_flight, Flight { from, to, packet });
+                self.queue.push(Reverse((at, self.last_packet_number)));
+                self.in_flight
+                    .insert(self.last_packet_number, InFlightPacket { from, to, packet });
             }
         }
     }
 
-    /// Runs the network for `duration_ms`.
+    /// Runs the simulation for `duration_ms`.
     pub(crate) fn run(&mut self, duration_ms: u64) {
         let end = self.now.plus(duration_ms);
         while self.now < end {
@@ -216,15 +217,17 @@
             }
             self.queue.pop();
             self.now = at;
-            let flight = self.flights.remove(&number).expect("queued flight");
-            if !self.nodes[flight.to].is_running || self.side[flight.from] != self.side[flight.to] {
+            let delivery = self.in_flight.remove(&number).expect("queued delivery");
+            if !self.nodes[delivery.to].is_running
+                || self.side[delivery.from] != self.side[delivery.to]
+            {
                 continue;
             }
-            let from = self.nodes[flight.from].identity.instance.clone();
-            let node = &mut self.nodes[flight.to];
-            let out = node.members.on_packet(&from, flight.packet, at);
-            self.dispatch(flight.to, out);
-            self.start_fetch(flight.to);
+            let from = self.nodes[delivery.from].identity.instance.clone();
+            let node = &mut self.nodes[delivery.to];
+            let out = node.members.on_packet(&from, delivery.packet, at);
+            self.dispatch(delivery.to, out);
+            self.start_fetch(delivery.to);
         }
     }
 
@@ -238,7 +241,7 @@
         }
     }
 
-    /// A fetch takes until the next tick, and fails across a partition.
+    /// Starts a document fetch; it completes at the next tick and fails across a partition.
     fn start_fetch(&mut self, at: usize) {
         let node = &mut self.nodes[at];
         if let Some((from, _)) = node.members.choose_fetch_peer(self.now) {
@@ -258,7 +261,7 @@
         }
     }
 
-    /// Asserts that no view of a member goes back.
+    /// Asserts that in a node's view no member's revision decreases and no leaving flag is reset.
     fn check_monotonic(&mut self, at: usize) {
         for view in self.nodes[at].members.snapshot() {
             let identity = view.identity;
@@ -269,17 +272,17 @@
             let own = self.nodes[at].identity.incarnation.0 as usize;
             let key = (at + 1_000 * own, identity.instance, identity.incarnation);
             let seen = self.seen.entry(key).or_insert((0, false));
-            assert!(view.revision >= seen.0, "a revision went back");
+            assert!(view.revision >= seen.0, "a revision decreased");
             assert!(
                 !seen.1 || matches!(view.state, MemberState::Leaving | MemberState::Gone),
-                "leaving was taken back"
+                "a leaving member became active again"
             );
             *seen = (view.revision, seen.1 || is_leaving);
         }
     }
 
-    /// Whether every running node sees exactly the running nodes of its side, each in the right
-    /// state, and the highest revision of its side.
+    /// Describes the first disagreement, or returns none if every running node sees the nodes of its
+    /// side in the right state and has the highest revision of its side.
     pub(crate) fn disagreement(&self) -> Option<String> {
         let running = self.running();
         for at in &running {
@@ -314,7 +317,7 @@
             (true, false) if same_side => Some(MemberState::Alive),
             (true, true) if same_side => Some(MemberState::Leaving),
             (false, _) => Some(MemberState::Gone),
-            // Only the member's own region judges it.
+            // Only the member's own region decides that it is gone.
             _ if same_region => Some(MemberState::Gone),
             _ => None,
         }?;
@@ -335,7 +338,7 @@
         })
     }
 
-    /// Runs until all agree, and returns the time that took; panics after `limit_ms`.
+    /// Runs until all nodes agree and returns the elapsed time; panics after `limit_ms`.
     pub(crate) fn settle(&mut self, limit_ms: u64) -> u64 {
         let start = self.now;
         loop {
