--- a/crates/core/src/once/action.rs
+++ b/crates/core/src/once/action.rs
@@ -1,4 +1,4 @@
-//! The state machine of one action at one instance.
+//! State machine of one action at one instance.
 
 use super::{
     ActionRecord, Answer, Effect, Input, MayHaveRun, NotRun, OnceKey, Outcome, StoreAnswer,
@@ -6,38 +6,40 @@
 };
 use crate::time::Millis;
 
-/// Longest pause of a process that a claim outlives, in milliseconds.
+/// Maximum pause of a process that a claim is guaranteed to outlive, in milliseconds.
 pub const MAX_PROCESS_PAUSE_MS: u64 = 60_000;
-/// Calls of the store after which an instance gives up claiming.
+/// Maximum number of store calls to claim one action.
 pub const MAX_CLAIM_CALLS: u32 = 4;
-/// Dispatches of one action; all but the last ended before a byte could leave.
+/// Maximum number of dispatches of one action; only the last one may have sent any byte.
 pub const MAX_CONNECT_ATTEMPTS: u32 = 3;
-const OUTCOME_RETRY_FIRST_MS: u64 = 250;
-const OUTCOME_RETRY_LONGEST_MS: u64 = 30_000;
+const OUTCOME_RETRY_MIN_MS: u64 = 250;
+const OUTCOME_RETRY_MAX_MS: u64 = 30_000;
 
-/// What an action has to know of its request.
+/// Parameters of an action, taken from its request and the configuration.
 #[derive(Clone, Debug)]
 pub struct ActionSpec {
-    /// Key of the record; absent if the caller sent no idempotency key.
+    /// Store key of the record; none if the caller sent no idempotency key.
     pub key: Option<OnceKey>,
     /// Hash of the request, by [`super::request_hash`].
     pub request_sha256: [u8; 32],
-    /// Time after which nothing is sent.
+    /// Time at and after which nothing is sent to an upstream.
     pub deadline: Millis,
-    /// Time for which the outcome is kept, in milliseconds.
+    /// Time for which the outcome is stored, in milliseconds.
     pub outcome_kept_ms: u64,
-    /// All copies of the service drop a second action with the same idempotency key together.
+    /// Whether the service itself deduplicates actions with the same idempotency key, across all of
+    /// its replicas.
     pub deduplicates: bool,
 }
 
 #[derive(Clone, Debug)]
 enum State {
     Idle,
-    // Waiting for the answer to a create or, if `reading`, to a read.
+    // Waiting for the result of a create or, if `reading`, of a read.
     Claiming { reading: bool },
-    // Waiting for a dispatch of which no byte has left.
+    // Waiting for a dispatch that has not sent any byte.
     Connecting,
-    // Bytes may have left; `answered` once the caller has been told so.
+    // Bytes may have been sent. `answered`: the caller needs no further answer, because it was
+    // answered, the relay has begun, or it has disconnected.
     Sent { answered: bool },
     Recording { outcome: Outcome, attempts: u32 },
     Ended,
@@ -45,9 +47,10 @@
 
 /// One non-idempotent request at one instance.
 ///
-/// Promises, asserted here: bytes leave only under a claim of this action that still holds by the
-/// instance's own clock, at most one dispatch lets bytes leave, and `not-run` is answered only
-/// when none did.
+/// Invariants, enforced by assertions: bytes are sent only under a claim of this action that is
+/// still valid by the instance's own clock, at most one dispatch sends bytes, and `not-run` is
+/// reported only if none did. If the service deduplicates or the request has no key, no claim is
+/// needed.
 #[derive(Clone, Debug)]
 pub struct Action {
     spec: ActionSpec,
@@ -56,7 +59,7 @@
     call: u32,
     claim_calls: u32,
     dispatches: u32,
-    // Time at which the first create was requested: the claim is at least as young.
+    // Time of the first create request. The claim is not older than that.
     requested_at: Millis,
     life_ms: u64,
     may_be_claimed: bool,
@@ -67,7 +70,7 @@
 }
 
 impl Action {
-    /// An action with a `writer` mark that no other action has.
+    /// Creates an action; `writer` has to be unique to it.
     pub fn new(spec: ActionSpec, writer: WriterId) -> Self {
         Self {
             spec,
@@ -86,9 +89,12 @@
         }
     }
 
-    /// The first effects.
+    /// Starts the action and returns the first effects.
     pub fn start(&mut self, now: Millis) -> Vec<Effect> {
-        assert!(matches!(self.state, State::Idle), "an action starts once");
+        assert!(
+            matches!(self.state, State::Idle),
+            "an action starts only once"
+        );
         if now >= self.spec.deadline {
             return self.refuse(NotRun::DeadlinePassed);
         }
@@ -101,29 +107,34 @@
         self.create(now)
     }
 
-    /// Takes one event and returns what has to be done.
+    /// Handles one event and returns the resulting effects.
     pub fn step(&mut self, input: Input, now: Millis) -> Vec<Effect> {
         match input {
-            Input::Store { call, answer } if call == self.call => self.store(answer, now),
-            Input::Upstream { call, event } if call == self.call => self.upstream(event, now),
+            Input::Store { call, answer } if call == self.call => self.on_store_answer(answer, now),
+            Input::Upstream { call, event } if call == self.call => {
+                self.on_upstream_event(event, now)
+            }
             Input::Store { .. } | Input::Upstream { .. } => Vec::new(),
-            Input::DeadlinePassed => self.deadline_passed(),
-            Input::CallerGone => self.caller_gone(),
+            Input::DeadlinePassed => self.on_deadline_passed(),
+            Input::CallerGone => self.on_caller_gone(),
         }
     }
 
-    /// Whether the first byte of dispatch `call` may be sent now.
+    /// Returns whether the first byte of dispatch `call` may be sent now.
     ///
-    /// Has to be asked right before sending, because a pause since the claim may have outlasted
-    /// it. After a refusal nothing may be sent, and the dispatch is reported as failed without
-    /// bytes.
+    /// Has to be called immediately before sending, because the process may have been paused since
+    /// the claim for longer than the claim is valid. If it returns false, nothing may be sent, and
+    /// the dispatch has to be reported as failed without sent bytes.
     #[must_use]
     pub fn permit_send(&mut self, call: u32, now: Millis) -> bool {
         let is_current = call == self.call && matches!(self.state, State::Connecting);
         if !is_current || now >= self.spec.deadline {
             return false;
         }
-        assert!(!self.has_sent, "one dispatch of an action lets bytes leave");
+        assert!(
+            !self.has_sent,
+            "at most one dispatch of an action sends bytes"
+        );
         self.assert_claim_holds(now);
         self.has_sent = true;
         self.state = State::Sent {
@@ -132,7 +143,7 @@
         true
     }
 
-    /// Whether the action needs nothing more.
+    /// Returns whether the action is complete.
     pub fn is_ended(&self) -> bool {
         matches!(self.state, State::Ended)
     }
@@ -141,17 +152,20 @@
         if self.spec.key.is_none() || self.spec.deduplicates {
             return;
         }
-        assert!(self.claim_revision.is_some(), "bytes leave under a claim");
+        assert!(
+            self.claim_revision.is_some(),
+            "bytes are sent only under a claim"
+        );
         let age_ms = now.since(self.requested_at);
         assert!(
             age_ms + self.spec.outcome_kept_ms + MAX_PROCESS_PAUSE_MS <= self.life_ms,
-            "a claim outlives the dispatch by the longest pause and the time of keeping"
+            "a claim outlasts the dispatch by the maximum process pause and the outcome retention"
         );
     }
 
     fn key(&self) -> OnceKey {
         let key = self.spec.key.as_ref();
-        key.expect("the store is called for actions with a key only")
+        key.expect("the store is called only for actions with a key")
             .clone()
     }
 
@@ -171,7 +185,7 @@
     fn create(&mut self, now: Millis) -> Vec<Effect> {
         self.state = State::Claiming { reading: false };
         self.claim_calls += 1;
-        // A repeated create keeps the end of the first one's life.
+        // A repeated create keeps the expiry time of the first one.
         let life_ms = self.life_ms.saturating_sub(now.since(self.requested_at));
         vec![Effect::Create {
             call: self.next_call(),
@@ -190,47 +204,48 @@
         }]
     }
 
-    fn store(&mut self, answer: StoreAnswer, now: Millis) -> Vec<Effect> {
+    fn on_store_answer(&mut self, answer: StoreAnswer, now: Millis) -> Vec<Effect> {
         match &self.state {
             State::Claiming { reading } => {
                 let reading = *reading;
-                self.claim_answer(answer, reading, now)
+                self.on_claim_answer(answer, reading, now)
             }
-            State::Recording { .. } => self.outcome_answer(answer, now),
+            State::Recording { .. } => self.on_outcome_answer(answer, now),
             State::Idle | State::Connecting | State::Sent { .. } | State::Ended => Vec::new(),
         }
     }
 
-    fn claim_answer(&mut self, answer: StoreAnswer, reading: bool, now: Millis) -> Vec<Effect> {
+    fn on_claim_answer(&mut self, answer: StoreAnswer, reading: bool, now: Millis) -> Vec<Effect> {
         if !reading && answer == StoreAnswer::Lost {
             self.may_be_claimed = true;
         }
         if now >= self.spec.deadline {
-            self.note_claim(&answer);
+            self.record_claim(&answer);
             return self.refuse(NotRun::DeadlinePassed);
         }
         match answer {
             StoreAnswer::Written { .. } => {
-                self.note_claim(&answer);
+                self.record_claim(&answer);
                 self.dispatch(now)
             }
             StoreAnswer::Found { ref record, .. } if record.writer == self.writer => {
-                self.note_claim(&answer);
+                self.record_claim(&answer);
                 self.dispatch(now)
             }
-            StoreAnswer::Found { record, .. } => self.found(record, now),
+            StoreAnswer::Found { record, .. } => self.on_record_found(record, now),
             StoreAnswer::Unreadable => self.answer(Answer::MayHaveRun(MayHaveRun::Unreadable)),
-            StoreAnswer::NotSent => self.unclaimed(now),
+            StoreAnswer::NotSent => self.on_claim_failed(now),
             StoreAnswer::Absent | StoreAnswer::Lost if self.claim_calls >= MAX_CLAIM_CALLS => {
-                self.unclaimed(now)
+                self.on_claim_failed(now)
             }
-            // The same mark makes a repeated create harmless if the lost one still arrives.
+            // A repeated create has the same writer identifier, so the lost one does no harm if it still
+            // arrives.
             StoreAnswer::Absent => self.create(now),
             StoreAnswer::Lost => self.read_back(),
         }
     }
 
-    fn note_claim(&mut self, answer: &StoreAnswer) {
+    fn record_claim(&mut self, answer: &StoreAnswer) {
         let revision = match answer {
             StoreAnswer::Written { revision } => *revision,
             StoreAnswer::Found { record, revision } if record.writer == self.writer => *revision,
@@ -240,7 +255,7 @@
         self.claim_revision = Some(revision);
     }
 
-    fn found(&mut self, record: ActionRecord, now: Millis) -> Vec<Effect> {
+    fn on_record_found(&mut self, record: ActionRecord, now: Millis) -> Vec<Effect> {
         if record.request_sha256 != self.spec.request_sha256 {
             return self.answer(Answer::NotRun(NotRun::KeyReused));
         }
@@ -254,7 +269,7 @@
         }
     }
 
-    fn unclaimed(&mut self, now: Millis) -> Vec<Effect> {
+    fn on_claim_failed(&mut self, now: Millis) -> Vec<Effect> {
         if self.spec.deduplicates {
             return self.dispatch(now);
         }
@@ -273,22 +288,22 @@
         }]
     }
 
-    fn upstream(&mut self, event: UpstreamEvent, now: Millis) -> Vec<Effect> {
+    fn on_upstream_event(&mut self, event: UpstreamEvent, now: Millis) -> Vec<Effect> {
         match self.state {
             State::Connecting => match event {
                 UpstreamEvent::Failed {
                     may_have_sent_bytes: false,
-                } => self.not_connected(now),
-                _ => panic!("an upstream answers only after bytes were permitted to leave"),
+                } => self.on_not_connected(now),
+                _ => panic!("an upstream responds only after sending was permitted"),
             },
-            State::Sent { answered } => self.sent(event, answered, now),
+            State::Sent { answered } => self.on_event_after_send(event, answered, now),
             State::Idle | State::Claiming { .. } | State::Recording { .. } | State::Ended => {
                 Vec::new()
             }
         }
     }
 
-    fn not_connected(&mut self, now: Millis) -> Vec<Effect> {
+    fn on_not_connected(&mut self, now: Millis) -> Vec<Effect> {
         if now >= self.spec.deadline {
             return self.refuse(NotRun::DeadlinePassed);
         }
@@ -298,11 +313,16 @@
         self.dispatch(now)
     }
 
-    fn sent(&mut self, event: UpstreamEvent, answered: bool, now: Millis) -> Vec<Effect> {
+    fn on_event_after_send(
+        &mut self,
+        event: UpstreamEvent,
+        answered: bool,
+        now: Millis,
+    ) -> Vec<Effect> {
         match event {
-            // An answer that has begun proves that the action ran, whatever follows.
+            // A response that has begun proves that the action ran, whatever follows.
             UpstreamEvent::Refused | UpstreamEvent::Failed { .. } if self.has_relayed => self.end(),
-            // A caller that was told `may-have-run` hears nothing more.
+            // The caller gets no second answer.
             UpstreamEvent::Refused if answered => {
                 self.has_sent = false;
                 self.release()
@@ -318,7 +338,7 @@
                 if answered {
                     return self.release();
                 }
-                self.not_connected(now)
+                self.on_not_connected(now)
             }
             UpstreamEvent::Failed {
                 may_have_sent_bytes: true,
@@ -327,17 +347,21 @@
                 may_have_sent_bytes: true,
             } => self.answer(Answer::MayHaveRun(MayHaveRun::UpstreamLost)),
             UpstreamEvent::Head if answered => Vec::new(),
-            UpstreamEvent::Head => self.relay(),
+            UpstreamEvent::Head => self.begin_relay(),
             UpstreamEvent::Done(outcome) => {
-                let mut effects = if answered { Vec::new() } else { self.relay() };
+                let mut effects = if answered {
+                    Vec::new()
+                } else {
+                    self.begin_relay()
+                };
                 effects.extend(self.record_outcome(outcome, now));
                 effects
             }
         }
     }
 
-    fn relay(&mut self) -> Vec<Effect> {
-        self.note_answered();
+    fn begin_relay(&mut self) -> Vec<Effect> {
+        self.mark_answered();
         self.has_relayed = true;
         self.state = State::Sent { answered: true };
         vec![Effect::Relay]
@@ -356,13 +380,13 @@
 
     fn write_outcome(&mut self, not_before: Millis) -> Vec<Effect> {
         let State::Recording { outcome, attempts } = &mut self.state else {
-            panic!("an outcome is written while recording");
+            panic!("an outcome is written only in the recording state");
         };
         *attempts += 1;
         let outcome = outcome.clone();
         let revision = self
             .claim_revision
-            .expect("an outcome is written under a claim");
+            .expect("an outcome is written only under a claim");
         vec![Effect::WriteOutcome {
             call: self.next_call(),
             key: self.key(),
@@ -372,7 +396,7 @@
         }]
     }
 
-    fn outcome_answer(&mut self, answer: StoreAnswer, now: Millis) -> Vec<Effect> {
+    fn on_outcome_answer(&mut self, answer: StoreAnswer, now: Millis) -> Vec<Effect> {
         let State::Recording { attempts, .. } = &self.state else {
             return Vec::new();
         };
@@ -381,27 +405,27 @@
             return self.end();
         }
         let doublings = (*attempts - 1).min(16);
-        let longest_ms = (OUTCOME_RETRY_FIRST_MS << doublings).min(OUTCOME_RETRY_LONGEST_MS);
-        self.write_outcome(now.plus(self.jittered(longest_ms)))
+        let max_ms = (OUTCOME_RETRY_MIN_MS << doublings).min(OUTCOME_RETRY_MAX_MS);
+        self.write_outcome(now.plus(self.jittered(max_ms)))
     }
 
-    // Between half of `longest_ms` and all of it, by the random mark, so that instances do not
-    // come back to a store in step.
-    fn jittered(&self, longest_ms: u64) -> u64 {
-        let half_ms = longest_ms / 2;
+    // Returns a delay between `max_ms / 2` and `max_ms`, derived from the random writer identifier,
+    // so that instances do not retry simultaneously when the store recovers.
+    fn jittered(&self, max_ms: u64) -> u64 {
+        let half_ms = max_ms / 2;
         let fraction = u64::from(u16::from_le_bytes([self.writer.0[0], self.writer.0[1]]));
         half_ms + half_ms * fraction / u64::from(u16::MAX)
     }
 
-    fn deadline_passed(&mut self) -> Vec<Effect> {
+    fn on_deadline_passed(&mut self) -> Vec<Effect> {
         match self.state {
             State::Idle | State::Claiming { .. } | State::Connecting => {
                 self.may_be_claimed |= matches!(self.state, State::Claiming { reading: false });
                 self.refuse(NotRun::DeadlinePassed)
             }
-            // The outcome is still awaited, for a repeat of the request.
+            // The outcome is still awaited, so that it can be replayed if the request is repeated.
             State::Sent { answered: false } => {
-                self.note_answered();
+                self.mark_answered();
                 self.state = State::Sent { answered: true };
                 vec![Effect::Answer(Answer::MayHaveRun(
                     MayHaveRun::DeadlinePassed,
@@ -411,7 +435,7 @@
         }
     }
 
-    fn caller_gone(&mut self) -> Vec<Effect> {
+    fn on_caller_gone(&mut self) -> Vec<Effect> {
         match self.state {
             State::Idle | State::Claiming { .. } | State::Connecting => {
                 self.may_be_claimed |= matches!(self.state, State::Claiming { reading: false });
@@ -425,31 +449,34 @@
         }
     }
 
-    fn note_answered(&mut self) {
-        assert!(!self.has_answered, "a caller is answered once");
+    fn mark_answered(&mut self) {
+        assert!(!self.has_answered, "a caller is answered only once");
         self.has_answered = true;
     }
 
     fn refuse(&mut self, reason: NotRun) -> Vec<Effect> {
         assert!(
             !self.has_sent,
-            "`not-run` is answered only when no byte left"
+            "`not-run` is reported only if no byte was sent"
         );
         let mut effects = vec![Effect::Answer(Answer::NotRun(reason))];
-        self.note_answered();
+        self.mark_answered();
         effects.extend(self.release());
         effects
     }
 
     fn answer(&mut self, answer: Answer) -> Vec<Effect> {
-        self.note_answered();
+        self.mark_answered();
         self.state = State::Ended;
         vec![Effect::Answer(answer), Effect::End]
     }
 
-    // Ends an action that sent nothing, and frees its key for a repeat.
+    // Ends an action that sent nothing, and releases its claim so that the request can be repeated.
     fn release(&mut self) -> Vec<Effect> {
-        assert!(!self.has_sent, "a claim is released only when no byte left");
+        assert!(
+            !self.has_sent,
+            "a claim is released only if no byte was sent"
+        );
         self.state = State::Ended;
         if !self.may_be_claimed {
             return vec![Effect::End];
--- a/crates/core/src/once/effect.rs
+++ b/crates/core/src/once/effect.rs
@@ -1,74 +1,74 @@
-//! Events that an action takes and effects that it asks for.
+//! Input events and effects of the action state machine.
 
 use super::{ActionRecord, OnceKey, Outcome};
 use crate::time::Millis;
 
-/// Whether a request ran at an upstream, as told to the caller.
+/// Execution status of a request at the upstreams, as reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Execution {
     /// No upstream ran the request, and none will.
     NotRun,
-    /// An upstream may have run the request or may still run it.
+    /// An upstream may have run the request, or may still run it.
     MayHaveRun,
     /// An upstream ran the request.
     Ran,
 }
 
-/// Answer of the store to a create, a read or the write of an outcome.
+/// Result of a store call: a create, a read or the write of an outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreAnswer {
     /// The write took effect.
     Written {
-        /// Revision of the store at which the key was written.
+        /// Store revision at which the key was written.
         revision: u64,
     },
-    /// The key is present; the write, if it was one, had no effect.
+    /// The key exists; a write had no effect.
     Found {
-        /// Record under the key.
+        /// Record stored under the key.
         record: ActionRecord,
-        /// Revision of the store at which the key was last written.
+        /// Store revision at which the key was last written.
         revision: u64,
     },
-    /// The key is present with a value that is not a record.
+    /// The key exists with a value that is not an action record.
     Unreadable,
-    /// The key is absent; the write of an outcome, if it was one, had no effect.
+    /// The key does not exist; the write of an outcome had no effect.
     Absent,
-    /// The call may or may not have taken effect: it timed out or its connection broke.
+    /// Unknown whether the call took effect: it timed out or its connection broke.
     Lost,
-    /// The call surely had no effect: no connection, or the budget of calls is exhausted.
+    /// The call had no effect: there was no connection, or the call budget is exhausted.
     NotSent,
 }
 
-/// What becomes of a dispatch.
+/// Event of a dispatch to an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpstreamEvent {
-    /// The dispatch ended before the whole answer was there.
+    /// The dispatch failed before the whole response had arrived.
     Failed {
         /// Whether any byte of the request may have reached the upstream.
         may_have_sent_bytes: bool,
     },
-    /// The upstream itself says that it did not run the request.
+    /// The upstream reported that it did not run the request.
     Refused,
-    /// The head of the answer arrived; the answer is relayed from now on.
+    /// The head of the response arrived; the response can be relayed from now on.
     Head,
-    /// The whole answer arrived.
+    /// The whole response arrived.
     Done(Outcome),
 }
 
-/// An event that an action takes.
+/// Input event of an action.
 ///
-/// Events carry the number of the call that they answer. Answers to earlier calls, which arrive
+/// Events carry the number of the call that they belong to. Results of earlier calls, which arrive
 /// late or twice, are ignored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// The store answered, or the call ended without an answer.
+    /// A store call completed or failed.
     Store {
         /// Number of the call.
         call: u32,
-        /// The answer.
+        /// Result of the call.
         answer: StoreAnswer,
     },
-    /// News of a dispatch.
+    /// A dispatch to an upstream progressed, completed or failed.
     Upstream {
         /// Number of the call.
         call: u32,
@@ -77,55 +77,55 @@
     },
     /// The deadline of the request has passed.
     DeadlinePassed,
-    /// The caller has gone; there is nobody to answer.
+    /// The caller has disconnected; no response is needed.
     CallerGone,
 }
 
-/// Why a request was not run.
+/// Reason why a request was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NotRun {
-    /// The claim could not be made: the store is down, slow, or the budget of calls is exhausted
+    /// The claim could not be written: the store is down or slow, or the call budget is exhausted
     /// (503).
     StoreUnavailable,
     /// No upstream could be reached, or the upstream refused the request (503).
     UpstreamUnavailable,
     /// The deadline passed before anything was sent (504).
     DeadlinePassed,
-    /// The same idempotency key came with another request (422).
+    /// The idempotency key was used for a different request before (422).
     KeyReused,
 }
 
-/// Why it is unknown whether a request ran.
+/// Reason why it is unknown whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MayHaveRun {
-    /// The dispatch ended after bytes had left (502).
+    /// The dispatch failed after bytes of the request may have been sent (502).
     UpstreamLost,
-    /// The deadline passed after bytes had left (504).
+    /// The deadline passed after bytes of the request may have been sent (504).
     DeadlinePassed,
-    /// A request with the same key is running, or ended without a known outcome (409).
+    /// A request with the same key is in progress, or ended without a recorded outcome (409).
     Unfinished,
-    /// The store holds something under the key that this version cannot read (500).
+    /// The value stored under the key cannot be decoded by this version (500).
     Unreadable,
 }
 
-/// The final answer to the caller, other than a relayed one.
+/// Final answer to the caller that is not a relayed response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// The request did not run.
     NotRun(NotRun),
     /// The request may have run.
     MayHaveRun(MayHaveRun),
-    /// The request ran before; this is its answer.
+    /// The request ran before; this is its stored response.
     Replay(Outcome),
-    /// The request ran before; its answer was too long to keep (409).
+    /// The request ran before; its response body was too long to store (409).
     ReplayUnavailable {
-        /// Status of the first answer.
+        /// HTTP status of the original response.
         status: u16,
     },
 }
 
 impl Answer {
-    /// Whether the request ran.
+    /// Returns the execution status that the answer reports.
     pub fn run(&self) -> Execution {
         match self {
             Self::NotRun(_) => Execution::NotRun,
@@ -135,10 +135,10 @@
     }
 }
 
-/// What an action asks for.
+/// Operation that the caller of the state machine has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Create the key unless it is present; return the present record if it is.
+    /// Create the key if it does not exist; otherwise return the existing record.
     Create {
         /// Number of the call.
         call: u32,
@@ -146,7 +146,7 @@
         key: OnceKey,
         /// Value to write.
         record: ActionRecord,
-        /// Time for which the record has to live from now on, in milliseconds.
+        /// Minimum lifetime of the record from now, in milliseconds.
         life_ms: u64,
     },
     /// Read the key on a fresh connection.
@@ -163,9 +163,9 @@
         /// No byte may be sent at or after this time.
         send_before: Millis,
     },
-    /// Begin to relay the answer of the upstream to the caller, as run.
+    /// Start relaying the upstream's response to the caller, with execution status `ran`.
     Relay,
-    /// Write the outcome if the key was last written at `revision`, keeping its lease.
+    /// Write the outcome if the key was last written at `revision`; the key keeps its lease.
     WriteOutcome {
         /// Number of the call.
         call: u32,
@@ -173,20 +173,20 @@
         key: OnceKey,
         /// Value to write.
         record: ActionRecord,
-        /// Revision of the claim.
+        /// Store revision of the claim.
         revision: u64,
-        /// Time before which the call has to wait.
+        /// Earliest time of the call.
         not_before: Millis,
     },
-    /// Delete the key if it still holds exactly `record`; the answer does not matter.
+    /// Delete the key if its value still equals `record`; the result is not reported back.
     Release {
         /// Key to delete.
         key: OnceKey,
-        /// Value that the key has to hold.
+        /// Value that the key must have to be deleted.
         record: ActionRecord,
     },
-    /// Answer the caller.
+    /// Send the answer to the caller.
     Answer(Answer),
-    /// The action needs nothing more.
+    /// The action is complete.
     End,
 }
--- a/crates/core/src/once/key.rs
+++ b/crates/core/src/once/key.rs
@@ -1,13 +1,13 @@
-//! Keys of records and hashes of requests.
+//! Store keys of action records, and request hashes.
 
 use crate::id::AccountId;
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// Longest idempotency key that a caller may send, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 pub const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 
-/// Why an idempotency key is not accepted (400).
+/// Error for an invalid idempotency key (HTTP status 400).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyError;
 
@@ -22,32 +22,33 @@
 
 impl std::error::Error for KeyError {}
 
-/// Key of the store under which the record of one action stands.
+/// Store key of the record of one action.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OnceKey(String);
 
 impl OnceKey {
-    /// The key `once/<account>/<idempotency key>`.
+    /// Builds the key `once/<account>/<idempotency key>`.
     ///
     /// # Errors
     ///
-    /// The idempotency key has to be 1 to [`MAX_IDEMPOTENCY_KEY_BYTES`] visible ASCII characters.
+    /// Returns an error unless the idempotency key consists of 1 to [`MAX_IDEMPOTENCY_KEY_BYTES`]
+    /// visible ASCII characters.
     pub fn new(account: &AccountId, idempotency_key: &str) -> Result<Self, KeyError> {
-        let is_length_right = (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&idempotency_key.len());
+        let is_length_valid = (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&idempotency_key.len());
         let is_visible = idempotency_key.bytes().all(|byte| byte.is_ascii_graphic());
-        if !is_length_right || !is_visible {
+        if !is_length_valid || !is_visible {
             return Err(KeyError);
         }
         Ok(Self(format!("once/{account}/{idempotency_key}")))
     }
 
-    /// The key as text.
+    /// Returns the key as a string.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// Hash of what makes two requests the same action: method, path with query, and body.
+/// Hashes method, path with query, and body. Requests with equal hashes are the same action.
 pub fn request_hash(method: &str, path_and_query: &str, body: &[u8]) -> [u8; 32] {
     let mut hasher = Sha256::new();
     for part in [method.as_bytes(), path_and_query.as_bytes(), body] {
--- a/crates/core/src/once/lease.rs
+++ b/crates/core/src/once/lease.rs
@@ -1,20 +1,20 @@
-//! Leases of the store, shared between the records of many actions.
+//! Store leases shared by the records of many actions.
 
 use crate::time::Millis;
 
-/// Time during which new records hang on the same lease, in milliseconds.
+/// Time during which new records are attached to the same lease, in milliseconds.
 pub const LEASE_SHARING_MS: u64 = 60_000;
 
-/// Identifier of a lease of the store.
+/// Identifier of a store lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseId(pub i64);
 
-/// Which lease a new record hangs on.
+/// Lease to attach a new record to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseChoice {
-    /// A lease that lives long enough.
+    /// An existing lease that lasts long enough.
     Use(LeaseId),
-    /// A new lease has to be granted with this time to live, then reported to
+    /// A new lease is needed: request it with this time to live, then report it to
     /// [`LeasePool::granted`].
     Grant {
         /// Time to live, in seconds.
@@ -28,17 +28,17 @@
     ends_at: Millis,
 }
 
-/// The leases that an instance holds for records, one for each length of life in use.
+/// Leases that an instance holds for action records, one per record lifetime in use.
 ///
-/// Leases are never renewed: a record lives for at least its own life and at most
-/// [`LEASE_SHARING_MS`] and a second longer. One grant then serves all actions of a minute.
+/// Leases are never renewed. A record exists for at least its requested lifetime and for at most
+/// [`LEASE_SHARING_MS`] plus one second longer, so that one grant serves all actions of one minute.
 #[derive(Clone, Debug, Default)]
 pub struct LeasePool {
     leases: Vec<Lease>,
 }
 
 impl LeasePool {
-    /// The lease for a record that has to live for `life_ms` from `now` on.
+    /// Chooses the lease for a record that has to exist for `life_ms` from `now`.
     pub fn choose(&self, life_ms: u64, now: Millis) -> LeaseChoice {
         let needed_until = now.plus(life_ms);
         let longest_useful = needed_until.plus(LEASE_SHARING_MS + 1_000);
@@ -51,10 +51,10 @@
         }
     }
 
-    /// Takes note of a lease whose grant was requested at `requested_at`.
+    /// Adds a lease whose grant was requested at `requested_at`, and drops expired leases.
     ///
-    /// Its life is counted from the request, so that it never seems longer than it is. Leases that
-    /// have ended are dropped.
+    /// The time to live is counted from the request, so that the lease is never assumed to last
+    /// longer than it does.
     pub fn granted(&mut self, id: LeaseId, ttl_s: u64, requested_at: Millis) {
         self.leases.retain(|lease| lease.ends_at > requested_at);
         self.leases.push(Lease {
@@ -63,7 +63,7 @@
         });
     }
 
-    /// Drops a lease that the store says it does not know.
+    /// Removes a lease that the store reports as unknown.
     pub fn forget(&mut self, id: LeaseId) {
         self.leases.retain(|lease| lease.id != id);
     }
--- a/crates/core/src/once/mod.rs
+++ b/crates/core/src/once/mod.rs
@@ -1,13 +1,13 @@
 //! At-most-once execution of non-idempotent actions.
 //!
-//! An action that carries an idempotency key is claimed in the store, by a create that only one
-//! writer can win, before anything is sent to an upstream. [`Action`] is the state machine of one
-//! such request at one instance: it takes events as [`Input`] values and returns [`Effect`] values
-//! for the caller of this module to carry out. The store holds one [`ActionRecord`] for each key.
+//! An action with an idempotency key is claimed in the store, by a conditional create that succeeds
+//! for one writer only, before anything is sent to an upstream. [`Action`] is the state machine of
+//! one such request at one instance: it takes events as [`Input`] values and returns [`Effect`]
+//! values for the calling module to execute. The store holds one [`ActionRecord`] per key.
 //!
-//! In the ordinary case an action costs two writes of the store and no read: the create, which
-//! returns the present record when it loses, and the write of the outcome. Both hang on a lease
-//! shared by all actions of about a minute ([`LeasePool`]).
+//! Without faults an action costs two writes to the store and no read: the create, which returns
+//! the existing record if there is one, and the write of the outcome. The record is attached to a
+//! lease that is shared by all actions of about one minute ([`LeasePool`]).
 
 mod action;
 mod effect;
--- a/crates/core/src/once/record.rs
+++ b/crates/core/src/once/record.rs
@@ -1,23 +1,23 @@
-//! The record of one action in the store.
+//! Stored record of one action.
 
 use serde::{Deserialize, Serialize};
 use serde_with::{hex::Hex, serde_as};
 use std::fmt;
 
-/// Longest body that is kept for repeats, in bytes. The store holds values up to one megabyte,
-/// and a body in hexadecimal digits doubles.
+/// Maximum response body that is stored for replays, in bytes. The store accepts values of up to one
+/// megabyte, and hexadecimal encoding doubles the size of a body.
 pub const MAX_OUTCOME_BYTES: usize = 64 * 1_024;
 
-/// Random mark that tells one writer's create from every other one's.
+/// Random identifier of the writer of a record.
 ///
-/// A mark is drawn for each [`super::Action`], so that an instance that finds its own mark in the
-/// store knows that its create took effect although the answer was lost.
+/// Each [`super::Action`] has its own identifier. An instance that finds that identifier in the
+/// store therefore knows that its create took effect although the response was lost.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WriterId(#[serde_as(as = "Hex")] pub [u8; 16]);
 
-/// A kept body.
+/// Stored body of a response.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoredBody {
@@ -27,13 +27,13 @@
     /// Any other body.
     #[serde(rename = "x")]
     Binary(#[serde_as(as = "Hex")] Vec<u8>),
-    /// The body was longer than [`MAX_OUTCOME_BYTES`] and is not kept.
+    /// The body was longer than [`MAX_OUTCOME_BYTES`] and is not stored.
     #[serde(rename = "l")]
     TooLong,
 }
 
 impl StoredBody {
-    /// The body to keep of an answer of `bytes`.
+    /// Converts a response body to its stored form.
     pub fn new(bytes: Vec<u8>) -> Self {
         if bytes.len() > MAX_OUTCOME_BYTES {
             return Self::TooLong;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The bytes of the body, or none if it is not kept.
+    /// Returns the bytes of the body, or none if it was too long to store.
     pub fn bytes(&self) -> Option<&[u8]> {
         match self {
             Self::Text(text) => Some(text.as_bytes()),
@@ -54,7 +54,7 @@
     }
 }
 
-/// The answer of an upstream, kept for repeats of the same request.
+/// Response of an upstream, stored to be replayed when the same request is repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
     /// HTTP status.
@@ -68,10 +68,10 @@
     pub body: StoredBody,
 }
 
-/// Value of the store under the key of an action.
+/// Value stored under the key of an action.
 ///
-/// A record without an outcome is a claim: the action may have run, may be running, or may never
-/// have been sent.
+/// A record without an outcome is a claim: the action may have run, may still be running, or may
+/// never have been sent.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActionRecord {
@@ -82,35 +82,35 @@
     #[serde_as(as = "Hex")]
     #[serde(rename = "h")]
     pub request_sha256: [u8; 32],
-    /// Outcome, once the upstream has answered in full.
+    /// Outcome, present once the upstream's whole response has arrived.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<Outcome>,
 }
 
-/// A value of the store that is not a record.
+/// Error for a stored value that is not an action record.
 #[derive(Debug)]
 pub struct RecordError(serde_json::Error);
 
 impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "not a record of an action: {}", self.0)
+        write!(f, "stored value is not an action record: {}", self.0)
     }
 }
 
 impl std::error::Error for RecordError {}
 
 impl ActionRecord {
-    /// The record as stored.
+    /// Encodes the record as it is stored.
     pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("a record has only text keys")
     }
 
-    /// Reads a stored record.
+    /// Decodes a stored record.
     ///
     /// # Errors
     ///
-    /// Fails on a value that this version did not write; the caller reports it to the action as
-    /// [`super::StoreAnswer::Unreadable`].
+    /// Returns an error if the value does not have the format of this version. The caller reports
+    /// that to the action as [`super::StoreAnswer::Unreadable`].
     pub fn from_json(bytes: &[u8]) -> Result<Self, RecordError> {
         serde_json::from_slice(bytes).map_err(RecordError)
     }
--- a/crates/core/src/order/issuer.rs
+++ b/crates/core/src/order/issuer.rs
@@ -1,4 +1,4 @@
-//! Bringing engines into the state that they are to be in.
+//! Reconciliation of engines with their target state.
 
 use super::lease::{FencingNumber, MAX_ORDER_LATENCY_MS};
 use crate::id::{ModelId, UpstreamId, VersionId};
@@ -6,62 +6,62 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time after an order at which the engine is read back, in milliseconds.
+/// Delay between an accepted or failed call and the next reading of the engine, in milliseconds.
 pub const READ_BACK_DELAY_MS: u64 = 1_000;
-/// Time between two readings of an engine that is as it is to be, in milliseconds.
+/// Time between two readings of an engine that is in its target state, in milliseconds.
 pub const REREAD_INTERVAL_MS: u64 = 30_000;
 
-/// What an engine does.
+/// Role of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Reads prompts and generates tokens.
+    /// Prefills prompts and generates tokens.
     Serve,
-    /// Reads prompts and hands the KV cache on.
+    /// Prefills prompts and exports the KV cache.
     Prefill,
     /// Generates tokens from an imported KV cache.
     Decode,
-    /// Stands by without work.
+    /// Idle in reserve.
     Standby,
 }
 
-/// The state that an engine is to be in.
+/// Target state of an engine; also used for its actual state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EngineTarget {
-    /// Model to have loaded.
+    /// Loaded model.
     pub model: ModelId,
-    /// Version to have loaded.
+    /// Loaded version of the model.
     pub version: VersionId,
-    /// Adapters to have loaded.
+    /// Loaded adapters.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub adapters: BTreeSet<String>,
-    /// Role to have.
+    /// Role of the engine.
     pub role: Role,
 }
 
 /// An order to one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The state that the engine is to be in.
+    /// Target state of the engine.
     pub target: EngineTarget,
-    /// Number of the issuer's lease.
+    /// Fencing number of the issuer's lease.
     pub fencing_number: FencingNumber,
 }
 
-/// Answer of an engine.
+/// Result of a call to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineAnswer {
-    /// The state that the engine is in.
+    /// Actual state of the engine.
     State(EngineTarget),
-    /// The engine took the order.
+    /// The engine accepted the order.
     Accepted,
-    /// The engine has seen a higher fencing number.
+    /// The engine refused the order because it has seen a higher fencing number.
     Fenced,
-    /// The call failed; an order may have arrived or may still arrive.
+    /// The call failed; an order may have arrived, or may still arrive.
     Lost,
 }
 
-/// What the issuer asks for.
+/// Call that the user of [`Issuer`] has to make.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IssuerEffect {
     /// Read the state of the engine.
@@ -71,19 +71,20 @@
         /// Engine to read.
         upstream: UpstreamId,
     },
-    /// Send the order with the number that [`super::OrderLease::permit_send`] gives right then.
+    /// Send the order with the fencing number that [`super::OrderLease::permit_send`] returns
+    /// immediately before sending.
     Send {
         /// Number of the call.
         call: u64,
-        /// Engine to order.
+        /// Engine that receives the order.
         upstream: UpstreamId,
-        /// The state that the engine is to be in.
+        /// Target state of the engine.
         target: EngineTarget,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Step {
+enum CallPhase {
     Idle,
     Reading,
     Sending,
@@ -94,14 +95,14 @@
     target: EngineTarget,
     checks_fencing: bool,
     actual: Option<EngineTarget>,
-    step: Step,
+    phase: CallPhase,
     call: u64,
-    next_at: Millis,
-    // Until then an order whose answer was lost may still arrive.
-    settles_at: Millis,
+    next_call_at: Millis,
+    // Time until which an order whose result is unknown may still arrive.
+    order_arrives_by: Millis,
 }
 
-/// The issuer of orders of one region; of use only while it holds the lease.
+/// Issuer of the orders of one region; used only while its instance holds the lease.
 #[derive(Clone, Debug, Default)]
 pub struct Issuer {
     engines: BTreeMap<UpstreamId, Engine>,
@@ -110,7 +111,7 @@
 }
 
 impl Issuer {
-    /// Sets the state that an engine is to be in.
+    /// Sets the target state of an engine.
     pub fn set_target(
         &mut self,
         upstream: &UpstreamId,
@@ -120,80 +121,81 @@
         if let Some(engine) = self.engines.get_mut(upstream) {
             engine.target = target;
             engine.checks_fencing = checks_fencing;
-            engine.next_at = Millis(0);
+            engine.next_call_at = Millis(0);
             return;
         }
         let engine = Engine {
             target,
             checks_fencing,
             actual: None,
-            step: Step::Idle,
+            phase: CallPhase::Idle,
             call: 0,
-            next_at: Millis(0),
-            settles_at: Millis(0),
+            next_call_at: Millis(0),
+            order_arrives_by: Millis(0),
         };
         self.engines.insert(upstream.clone(), engine);
     }
 
-    /// Forgets engines that are not in `upstreams`.
+    /// Removes all engines that are not in `upstreams`.
     pub fn retain(&mut self, upstreams: &BTreeSet<UpstreamId>) {
         self.engines
             .retain(|upstream, _| upstreams.contains(upstream));
     }
 
-    /// Forgets what was read and in flight, for a new term of the lease.
+    /// Discards actual states and outstanding calls at the start of a new lease term.
     pub fn begin_term(&mut self, now: Millis) {
         self.is_fenced = false;
         for engine in self.engines.values_mut() {
             engine.actual = None;
-            engine.step = Step::Idle;
+            engine.phase = CallPhase::Idle;
             engine.call = 0;
-            engine.next_at = now;
+            engine.next_call_at = now;
         }
     }
 
-    /// Whether an engine has refused an order for a higher fencing number; the lease is lost.
+    /// Returns whether an engine has refused an order because of a higher fencing number, which means
+    /// that the lease is lost.
     pub fn is_fenced(&self) -> bool {
         self.is_fenced
     }
 
-    /// Whether the engine was last seen as it is to be.
+    /// Returns whether the engine was in its target state when it was last read.
     pub fn is_settled(&self, upstream: &UpstreamId) -> bool {
         let engine = self.engines.get(upstream);
         engine.is_some_and(|engine| engine.actual.as_ref() == Some(&engine.target))
     }
 
-    /// Whether the engine checks fencing numbers.
+    /// Returns whether the engine checks fencing numbers.
     pub fn checks_fencing(&self, upstream: &UpstreamId) -> bool {
         self.engines
             .get(upstream)
             .is_some_and(|engine| engine.checks_fencing)
     }
 
-    /// The next calls, while the lease is held.
+    /// Returns the calls that are due. Call it only while the lease is held.
     pub fn tick(&mut self, now: Millis) -> Vec<IssuerEffect> {
         let mut effects = Vec::new();
         if self.is_fenced {
             return effects;
         }
         for (upstream, engine) in &mut self.engines {
-            if engine.step != Step::Idle || now < engine.next_at {
+            if engine.phase != CallPhase::Idle || now < engine.next_call_at {
                 continue;
             }
             self.call += 1;
             engine.call = self.call;
             let is_known = engine.actual.is_some();
-            let is_right = engine.actual.as_ref() == Some(&engine.target);
-            if is_known && !is_right && now >= engine.settles_at {
-                engine.step = Step::Sending;
-                engine.settles_at = now.plus(MAX_ORDER_LATENCY_MS);
+            let is_on_target = engine.actual.as_ref() == Some(&engine.target);
+            if is_known && !is_on_target && now >= engine.order_arrives_by {
+                engine.phase = CallPhase::Sending;
+                engine.order_arrives_by = now.plus(MAX_ORDER_LATENCY_MS);
                 effects.push(IssuerEffect::Send {
                     call: engine.call,
                     upstream: upstream.clone(),
                     target: engine.target.clone(),
                 });
             } else {
-                engine.step = Step::Reading;
+                engine.phase = CallPhase::Reading;
                 effects.push(IssuerEffect::Read {
                     call: engine.call,
                     upstream: upstream.clone(),
@@ -203,51 +205,53 @@
         effects
     }
 
-    /// Takes the answer of an engine to call `call`.
+    /// Handles the result of call `call` to an engine.
     pub fn step(&mut self, upstream: &UpstreamId, call: u64, answer: EngineAnswer, now: Millis) {
         let Some(engine) = self.engines.get_mut(upstream) else {
             return;
         };
-        if call != engine.call || engine.step == Step::Idle {
+        if call != engine.call || engine.phase == CallPhase::Idle {
             return;
         }
-        let was_sending = engine.step == Step::Sending;
-        engine.step = Step::Idle;
-        engine.next_at = now.plus(READ_BACK_DELAY_MS);
+        let was_sending = engine.phase == CallPhase::Sending;
+        engine.phase = CallPhase::Idle;
+        engine.next_call_at = now.plus(READ_BACK_DELAY_MS);
         match answer {
             EngineAnswer::State(actual) => {
-                let is_right = actual == engine.target;
+                let is_on_target = actual == engine.target;
                 engine.actual = Some(actual);
-                let delay_ms = if is_right { REREAD_INTERVAL_MS } else { 0 };
-                engine.next_at =
-                    now.plus(delay_ms)
-                        .max(if is_right { now } else { engine.settles_at });
+                let delay_ms = if is_on_target { REREAD_INTERVAL_MS } else { 0 };
+                engine.next_call_at = now.plus(delay_ms).max(if is_on_target {
+                    now
+                } else {
+                    engine.order_arrives_by
+                });
             }
             EngineAnswer::Accepted => {
                 assert!(was_sending, "an engine accepts only orders");
                 engine.actual = None;
-                engine.settles_at = now;
+                engine.order_arrives_by = now;
             }
             EngineAnswer::Fenced => self.is_fenced = true,
-            // A later order waits until this one can no longer arrive.
+            // The next order has to wait until this one can no longer arrive.
             EngineAnswer::Lost => {
                 engine.actual = None;
                 if was_sending {
-                    engine.settles_at = now.plus(MAX_ORDER_LATENCY_MS);
+                    engine.order_arrives_by = now.plus(MAX_ORDER_LATENCY_MS);
                 }
             }
         }
     }
 
-    /// Takes note that an order was not sent, for want of a permit.
+    /// Reports that an order was not sent because the lease did not permit it.
     pub fn not_sent(&mut self, upstream: &UpstreamId, call: u64, now: Millis) {
         let Some(engine) = self.engines.get_mut(upstream) else {
             return;
         };
-        if call == engine.call && engine.step == Step::Sending {
-            engine.step = Step::Idle;
-            engine.settles_at = now;
-            engine.next_at = now.plus(READ_BACK_DELAY_MS);
+        if call == engine.call && engine.phase == CallPhase::Sending {
+            engine.phase = CallPhase::Idle;
+            engine.order_arrives_by = now;
+            engine.next_call_at = now.plus(READ_BACK_DELAY_MS);
         }
     }
 }
--- a/crates/core/src/order/lease.rs
+++ b/crates/core/src/order/lease.rs
@@ -1,4 +1,4 @@
-//! The lease under which one instance of a region issues orders.
+//! Lease that allows one instance per region to issue orders.
 
 use crate::id::{InstanceId, RegionId};
 use crate::once::WriterId;
@@ -7,80 +7,81 @@
 
 /// Time to live of the lease, in milliseconds.
 pub const LEASE_TTL_MS: u64 = 30_000;
-/// Longest time for which an order travels before it has arrived or never will, in milliseconds.
-/// The call that carries it has this deadline.
+/// Maximum time between sending an order and its arrival, in milliseconds. The call that carries the
+/// order has this deadline.
 pub const MAX_ORDER_LATENCY_MS: u64 = 5_000;
-/// Pause between the last look at the clock and the sending of an order that a new holder allows
-/// for, in milliseconds.
+/// Maximum process pause between the last clock reading and the sending of an order that a new
+/// holder allows for, in milliseconds.
 pub const PAUSE_ALLOWANCE_MS: u64 = 20_000;
-// Clocks drift by at most this many parts per million.
-const DRIFT_PPM: u64 = 1_000;
-const RENEW_AFTER_MS: u64 = LEASE_TTL_MS / 3;
-const RETRY_MS: u64 = 2_000;
+// Maximum clock drift, in parts per million.
+const MAX_CLOCK_DRIFT_PPM: u64 = 1_000;
+const RENEWAL_INTERVAL_MS: u64 = LEASE_TTL_MS / 3;
+const ACQUIRE_RETRY_MS: u64 = 2_000;
 
-/// Number that orders carry; an engine that checks it refuses a lower one than it has seen.
+/// Fencing number of an order; an engine that checks it refuses a number lower than the highest it
+/// has seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct FencingNumber(pub u64);
 
-/// Key of the store that the issuer of `region` holds.
+/// Returns the store key of the order lease of `region`.
 pub fn order_lease_key(region: &RegionId) -> String {
     format!("orders/{region}")
 }
 
-/// Value of the store under [`order_lease_key`].
+/// Value stored under [`order_lease_key`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
     /// Instance that issues orders.
     pub holder: InstanceId,
-    /// Mark of this attempt to become the holder.
+    /// Random identifier of this attempt to acquire the lease.
     pub writer: WriterId,
 }
 
-/// Answer of the store.
+/// Result of a store call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAnswer {
-    /// The create or the renewal took effect. `revision` is that of the key.
+    /// The create or the renewal took effect.
     Written {
-        /// Revision at which the key was created.
+        /// Store revision at which the key was created.
         revision: u64,
     },
-    /// The key is present; a create had no effect.
+    /// The key exists; a create had no effect.
     Found {
-        /// Record under the key.
+        /// Record stored under the key.
         record: LeaseRecord,
-        /// Revision at which the key was created.
+        /// Store revision at which the key was created.
         revision: u64,
     },
-    /// The key is absent, or the store does not know the lease any more.
+    /// The key does not exist, or the lease has expired in the store.
     Absent,
-    /// The call may or may not have taken effect.
+    /// Unknown whether the call took effect.
     Lost,
-    /// The call surely had no effect.
+    /// The call had no effect.
     NotSent,
 }
 
-/// What the lease asks for.
+/// Store call that the user of [`OrderLease`] has to make.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseEffect {
-    /// Grant a lease of [`LEASE_TTL_MS`] and create the key under it, unless it is present; return
-    /// the present record if it is.
+    /// Grant a lease of [`LEASE_TTL_MS`] and create the key under it if it does not exist; otherwise
+    /// return the existing record.
     Create {
         /// Number of the call.
         call: u32,
         /// Value to write.
         record: LeaseRecord,
-        /// Time before which the call has to wait.
+        /// Earliest time of the call.
         not_before: Millis,
     },
     /// Read the key on a fresh connection.
     Read {
         /// Number of the call.
         call: u32,
-        /// Time before which the call has to wait.
+        /// Earliest time of the call.
         not_before: Millis,
     },
-    /// Keep the lease of the key alive. The key is not written again.
+    /// Renew the lease of the key without writing the key again.
     Renew {
         /// Number of the call.
         call: u32,
@@ -89,8 +90,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    Out,
-    // The create was requested at the first time given.
+    NotHeld,
+    // Waiting for the result of a create that was requested at `requested_at`, or of a read after it.
     Acquiring {
         requested_at: Millis,
     },
@@ -101,86 +102,87 @@
     },
 }
 
-/// One instance's part in the lease of its region.
+/// State machine of one instance that competes for the order lease of its region.
 #[derive(Clone, Debug)]
 pub struct OrderLease {
     holder: InstanceId,
     state: State,
     call: u32,
     called_at: Millis,
-    is_waiting: bool,
+    is_call_pending: bool,
     retry_at: Millis,
     rank: u64,
     highest_seen: FencingNumber,
-    mark: WriterId,
+    writer: WriterId,
 }
 
 impl OrderLease {
-    /// The lease as seen by `holder`, the candidate number `rank` of its region; later ones try
-    /// later.
+    /// Creates the state machine of instance `holder`. `rank` is its rank among the candidates of the
+    /// region; a higher rank waits longer between attempts.
     pub fn new(holder: InstanceId, rank: u64) -> Self {
         Self {
             holder,
-            state: State::Out,
+            state: State::NotHeld,
             call: 0,
             called_at: Millis(0),
-            is_waiting: false,
+            is_call_pending: false,
             retry_at: Millis(0),
             rank,
             highest_seen: FencingNumber(0),
-            mark: WriterId([0; 16]),
+            writer: WriterId([0; 16]),
         }
     }
 
-    /// Acquires, renews or gives up the lease as time goes by. `mark` is random and new for each
-    /// call.
-    pub fn tick(&mut self, mark: WriterId, now: Millis) -> Vec<LeaseEffect> {
+    /// Acquires, renews or expires the lease according to the time. `writer` has to be a new random
+    /// identifier for each call.
+    pub fn tick(&mut self, writer: WriterId, now: Millis) -> Vec<LeaseEffect> {
         match self.state {
-            State::Out if now >= self.retry_at => {
-                self.mark = mark;
+            State::NotHeld if now >= self.retry_at => {
+                self.writer = writer;
                 self.state = State::Acquiring { requested_at: now };
                 self.create(now)
             }
             State::Held { valid_until, .. } if now >= valid_until => {
-                self.give_up(now);
+                self.back_off(now);
                 Vec::new()
             }
             State::Held { .. }
-                if !self.is_waiting && now.since(self.called_at) >= RENEW_AFTER_MS =>
+                if !self.is_call_pending && now.since(self.called_at) >= RENEWAL_INTERVAL_MS =>
             {
                 vec![LeaseEffect::Renew {
                     call: self.next_call(now),
                 }]
             }
-            State::Out | State::Acquiring { .. } | State::Held { .. } => Vec::new(),
+            State::NotHeld | State::Acquiring { .. } | State::Held { .. } => Vec::new(),
         }
     }
 
-    /// Takes the answer to call `call`.
+    /// Handles the result of call `call`.
     pub fn step(&mut self, call: u32, answer: LeaseAnswer, now: Millis) -> Vec<LeaseEffect> {
-        if call != self.call || !self.is_waiting {
+        if call != self.call || !self.is_call_pending {
             return Vec::new();
         }
-        self.is_waiting = false;
+        self.is_call_pending = false;
         match self.state {
-            State::Acquiring { requested_at } => self.acquired(answer, requested_at, now),
+            State::Acquiring { requested_at } => self.on_acquire_answer(answer, requested_at, now),
             State::Held {
                 number,
                 acquired_at,
                 valid_until,
             } => {
-                self.renewed(answer, number, acquired_at, valid_until, now);
+                self.on_renew_answer(answer, number, acquired_at, valid_until, now);
                 Vec::new()
             }
-            State::Out => Vec::new(),
+            State::NotHeld => Vec::new(),
         }
     }
 
-    /// The number with which an order may be sent at this moment, if it may.
+    /// Returns the fencing number for an order that is sent now, or none if it must not be sent.
     ///
-    /// Has to be asked right before sending, because a pause may have outlasted the lease. An
-    /// order sent now arrives before the lease ends. An engine that does not check numbers gets
-    /// its first order only when orders of the former holder can no longer arrive.
+    /// Has to be called immediately before sending, because a process pause may have outlasted the
+    /// lease. An order sent now arrives before the lease ends. An engine that does not check
+    /// fencing numbers gets its first order only when orders of the previous holder can no longer
+    /// arrive.
     #[must_use]
     pub fn permit_send(&self, checks_fencing: bool, now: Millis) -> Option<FencingNumber> {
         let State::Held {
@@ -200,12 +202,12 @@
         }
         assert!(
             number >= self.highest_seen,
-            "a fencing number is never older than one seen"
+            "the fencing number held is the highest one seen"
         );
         Some(number)
     }
 
-    /// The fencing number, while the lease is held by this instance's own clock.
+    /// Returns the fencing number while the lease is held according to this instance's clock.
     pub fn number(&self, now: Millis) -> Option<FencingNumber> {
         match self.state {
             State::Held {
@@ -217,7 +219,7 @@
         }
     }
 
-    fn acquired(
+    fn on_acquire_answer(
         &mut self,
         answer: LeaseAnswer,
         requested_at: Millis,
@@ -225,25 +227,25 @@
     ) -> Vec<LeaseEffect> {
         let number = match answer {
             LeaseAnswer::Written { revision } => FencingNumber(revision),
-            LeaseAnswer::Found { record, revision } if record.writer == self.mark => {
+            LeaseAnswer::Found { record, revision } if record.writer == self.writer => {
                 FencingNumber(revision)
             }
             LeaseAnswer::Found { revision, .. } => {
-                self.see(FencingNumber(revision));
-                self.give_up(now);
+                self.note_seen(FencingNumber(revision));
+                self.back_off(now);
                 return Vec::new();
             }
             LeaseAnswer::Lost => {
-                let not_before = now.plus(RETRY_MS / 4);
+                let not_before = now.plus(ACQUIRE_RETRY_MS / 4);
                 let call = self.next_call(now);
                 return vec![LeaseEffect::Read { call, not_before }];
             }
             LeaseAnswer::Absent | LeaseAnswer::NotSent => {
-                self.give_up(now);
+                self.back_off(now);
                 return Vec::new();
             }
         };
-        self.see(number);
+        self.note_seen(number);
         assert!(
             number == self.highest_seen,
             "a new holder has the highest fencing number"
@@ -256,49 +258,50 @@
         Vec::new()
     }
 
-    fn renewed(
+    fn on_renew_answer(
         &mut self,
         answer: LeaseAnswer,
         number: FencingNumber,
         acquired_at: Millis,
-        until: Millis,
+        previous_until: Millis,
         now: Millis,
     ) {
         match answer {
             LeaseAnswer::Written { .. } => {
-                // Life counts from the request, so that it never seems longer than it is.
-                let valid_until = valid_until(self.called_at).max(until);
+                // The time to live counts from the request, so that the lease is never assumed to last
+                // longer than it does.
+                let valid_until = valid_until(self.called_at).max(previous_until);
                 self.state = State::Held {
                     number,
                     acquired_at,
                     valid_until,
                 };
             }
-            LeaseAnswer::Found { record, .. } if record.writer == self.mark => {}
+            LeaseAnswer::Found { record, .. } if record.writer == self.writer => {}
             LeaseAnswer::Found { revision, .. } => {
-                self.see(FencingNumber(revision));
-                self.give_up(now);
+                self.note_seen(FencingNumber(revision));
+                self.back_off(now);
             }
-            LeaseAnswer::Absent => self.give_up(now),
-            // The lease runs on; another renewal follows.
+            LeaseAnswer::Absent => self.back_off(now),
+            // The lease is still valid; another renewal follows.
             LeaseAnswer::Lost | LeaseAnswer::NotSent => {}
         }
     }
 
-    fn see(&mut self, number: FencingNumber) {
+    fn note_seen(&mut self, number: FencingNumber) {
         self.highest_seen = self.highest_seen.max(number);
     }
 
-    fn give_up(&mut self, now: Millis) {
-        self.state = State::Out;
-        self.is_waiting = false;
-        self.retry_at = now.plus(RETRY_MS * (1 + self.rank));
+    fn back_off(&mut self, now: Millis) {
+        self.state = State::NotHeld;
+        self.is_call_pending = false;
+        self.retry_at = now.plus(ACQUIRE_RETRY_MS * (1 + self.rank));
     }
 
     fn create(&mut self, not_before: Millis) -> Vec<LeaseEffect> {
         let record = LeaseRecord {
             holder: self.holder.clone(),
-            writer: self.mark,
+            writer: self.writer,
         };
         vec![LeaseEffect::Create {
             call: self.next_call(not_before),
@@ -310,13 +313,14 @@
     fn next_call(&mut self, now: Millis) -> u32 {
         self.call += 1;
         self.called_at = now;
-        self.is_waiting = true;
+        self.is_call_pending = true;
         self.call
     }
 }
 
-// The end of a lease requested at `requested_at`, early enough for a fast clock of the store.
+// Returns the end of a lease requested at `requested_at`, reduced by the maximum clock drift in case
+// the store's clock is fast.
 fn valid_until(requested_at: Millis) -> Millis {
-    let drift_ms = (LEASE_TTL_MS * DRIFT_PPM).div_ceil(1_000_000);
+    let drift_ms = (LEASE_TTL_MS * MAX_CLOCK_DRIFT_PPM).div_ceil(1_000_000);
     requested_at.plus(LEASE_TTL_MS - drift_ms)
 }
--- a/crates/core/src/order/mod.rs
+++ b/crates/core/src/order/mod.rs
@@ -1,12 +1,13 @@
-//! Orders to engines: load a model, a version or an adapter, change role.
+//! Orders (commands) to engines: load a model version or an adapter, or change the role.
 //!
-//! One instance a region issues orders, under a lease of the store ([`OrderLease`]). The revision
-//! at which the lease's key was written is the fencing number of its orders; it grows with each
-//! holder. Engines that check fencing numbers refuse an order of an earlier holder. For those that
-//! do not, a new holder first waits until orders of the former one can no longer arrive.
+//! One instance per region issues orders while it holds a store lease ([`OrderLease`]). The store
+//! revision at which the lease's key was created is the fencing number of its orders; it increases
+//! with each holder. Engines that check fencing numbers refuse orders of an earlier holder. For
+//! engines that do not, a new holder first waits until orders of the previous one can no longer
+//! arrive.
 //!
-//! Orders are declarative: they name the state that an engine is to be in. The issuer reads the
-//! engine's state, orders what differs, and reads back ([`Issuer`]).
+//! Orders are declarative: they contain the target state of an engine. The issuer reads the actual
+//! state, sends an order if it differs, and reads the state again ([`Issuer`]).
 
 mod issuer;
 mod lease;
--- a/crates/core/tests/once_cases.rs
+++ b/crates/core/tests/once_cases.rs
@@ -1,4 +1,4 @@
-//! Single actions step by step: effects, keys, records and leases.
+//! Unit tests of single actions, and of keys, records and leases.
 
 use carobwheel_core::once::{
     request_hash, Action, ActionRecord, ActionSpec, Answer, Effect, Input, LeaseChoice, LeaseId,
@@ -8,8 +8,8 @@
 use carobwheel_core::time::Millis;
 use test_case::test_case;
 
-const MARK: WriterId = WriterId([0xab; 16]);
-const OTHER: WriterId = WriterId([0xcd; 16]);
+const WRITER: WriterId = WriterId([0xab; 16]);
+const OTHER_WRITER: WriterId = WriterId([0xcd; 16]);
 const NOW: Millis = Millis(1_000);
 
 fn key() -> OnceKey {
@@ -68,9 +68,9 @@
     }
 }
 
-/// Feeds store answers until the action dispatches or ends.
+/// Feeds store results to a new action and returns it with the names of its effects.
 fn claim(spec: ActionSpec, answers: Vec<StoreAnswer>) -> (Action, Vec<String>) {
-    let mut action = Action::new(spec, MARK);
+    let mut action = Action::new(spec, WRITER);
     let mut names: Vec<String> = action.start(NOW).iter().map(name).collect();
     for (call, answer) in (1..).zip(answers) {
         names.extend(action.step(store(call, answer), NOW).iter().map(name));
@@ -80,13 +80,13 @@
 
 #[test_case(vec![StoreAnswer::Written { revision: 9 }], "create, dispatch"; "claimed")]
 #[test_case(vec![StoreAnswer::NotSent], "create, NotRun(StoreUnavailable), end"; "store down")]
-#[test_case(vec![StoreAnswer::Lost, found(MARK, 1, None)], "create, read back, dispatch"; "lost after taking effect")]
+#[test_case(vec![StoreAnswer::Lost, found(WRITER, 1, None)], "create, read back, dispatch"; "lost after taking effect")]
 #[test_case(vec![StoreAnswer::Lost, StoreAnswer::Absent, StoreAnswer::Written { revision: 9 }], "create, read back, create, dispatch"; "lost before taking effect")]
 #[test_case(vec![StoreAnswer::Lost; 4], "create, read back, read back, read back, NotRun(StoreUnavailable), release, end"; "lost for good")]
 #[test_case(vec![StoreAnswer::Lost, StoreAnswer::NotSent], "create, read back, NotRun(StoreUnavailable), release, end"; "budget exhausted while settling")]
-#[test_case(vec![found(OTHER, 1, None)], "create, MayHaveRun(Unfinished), end"; "unfinished")]
-#[test_case(vec![found(OTHER, 2, None)], "create, NotRun(KeyReused), end"; "other request")]
-#[test_case(vec![found(OTHER, 1, Some(StoredBody::TooLong))], "create, ReplayUnavailable { status: 201 }, end"; "answer not kept")]
+#[test_case(vec![found(OTHER_WRITER, 1, None)], "create, MayHaveRun(Unfinished), end"; "unfinished")]
+#[test_case(vec![found(OTHER_WRITER, 2, None)], "create, NotRun(KeyReused), end"; "other request")]
+#[test_case(vec![found(OTHER_WRITER, 1, Some(StoredBody::TooLong))], "create, ReplayUnavailable { status: 201 }, end"; "answer not kept")]
 #[test_case(vec![StoreAnswer::Unreadable], "create, MayHaveRun(Unreadable), end"; "unreadable")]
 fn claiming(answers: Vec<StoreAnswer>, expected: &str) {
     assert_eq!(claim(spec(), answers).1.join(", "), expected);
@@ -94,7 +94,7 @@
 
 #[test_case(vec![StoreAnswer::NotSent]; "store down")]
 #[test_case(vec![StoreAnswer::Lost; 4]; "lost for good")]
-#[test_case(vec![found(OTHER, 1, None)]; "unfinished elsewhere")]
+#[test_case(vec![found(OTHER_WRITER, 1, None)]; "unfinished elsewhere")]
 fn an_upstream_that_deduplicates_is_served_all_the_same(answers: Vec<StoreAnswer>) {
     let spec = ActionSpec {
         deduplicates: true,
@@ -107,9 +107,9 @@
 #[test]
 fn a_repeat_gets_the_first_answer() {
     let body = StoredBody::Text("{\"receipt\":7}".to_owned());
-    let mut action = Action::new(spec(), MARK);
+    let mut action = Action::new(spec(), WRITER);
     action.start(NOW);
-    let effects = action.step(store(1, found(OTHER, 1, Some(body.clone()))), NOW);
+    let effects = action.step(store(1, found(OTHER_WRITER, 1, Some(body.clone()))), NOW);
     let Effect::Answer(Answer::Replay(outcome)) = &effects[0] else {
         panic!("{effects:?}");
     };
@@ -122,7 +122,7 @@
         key: None,
         ..spec()
     };
-    let mut action = Action::new(spec, MARK);
+    let mut action = Action::new(spec, WRITER);
     assert_eq!(name(&action.start(NOW)[0]), "dispatch");
     assert!(action.permit_send(1, NOW));
     let failed = UpstreamEvent::Failed {
@@ -164,7 +164,7 @@
 fn an_outcome_is_written_under_the_revision_of_the_claim_and_tried_again() {
     let (mut action, _) = claim(spec(), vec![StoreAnswer::Written { revision: 9 }]);
     assert!(action.permit_send(2, NOW));
-    let done = record(MARK, 1, Some(StoredBody::Text("ok".to_owned())));
+    let done = record(WRITER, 1, Some(StoredBody::Text("ok".to_owned())));
     let event = UpstreamEvent::Done(done.outcome.clone().expect("an outcome"));
     let effects = action.step(upstream(2, event), NOW);
     let write = |call, not_before| Effect::WriteOutcome {
@@ -188,7 +188,7 @@
     let effects = action.step(Input::DeadlinePassed, Millis(6_000));
     let late = Answer::MayHaveRun(MayHaveRun::DeadlinePassed);
     assert_eq!(effects, [Effect::Answer(late)]);
-    let outcome = record(MARK, 1, Some(StoredBody::Text("ok".to_owned()))).outcome;
+    let outcome = record(WRITER, 1, Some(StoredBody::Text("ok".to_owned()))).outcome;
     let event = UpstreamEvent::Done(outcome.expect("an outcome"));
     let effects = action.step(upstream(2, event), Millis(7_000));
     let names: Vec<String> = effects.iter().map(name).collect();
@@ -196,7 +196,7 @@
 }
 
 #[test]
-#[should_panic(expected = "an upstream answers only after bytes were permitted to leave")]
+#[should_panic(expected = "an upstream responds only after sending was permitted")]
 fn an_answer_to_a_dispatch_without_a_permit_is_a_broken_invariant() {
     let (mut action, _) = claim(spec(), vec![StoreAnswer::Written { revision: 9 }]);
     action.step(upstream(2, UpstreamEvent::Head), NOW);
@@ -204,13 +204,13 @@
 
 #[test]
 fn records_are_compact() {
-    let claim = record(MARK, 1, None).to_json();
+    let claim = record(WRITER, 1, None).to_json();
     let text = ActionRecord::to_json(&record(
-        MARK,
+        WRITER,
         1,
         Some(StoredBody::new(b"{\"ok\":1}".to_vec())),
     ));
-    let binary = ActionRecord::to_json(&record(MARK, 1, Some(StoredBody::new(vec![0xff, 0x00]))));
+    let binary = ActionRecord::to_json(&record(WRITER, 1, Some(StoredBody::new(vec![0xff, 0x00]))));
     let lines = [claim, text, binary].map(|json| String::from_utf8(json).expect("JSON is UTF-8"));
     insta::assert_snapshot!(lines.join("\n"), @r#"
     {"w":"abababababababababababababababab","h":"0101010101010101010101010101010101010101010101010101010101010101"}
@@ -259,7 +259,7 @@
     assert_eq!(
         pool.choose(1_000, NOW),
         short,
-        "a long lease is no use for a short life"
+        "a long lease is not used for a short lifetime"
     );
     pool.forget(LeaseId(5));
     assert_eq!(pool.choose(life_ms, NOW), grant);
--- a/crates/core/tests/once_runs.rs
+++ b/crates/core/tests/once_runs.rs
@@ -1,55 +1,55 @@
-//! Randomised runs of at-most-once actions that race, are paused, crash and lose answers.
+//! Randomised simulations of at-most-once actions with races, pauses, crashes and lost responses.
 
 mod once_world;
 
-use once_world::{run, Planted, Tally, Weather};
+use once_world::{run, Counts, FaultRates, InjectedBug};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use test_case::test_case;
 
-const STORM: Weather = Weather {
+const FREQUENT_FAULTS: FaultRates = FaultRates {
     lost: 0.3,
     refused: 0.2,
-    cut: 0.2,
+    response_lost: 0.2,
     has_failures: true,
     deduplicates: false,
 };
-const CALM: Weather = Weather {
+const NO_FAULTS: FaultRates = FaultRates {
     lost: 0.0,
     refused: 0.0,
-    cut: 0.0,
+    response_lost: 0.0,
     has_failures: false,
     deduplicates: false,
 };
 
-// More seeds outside CI: `CAROBWHEEL_SEEDS=10000 cargo test -p carobwheel-core --test once_runs`.
+// To run more seeds than CI: `CAROBWHEEL_SEEDS=10000 cargo test -p carobwheel-core --test once_runs`.
 fn seeds() -> u64 {
     let seeds = std::env::var("CAROBWHEEL_SEEDS").ok();
     seeds.map_or(300, |text| text.parse().expect("a number of seeds"))
 }
 
-fn add(sum: &mut Tally, tally: &Tally) {
-    sum.runs += tally.runs;
-    sum.relayed += tally.relayed;
-    sum.replayed += tally.replayed;
-    sum.not_run += tally.not_run;
-    sum.may_have_run += tally.may_have_run;
-    sum.writes += tally.writes;
-    sum.reads += tally.reads;
+fn add(sum: &mut Counts, counts: &Counts) {
+    sum.runs += counts.runs;
+    sum.relayed += counts.relayed;
+    sum.replayed += counts.replayed;
+    sum.not_run += counts.not_run;
+    sum.may_have_run += counts.may_have_run;
+    sum.writes += counts.writes;
+    sum.reads += counts.reads;
 }
 
-#[test_case(STORM; "upstream without deduplication")]
-#[test_case(Weather { deduplicates: true, ..STORM }; "upstream that deduplicates")]
-fn no_action_runs_twice(weather: Weather) {
-    let mut sum = Tally::default();
+#[test_case(FREQUENT_FAULTS; "upstream without deduplication")]
+#[test_case(FaultRates { deduplicates: true, ..FREQUENT_FAULTS }; "upstream that deduplicates")]
+fn no_action_runs_twice(faults: FaultRates) {
+    let mut sum = Counts::default();
     for seed in 0..seeds() {
-        let tally = run(seed, weather, Planted::Nothing);
+        let counts = run(seed, faults, InjectedBug::Nothing);
         add(
             &mut sum,
-            &tally.unwrap_or_else(|err| panic!("seed {seed}: {err}")),
+            &counts.unwrap_or_else(|err| panic!("seed {seed}: {err}")),
         );
     }
     println!("{sum:?}");
-    // The runs prove something only if every kind of end occurs.
+    // The check is meaningful only if every kind of outcome occurs.
     let kinds = [
         sum.runs,
         sum.relayed,
@@ -62,31 +62,34 @@
 
 #[test]
 fn without_faults_nothing_is_refused_for_want_of_the_store() {
-    let mut sum = Tally::default();
+    let mut sum = Counts::default();
     for seed in 0..seeds() {
-        let tally = run(seed, CALM, Planted::Nothing);
+        let counts = run(seed, NO_FAULTS, InjectedBug::Nothing);
         add(
             &mut sum,
-            &tally.unwrap_or_else(|err| panic!("seed {seed}: {err}")),
+            &counts.unwrap_or_else(|err| panic!("seed {seed}: {err}")),
         );
     }
     println!("{sum:?}");
-    assert_eq!(sum.reads, 0, "a create that loses returns the record");
+    assert_eq!(
+        sum.reads, 0,
+        "a create of an existing key returns its record"
+    );
     assert_eq!(sum.relayed, sum.runs);
 }
 
-#[test_case(Planted::SendWithoutPermit)]
-#[test_case(Planted::StoreOverwrites)]
-#[test_case(Planted::SharedMark)]
-#[test_case(Planted::FalseNoBytes)]
-#[test_case(Planted::ShortLease)]
-#[test_case(Planted::LostTakenForWritten)]
-fn a_planted_fault_is_caught(planted: Planted) {
+#[test_case(InjectedBug::SendWithoutPermit)]
+#[test_case(InjectedBug::StoreOverwrites)]
+#[test_case(InjectedBug::SharedWriterId)]
+#[test_case(InjectedBug::SentReportedAsUnsent)]
+#[test_case(InjectedBug::ShortLease)]
+#[test_case(InjectedBug::LostReportedAsWritten)]
+fn an_injected_bug_is_detected(bug: InjectedBug) {
     let is_caught = |seed: &u64| {
-        let outcome = catch_unwind(AssertUnwindSafe(|| run(*seed, STORM, planted)));
+        let outcome = catch_unwind(AssertUnwindSafe(|| run(*seed, FREQUENT_FAULTS, bug)));
         !matches!(outcome, Ok(Ok(_)))
     };
     let caught = (0..300).filter(is_caught).count();
-    println!("{planted:?}: caught in {caught} of 300 seeds");
-    assert!(caught > 0, "{planted:?} was not caught");
+    println!("{bug:?}: caught in {caught} of 300 seeds");
+    assert!(caught > 0, "{bug:?} was not caught");
 }
--- a/crates/core/tests/once_world/mod.rs
+++ b/crates/core/tests/once_world/mod.rs
@@ -1,4 +1,4 @@
-//! A small world of instances, one store and one upstream, in which actions race.
+//! Simulation of several instances, one store and one upstream with concurrent actions.
 
 use carobwheel_core::once::{
     Action, ActionRecord, ActionSpec, Answer, Effect, Execution, Input, NotRun, OnceKey, Outcome,
@@ -9,37 +9,37 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A fault built into the world, to show that a check notices it.
+/// Deliberate bug in the simulation, to verify that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Planted {
+pub(crate) enum InjectedBug {
     /// None.
     Nothing,
-    /// Requests are sent without asking for the permit.
+    /// Requests are sent although the permit was refused.
     SendWithoutPermit,
     /// The store overwrites on create.
     StoreOverwrites,
-    /// All instances draw the same writer mark.
-    SharedMark,
-    /// A dispatch cut after sending is reported as free of bytes.
-    FalseNoBytes,
-    /// The store drops records long before the end of their life.
+    /// All actions use the same writer identifier.
+    SharedWriterId,
+    /// A dispatch that failed after sending is reported as having sent no bytes.
+    SentReportedAsUnsent,
+    /// The store drops records long before their lifetime ends.
     ShortLease,
-    /// A create whose answer was lost is reported as written.
-    LostTakenForWritten,
+    /// A create whose response was lost is reported as written.
+    LostReportedAsWritten,
 }
 
-/// How much goes wrong.
+/// Fault probabilities and properties of the simulated environment.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Weather {
-    /// Probability that a call of the store is lost, half of these after taking effect.
+pub(crate) struct FaultRates {
+    /// Probability that a store call is lost; half of the lost calls take effect.
     pub(crate) lost: f64,
-    /// Probability that an upstream cannot be reached.
+    /// Probability that a connection to the upstream fails.
     pub(crate) refused: f64,
-    /// Probability that the answer of the upstream is lost.
-    pub(crate) cut: f64,
-    /// Pauses, crashes and an outage of the store happen.
+    /// Probability that the response of the upstream is lost.
+    pub(crate) response_lost: f64,
+    /// Whether process pauses, crashes, a store outage and disconnecting callers occur.
     pub(crate) has_failures: bool,
-    /// The upstream drops repeated keys by itself.
+    /// Whether the upstream itself deduplicates by key.
     pub(crate) deduplicates: bool,
 }
 
@@ -50,10 +50,10 @@
 
 enum Event {
     Start(usize),
-    StoreArrives(usize, Effect),
+    StoreCallArrives(usize, Effect),
     Input(usize, Input),
     Connected(usize, u32),
-    Runs(usize, u32),
+    RequestArrives(usize, u32),
     Crash(usize),
 }
 
@@ -66,29 +66,29 @@
     answers: Vec<Option<Answer>>,
 }
 
-/// What came out of a run.
+/// Counts of one simulation run.
 #[derive(Default, Debug)]
-pub(crate) struct Tally {
-    /// Runs at the upstream.
+pub(crate) struct Counts {
+    /// Executions at the upstream.
     pub(crate) runs: usize,
-    /// Answers by kind.
+    /// Responses relayed from the upstream.
     pub(crate) relayed: usize,
-    /// Answers replayed.
+    /// Answers from the stored record.
     pub(crate) replayed: usize,
-    /// Refusals.
+    /// Answers that the request was not run.
     pub(crate) not_run: usize,
-    /// Ambiguous answers.
+    /// Answers that the request may have run.
     pub(crate) may_have_run: usize,
-    /// Writes that the store took.
+    /// Writes received by the store.
     pub(crate) writes: usize,
-    /// Reads that the store took.
+    /// Reads received by the store.
     pub(crate) reads: usize,
 }
 
 struct World {
     rng: StdRng,
-    weather: Weather,
-    planted: Planted,
+    faults: FaultRates,
+    bug: InjectedBug,
     now_ms: u64,
     sequence: u64,
     events: BTreeMap<(u64, u64), Event>,
@@ -97,30 +97,30 @@
     store_down: std::ops::Range<u64>,
     paused_until_ms: Vec<u64>,
     attempts: Vec<Attempt>,
-    // Time and attempt of each run of a key.
+    // Time and attempt of each execution, by key.
     runs: BTreeMap<usize, Vec<(u64, usize)>>,
-    tally: Tally,
+    counts: Counts,
 }
 
-/// Runs the world of `seed` to its end.
+/// Runs the simulation with `seed` to its end.
 ///
 /// # Errors
 ///
-/// Says which promise was broken.
-pub(crate) fn run(seed: u64, weather: Weather, planted: Planted) -> Result<Tally, String> {
-    let mut world = World::new(seed, weather, planted);
+/// Returns a description of the violated invariant.
+pub(crate) fn run(seed: u64, faults: FaultRates, bug: InjectedBug) -> Result<Counts, String> {
+    let mut world = World::new(seed, faults, bug);
     while let Some(((at_ms, _), event)) = world.events.pop_first() {
         world.now_ms = at_ms;
         world.handle(event);
     }
     world.check()?;
-    Ok(world.tally)
+    Ok(world.counts)
 }
 
 impl World {
-    fn new(seed: u64, weather: Weather, planted: Planted) -> Self {
+    fn new(seed: u64, faults: FaultRates, bug: InjectedBug) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let outage = if weather.has_failures && rng.random_bool(0.5) {
+        let outage = if faults.has_failures && rng.random_bool(0.5) {
             let from_ms = rng.random_range(0..8_000);
             from_ms..from_ms + rng.random_range(100..6_000)
         } else {
@@ -128,8 +128,8 @@
         };
         let mut world = Self {
             rng,
-            weather,
-            planted,
+            faults,
+            bug,
             now_ms: 0,
             sequence: 0,
             events: BTreeMap::new(),
@@ -139,7 +139,7 @@
             paused_until_ms: vec![0; 3],
             attempts: Vec::new(),
             runs: BTreeMap::new(),
-            tally: Tally::default(),
+            counts: Counts::default(),
         };
         world.plan();
         world
@@ -153,7 +153,7 @@
                 self.attempt(key, body, at_ms);
             }
         }
-        if self.weather.has_failures && self.rng.random_bool(0.3) {
+        if self.faults.has_failures && self.rng.random_bool(0.3) {
             let (at_ms, instance) = (
                 self.rng.random_range(0..12_000),
                 self.rng.random_range(0..3),
@@ -169,10 +169,10 @@
             request_sha256: [body; 32],
             deadline: Millis(at_ms + DEADLINE_MS),
             outcome_kept_ms: KEPT_MS,
-            deduplicates: self.weather.deduplicates,
+            deduplicates: self.faults.deduplicates,
         };
-        let mark = match self.planted {
-            Planted::SharedMark => [7; 16],
+        let writer = match self.bug {
+            InjectedBug::SharedWriterId => [7; 16],
             _ => self.rng.random(),
         };
         let index = self.attempts.len();
@@ -180,7 +180,7 @@
             instance: self.rng.random_range(0..3),
             key,
             body,
-            action: Action::new(spec, WriterId(mark)),
+            action: Action::new(spec, WriterId(writer)),
             is_lost: false,
             answers: Vec::new(),
         });
@@ -189,7 +189,7 @@
             at_ms + DEADLINE_MS,
             Event::Input(index, Input::DeadlinePassed),
         );
-        if self.weather.has_failures && self.rng.random_bool(0.1) {
+        if self.faults.has_failures && self.rng.random_bool(0.1) {
             let gone_ms = at_ms + self.rng.random_range(1..1_000);
             self.at(gone_ms, Event::Input(index, Input::CallerGone));
         }
@@ -204,8 +204,8 @@
         self.at(self.now_ms + delay_ms, event);
     }
 
-    // An event at a paused instance waits for the end of the pause.
-    fn is_deferred(&mut self, attempt: usize, event: Event) -> Option<Event> {
+    // Defers an event to the end of the pause if its instance is paused; otherwise returns it.
+    fn defer_if_paused(&mut self, attempt: usize, event: Event) -> Option<Event> {
         let until_ms = self.paused_until_ms[self.attempts[attempt].instance];
         if until_ms <= self.now_ms {
             return Some(event);
@@ -216,12 +216,12 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::StoreArrives(attempt, effect) => self.store_call(attempt, &effect),
-            Event::Runs(attempt, call) => self.upstream(attempt, call),
+            Event::StoreCallArrives(attempt, effect) => self.store_call(attempt, &effect),
+            Event::RequestArrives(attempt, call) => self.upstream(attempt, call),
             Event::Crash(instance) => self.crash(instance),
             Event::Start(attempt) | Event::Input(attempt, _) | Event::Connected(attempt, _) => {
                 self.maybe_pause(attempt);
-                if let Some(event) = self.is_deferred(attempt, event) {
+                if let Some(event) = self.defer_if_paused(attempt, event) {
                     self.at_instance(attempt, event);
                 }
             }
@@ -231,7 +231,7 @@
     fn maybe_pause(&mut self, attempt: usize) {
         let instance = self.attempts[attempt].instance;
         let is_paused = self.paused_until_ms[instance] > self.now_ms;
-        if is_paused || !self.weather.has_failures || !self.rng.random_bool(0.01) {
+        if is_paused || !self.faults.has_failures || !self.rng.random_bool(0.01) {
             return;
         }
         let pause_ms = match self.rng.random_range(0..3) {
@@ -240,7 +240,8 @@
             _ => self.rng.random_range(20_000..200_000),
         };
         self.paused_until_ms[instance] = self.now_ms + pause_ms;
-        // Callers repeat elsewhere while the instance is paused and after claims have lapsed.
+        // The caller repeats the request, perhaps at another instance, during the pause and after
+        // claims have expired.
         let (key, body) = (self.attempts[attempt].key, self.attempts[attempt].body);
         if self.attempts.len() < 40 {
             let at_ms = self.now_ms + self.rng.random_range(0..pause_ms + 1_000);
@@ -269,7 +270,7 @@
             Event::Input(_, Input::CallerGone) => Vec::new(),
             Event::Input(_, input) => attempt.action.step(input, now),
             Event::Connected(_, call) => self.connected(index, call),
-            _ => unreachable!("events of the store and the upstream are handled elsewhere"),
+            _ => unreachable!("events of the store and the upstream are handled by the caller"),
         };
         for effect in effects {
             self.effect(index, effect);
@@ -280,18 +281,18 @@
         let now = Millis(self.now_ms);
         let action = &mut self.attempts[index].action;
         let is_permitted = action.permit_send(call, now);
-        if !is_permitted && self.planted != Planted::SendWithoutPermit {
+        if !is_permitted && self.bug != InjectedBug::SendWithoutPermit {
             return action.step(not_sent(call), now);
         }
-        // A pause between the permit and the first byte.
-        let is_paused = self.weather.has_failures && self.rng.random_bool(0.02);
+        // Process pause between the permit and the first byte.
+        let is_paused = self.faults.has_failures && self.rng.random_bool(0.02);
         let delay_ms = if is_paused {
             self.rng.random_range(0..59_000)
         } else {
             0
         };
         let transit_ms = self.rng.random_range(1..TRANSIT_MS);
-        self.after(delay_ms + transit_ms, Event::Runs(index, call));
+        self.after(delay_ms + transit_ms, Event::RequestArrives(index, call));
         Vec::new()
     }
 
@@ -304,7 +305,7 @@
                 call, not_before, ..
             } => {
                 let wait_ms = not_before.since(Millis(self.now_ms));
-                // The harness ends; a write that waits too long is dropped as a daemon may.
+                // Drops a write that would wait 20 s or longer, as a process that stops would.
                 if wait_ms < 20_000 {
                     self.send_to_store(index, Some(call), effect, wait_ms);
                 }
@@ -322,17 +323,17 @@
 
     fn count(&mut self, answer: &Answer) {
         match answer {
-            Answer::NotRun(_) => self.tally.not_run += 1,
-            Answer::MayHaveRun(_) => self.tally.may_have_run += 1,
-            Answer::Replay(_) | Answer::ReplayUnavailable { .. } => self.tally.replayed += 1,
+            Answer::NotRun(_) => self.counts.not_run += 1,
+            Answer::MayHaveRun(_) => self.counts.may_have_run += 1,
+            Answer::Replay(_) | Answer::ReplayUnavailable { .. } => self.counts.replayed += 1,
         }
     }
 
     fn send_to_store(&mut self, index: usize, call: Option<u32>, effect: Effect, wait_ms: u64) {
         let timeout_ms = wait_ms + CALL_TIMEOUT_MS;
         if let Some(call) = call {
-            let answer = match (&effect, self.planted) {
-                (Effect::Create { .. }, Planted::LostTakenForWritten) => {
+            let answer = match (&effect, self.bug) {
+                (Effect::Create { .. }, InjectedBug::LostReportedAsWritten) => {
                     StoreAnswer::Written { revision: 1 }
                 }
                 _ => StoreAnswer::Lost,
@@ -342,11 +343,11 @@
                 Event::Input(index, Input::Store { call, answer }),
             );
         }
-        let is_lost_before = self.rng.random_bool(self.weather.lost / 2.0);
+        let is_lost_before = self.rng.random_bool(self.faults.lost / 2.0);
         if is_lost_before && self.rng.random_bool(0.5) {
             return;
         }
-        // A call believed lost may still arrive much later.
+        // A call that was reported lost may still arrive much later.
         let late_ms = if is_lost_before {
             self.rng.random_range(400..4_000)
         } else {
@@ -355,7 +356,7 @@
         let transit_ms = self.rng.random_range(1..TRANSIT_MS);
         self.after(
             wait_ms + late_ms + transit_ms,
-            Event::StoreArrives(index, effect),
+            Event::StoreCallArrives(index, effect),
         );
     }
 
@@ -373,12 +374,12 @@
             return;
         };
         let call = call_of(effect).expect("a call with an answer has a number");
-        if self.rng.random_bool(self.weather.lost / 2.0) {
+        if self.rng.random_bool(self.faults.lost / 2.0) {
             return;
         }
-        // Answers arrive late, and twice.
-        for _ in 0..=u8::from(self.rng.random_bool(self.weather.lost / 3.0)) {
-            let is_late = self.rng.random_bool(self.weather.lost / 6.0);
+        // Responses may arrive late or twice.
+        for _ in 0..=u8::from(self.rng.random_bool(self.faults.lost / 3.0)) {
+            let is_late = self.rng.random_bool(self.faults.lost / 6.0);
             let late_ms = if is_late { 600 } else { 0 };
             let transit_ms = self.rng.random_range(1..TRANSIT_MS) + late_ms;
             let answer = answer.clone();
@@ -399,7 +400,7 @@
         };
         match effect {
             Effect::ReadBack { key, .. } => {
-                self.tally.reads += 1;
+                self.counts.reads += 1;
                 Some(found(self.store.get(key.as_str())))
             }
             Effect::Create {
@@ -408,13 +409,13 @@
                 life_ms,
                 ..
             } => {
-                self.tally.writes += 1;
+                self.counts.writes += 1;
                 let is_present = self.store.contains_key(key.as_str());
-                if is_present && self.planted != Planted::StoreOverwrites {
+                if is_present && self.bug != InjectedBug::StoreOverwrites {
                     return Some(found(self.store.get(key.as_str())));
                 }
-                let life_ms = match self.planted {
-                    Planted::ShortLease => 500,
+                let life_ms = match self.bug {
+                    InjectedBug::ShortLease => 500,
                     _ => *life_ms,
                 };
                 self.put(key, record, self.now_ms + life_ms)
@@ -425,7 +426,7 @@
                 revision,
                 ..
             } => {
-                self.tally.writes += 1;
+                self.counts.writes += 1;
                 match self.store.get(key.as_str()) {
                     Some((_, current, ends_ms)) if current == revision => {
                         let ends_ms = *ends_ms;
@@ -435,7 +436,7 @@
                 }
             }
             Effect::Release { key, record } => {
-                self.tally.writes += 1;
+                self.counts.writes += 1;
                 if self
                     .store
                     .get(key.as_str())
@@ -445,12 +446,12 @@
                 }
                 None
             }
-            _ => unreachable!("only calls of the store arrive there"),
+            _ => unreachable!("only store calls arrive at the store"),
         }
     }
 
     fn put(&mut self, key: &OnceKey, record: &ActionRecord, ends_ms: u64) -> Option<StoreAnswer> {
-        let stored = ActionRecord::from_json(&record.to_json()).expect("a record reads back");
+        let stored = ActionRecord::from_json(&record.to_json()).expect("a stored record decodes");
         self.revision += 1;
         let entry = (stored, self.revision, ends_ms);
         self.store.insert(key.as_str().to_owned(), entry);
@@ -461,7 +462,7 @@
 
     fn dispatch(&mut self, index: usize, call: u32) {
         let delay_ms = self.rng.random_range(1..50);
-        if self.rng.random_bool(self.weather.refused) {
+        if self.rng.random_bool(self.faults.refused) {
             self.after(delay_ms, Event::Input(index, not_sent(call)));
         } else {
             self.after(delay_ms, Event::Connected(index, call));
@@ -471,15 +472,15 @@
     fn upstream(&mut self, index: usize, call: u32) {
         let key = self.attempts[index].key;
         let runs = self.runs.entry(key).or_default();
-        let is_duplicate = self.weather.deduplicates && !runs.is_empty();
+        let is_duplicate = self.faults.deduplicates && !runs.is_empty();
         if !is_duplicate {
             runs.push((self.now_ms, index));
-            self.tally.runs += 1;
+            self.counts.runs += 1;
         }
         let delay_ms = self.rng.random_range(1..300);
-        if self.rng.random_bool(self.weather.cut) {
+        if self.rng.random_bool(self.faults.response_lost) {
             let event = UpstreamEvent::Failed {
-                may_have_sent_bytes: self.planted != Planted::FalseNoBytes,
+                may_have_sent_bytes: self.bug != InjectedBug::SentReportedAsUnsent,
             };
             self.after(
                 delay_ms,
@@ -494,7 +495,7 @@
                 Event::Input(index, Input::Upstream { call, event }),
             );
         }
-        let first = self.runs[&key].last().expect("a run was noted").1;
+        let first = self.runs[&key].last().expect("a run was recorded").1;
         if self.attempts[first].body != self.attempts[index].body {
             let event = UpstreamEvent::Refused;
             self.after(
@@ -527,7 +528,7 @@
                 answers => return Err(format!("{} answers to one caller", answers.len())),
             };
             let Some(answer) = answer else {
-                self.tally.relayed += 1;
+                self.counts.relayed += 1;
                 continue;
             };
             let is_wrong = answer.run() == Execution::NotRun && ran.contains(&index);
--- a/crates/core/tests/order_runs.rs
+++ b/crates/core/tests/order_runs.rs
@@ -1,4 +1,4 @@
-//! Randomised runs of two issuers of one region, with pauses, lost answers and late orders.
+//! Randomised simulations of two issuers of one region with pauses, lost responses and late orders.
 
 use carobwheel_core::id::UpstreamId;
 use carobwheel_core::once::WriterId;
@@ -13,10 +13,10 @@
 use test_case::test_case;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Planted {
+enum InjectedBug {
     Nothing,
     SendWithoutPermit,
-    NoWait,
+    NoInitialWait,
     ShortLease,
 }
 
@@ -41,7 +41,7 @@
 
 struct World {
     rng: StdRng,
-    planted: Planted,
+    bug: InjectedBug,
     checks_fencing: bool,
     now_ms: u64,
     sequence: u64,
@@ -49,19 +49,20 @@
     holders: Vec<Holder>,
     stored: Option<(LeaseRecord, u64, u64)>,
     revision: u64,
-    engine: EngineTarget,
-    highest: FencingNumber,
-    // Fencing number and send order of the last order that took effect.
-    effective: (FencingNumber, u64),
+    engine_state: EngineTarget,
+    highest_number: FencingNumber,
+    // Fencing number and sequence number of the last order that took effect.
+    last_effective: (FencingNumber, u64),
     sent: u64,
-    wanted: u64,
+    target_version: u64,
     orders: u64,
     refused: u64,
 }
 
-// The quiet part is longer than a pause, the life of the lease and the wait of a new holder.
+// Faults occur until `FAULT_PHASE_MS`. The remaining time is longer than a pause, the time to live
+// of the lease and the initial wait of a new holder together.
 const END_MS: u64 = 600_000;
-const QUIET_MS: u64 = 300_000;
+const FAULT_PHASE_MS: u64 = 300_000;
 
 fn target(version: u64) -> EngineTarget {
     EngineTarget {
@@ -77,7 +78,7 @@
 }
 
 impl World {
-    fn new(seed: u64, checks_fencing: bool, planted: Planted) -> Self {
+    fn new(seed: u64, checks_fencing: bool, bug: InjectedBug) -> Self {
         let holder = |index: u64| {
             let name = format!("instance-{index}");
             let mut issuer = Issuer::default();
@@ -92,7 +93,7 @@
         };
         let mut world = Self {
             rng: StdRng::seed_from_u64(seed),
-            planted,
+            bug,
             checks_fencing,
             now_ms: 0,
             sequence: 0,
@@ -100,18 +101,19 @@
             holders: (0..2).map(holder).collect(),
             stored: None,
             revision: 100,
-            engine: target(0),
-            highest: FencingNumber(0),
-            effective: (FencingNumber(0), 0),
+            engine_state: target(0),
+            highest_number: FencingNumber(0),
+            last_effective: (FencingNumber(0), 0),
             sent: 0,
-            wanted: 1,
+            target_version: 1,
             orders: 0,
             refused: 0,
         };
         world.at(1, Event::Tick(0));
         world.at(2, Event::Tick(1));
         for version in 2..20 {
-            let at_ms = world.rng.random_range(0..QUIET_MS / 20) + (version - 2) * QUIET_MS / 20;
+            let at_ms = world.rng.random_range(0..FAULT_PHASE_MS / 20)
+                + (version - 2) * FAULT_PHASE_MS / 20;
             world.at(at_ms, Event::NewTarget(version));
         }
         world
@@ -126,8 +128,8 @@
         self.at(self.now_ms + delay_ms, event);
     }
 
-    fn is_rough(&self) -> bool {
-        self.now_ms < QUIET_MS
+    fn has_faults(&self) -> bool {
+        self.now_ms < FAULT_PHASE_MS
     }
 
     fn run(mut self) -> Result<(u64, u64), String> {
@@ -138,13 +140,16 @@
             self.now_ms = at_ms;
             self.handle(event)?;
         }
-        if self.engine != target(self.wanted) {
-            return Err(format!("the engine ended with {:?}", self.engine.version));
+        if self.engine_state != target(self.target_version) {
+            return Err(format!(
+                "the engine ended with {:?}",
+                self.engine_state.version
+            ));
         }
         Ok((self.orders, self.refused))
     }
 
-    // Events at a paused holder wait for the end of the pause.
+    // Returns the holder that handles the event, if any. Its events are deferred while it is paused.
     fn holder_of(event: &Event) -> Option<usize> {
         match event {
             Event::Tick(index)
@@ -157,7 +162,7 @@
 
     fn handle(&mut self, event: Event) -> Result<(), String> {
         if let Some(index) = Self::holder_of(&event) {
-            if self.is_rough() && self.rng.random_bool(0.01) {
+            if self.has_faults() && self.rng.random_bool(0.01) {
                 let pause_ms = self.rng.random_range(1_000..120_000);
                 self.holders[index].paused_until_ms = self.now_ms + pause_ms;
             }
@@ -180,7 +185,7 @@
                 return self.arrives(index, call, target, number, sent);
             }
             Event::Read(index, call) => {
-                let answer = EngineAnswer::State(self.engine.clone());
+                let answer = EngineAnswer::State(self.engine_state.clone());
                 self.engine_answers(index, call, answer);
             }
             Event::EngineAnswer(index, call, answer) => {
@@ -189,7 +194,7 @@
                     .step(&engine(), call, answer, now);
             }
             Event::NewTarget(version) => {
-                self.wanted = version;
+                self.target_version = version;
                 let checks_fencing = self.checks_fencing;
                 for holder in &mut self.holders {
                     holder
@@ -204,8 +209,8 @@
     fn tick(&mut self, index: usize) {
         self.after(500, Event::Tick(index));
         let now = Millis(self.now_ms);
-        let mark = WriterId(self.rng.random());
-        let effects = self.holders[index].lease.tick(mark, now);
+        let writer = WriterId(self.rng.random());
+        let effects = self.holders[index].lease.tick(writer, now);
         self.lease_effects(index, effects);
         let holder = &mut self.holders[index];
         let number = holder.lease.number(now);
@@ -215,7 +220,7 @@
             holder.last_number = number.or(holder.last_number);
         }
         let is_sending = number.is_some()
-            || (self.planted == Planted::SendWithoutPermit && holder.last_number.is_some());
+            || (self.bug == InjectedBug::SendWithoutPermit && holder.last_number.is_some());
         if !is_sending {
             return;
         }
@@ -233,9 +238,9 @@
     fn send(&mut self, index: usize, call: u64, target: EngineTarget) {
         let now = Millis(self.now_ms);
         let holder = &mut self.holders[index];
-        let checks_fencing = self.checks_fencing || self.planted == Planted::NoWait;
-        let number = match self.planted {
-            Planted::SendWithoutPermit => holder.last_number,
+        let checks_fencing = self.checks_fencing || self.bug == InjectedBug::NoInitialWait;
+        let number = match self.bug {
+            InjectedBug::SendWithoutPermit => holder.last_number,
             _ => holder.lease.permit_send(checks_fencing, now),
         };
         let Some(number) = number else {
@@ -243,18 +248,18 @@
             return;
         };
         self.sent += 1;
-        // A pause after the permit, then the way to the engine.
-        let is_paused = self.is_rough() && self.rng.random_bool(0.3);
+        // Process pause after the permit, then the transit to the engine.
+        let is_paused = self.has_faults() && self.rng.random_bool(0.3);
         let pause_ms = if is_paused {
             self.rng.random_range(0..PAUSE_ALLOWANCE_MS)
         } else {
             0
         };
-        let way_ms = self.rng.random_range(1..MAX_ORDER_LATENCY_MS);
+        let transit_ms = self.rng.random_range(1..MAX_ORDER_LATENCY_MS);
         let arrives = Event::Arrives(index, call, target, number, self.sent);
         let until_ms = &mut self.holders[index].paused_until_ms;
         *until_ms = self.now_ms.max(*until_ms) + pause_ms;
-        self.after(pause_ms + way_ms, arrives);
+        self.after(pause_ms + transit_ms, arrives);
         let answer = EngineAnswer::Lost;
         self.after(
             pause_ms + MAX_ORDER_LATENCY_MS,
@@ -270,27 +275,27 @@
         number: FencingNumber,
         sent: u64,
     ) -> Result<(), String> {
-        if self.checks_fencing && number < self.highest {
+        if self.checks_fencing && number < self.highest_number {
             self.refused += 1;
             self.engine_answers(index, call, EngineAnswer::Fenced);
             return Ok(());
         }
-        self.highest = self.highest.max(number);
-        if (number, sent) < self.effective {
+        self.highest_number = self.highest_number.max(number);
+        if (number, sent) < self.last_effective {
             return Err(format!(
                 "order {sent} under {number:?} took effect after {:?}",
-                self.effective
+                self.last_effective
             ));
         }
-        self.effective = (number, sent);
-        self.engine = target;
+        self.last_effective = (number, sent);
+        self.engine_state = target;
         self.orders += 1;
         self.engine_answers(index, call, EngineAnswer::Accepted);
         Ok(())
     }
 
     fn engine_answers(&mut self, index: usize, call: u64, answer: EngineAnswer) {
-        let is_lost = self.is_rough() && self.rng.random_bool(0.2);
+        let is_lost = self.has_faults() && self.rng.random_bool(0.2);
         let answer = if is_lost { EngineAnswer::Lost } else { answer };
         let delay_ms = self.rng.random_range(1..100);
         self.after(delay_ms, Event::EngineAnswer(index, call, answer));
@@ -305,8 +310,8 @@
                 LeaseEffect::Renew { .. } => Millis(0),
             };
             let wait_ms = not_before.since(Millis(self.now_ms));
-            let way_ms = self.rng.random_range(1..100);
-            self.after(wait_ms + way_ms, Event::Store(index, effect));
+            let transit_ms = self.rng.random_range(1..100);
+            self.after(wait_ms + transit_ms, Event::Store(index, effect));
         }
     }
 
@@ -326,8 +331,8 @@
             },
             None => LeaseAnswer::Absent,
         };
-        let ttl_ms = match self.planted {
-            Planted::ShortLease => LEASE_TTL_MS / 20,
+        let ttl_ms = match self.bug {
+            InjectedBug::ShortLease => LEASE_TTL_MS / 20,
             _ => LEASE_TTL_MS,
         };
         let lost = if matches!(effect, LeaseEffect::Renew { .. }) {
@@ -335,7 +340,7 @@
         } else {
             0.1
         };
-        let is_lost_before = self.is_rough() && self.rng.random_bool(lost);
+        let is_lost_before = self.has_faults() && self.rng.random_bool(lost);
         let (call, answer) = match effect {
             LeaseEffect::Create { call, .. }
             | LeaseEffect::Read { call, .. }
@@ -365,14 +370,14 @@
                 }
             }
         };
-        let is_lost = self.is_rough() && self.rng.random_bool(0.1);
+        let is_lost = self.has_faults() && self.rng.random_bool(0.1);
         let answer = if is_lost { LeaseAnswer::Lost } else { answer };
-        let way_ms = self.rng.random_range(1..100);
-        self.after(way_ms, Event::StoreAnswer(index, call, answer));
+        let transit_ms = self.rng.random_range(1..100);
+        self.after(transit_ms, Event::StoreAnswer(index, call, answer));
     }
 }
 
-// More seeds outside CI: `CAROBWHEEL_SEEDS=10000 cargo test -p carobwheel-core --test order_runs`.
+// To run more seeds than CI: `CAROBWHEEL_SEEDS=10000 cargo test -p carobwheel-core --test order_runs`.
 fn seeds() -> u64 {
     let seeds = std::env::var("CAROBWHEEL_SEEDS").ok();
     seeds.map_or(200, |text| text.parse().expect("a number of seeds"))
@@ -383,7 +388,7 @@
 fn no_old_order_takes_effect_after_a_newer_one(checks_fencing: bool) {
     let (mut orders, mut refused) = (0, 0);
     for seed in 0..seeds() {
-        let outcome = World::new(seed, checks_fencing, Planted::Nothing).run();
+        let outcome = World::new(seed, checks_fencing, InjectedBug::Nothing).run();
         let counts = outcome.unwrap_or_else(|err| panic!("seed {seed}: {err}"));
         orders += counts.0;
         refused += counts.1;
@@ -392,12 +397,12 @@
     assert!(orders > 0);
 }
 
-#[test_case(Planted::SendWithoutPermit)]
-#[test_case(Planted::NoWait)]
-#[test_case(Planted::ShortLease)]
-fn a_planted_fault_is_caught(planted: Planted) {
-    let is_caught = |seed: &u64| World::new(*seed, false, planted).run().is_err();
+#[test_case(InjectedBug::SendWithoutPermit)]
+#[test_case(InjectedBug::NoInitialWait)]
+#[test_case(InjectedBug::ShortLease)]
+fn an_injected_bug_is_detected(bug: InjectedBug) {
+    let is_caught = |seed: &u64| World::new(*seed, false, bug).run().is_err();
     let caught = (0..200).filter(is_caught).count();
-    println!("{planted:?}: caught in {caught} of 200 seeds");
-    assert!(caught > 0, "{planted:?} was not caught");
+    println!("{bug:?}: caught in {caught} of 200 seeds");
+    assert!(caught > 0, "{bug:?} was not caught");
 }
