--- a/crates/core/src/once/action.rs
+++ b/crates/core/src/once/action.rs
@@ -61,7 +61,7 @@
     dispatches: u32,
     // Time of the first create request. The claim is not older than that.
     requested_at: Millis,
-    life_ms: u64,
+    lifetime_ms: u64,
     may_be_claimed: bool,
     claim_revision: Option<u64>,
     has_sent: bool,
@@ -80,7 +80,7 @@
             claim_calls: 0,
             dispatches: 0,
             requested_at: Millis(0),
-            life_ms: 0,
+            lifetime_ms: 0,
             may_be_claimed: false,
             claim_revision: None,
             has_sent: false,
@@ -102,7 +102,7 @@
             return self.dispatch(now);
         }
         self.requested_at = now;
-        self.life_ms =
+        self.lifetime_ms =
             self.spec.outcome_kept_ms + self.spec.deadline.since(now) + MAX_PROCESS_PAUSE_MS;
         self.create(now)
     }
@@ -158,7 +158,7 @@
         );
         let age_ms = now.since(self.requested_at);
         assert!(
-            age_ms + self.spec.outcome_kept_ms + MAX_PROCESS_PAUSE_MS <= self.life_ms,
+            age_ms + self.spec.outcome_kept_ms + MAX_PROCESS_PAUSE_MS <= self.lifetime_ms,
             "a claim outlasts the dispatch by the maximum process pause and the outcome retention"
         );
     }
@@ -186,12 +186,14 @@
         self.state = State::Claiming { reading: false };
         self.claim_calls += 1;
         // A repeated create keeps the expiry time of the first one.
-        let life_ms = self.life_ms.saturating_sub(now.since(self.requested_at));
+        let lifetime_ms = self
+            .lifetime_ms
+            .saturating_sub(now.since(self.requested_at));
         vec![Effect::Create {
             call: self.next_call(),
             key: self.key(),
             record: self.record(None),
-            life_ms,
+            lifetime_ms,
         }]
     }
 
@@ -401,7 +403,7 @@
             return Vec::new();
         };
         let is_written = !matches!(answer, StoreAnswer::Lost | StoreAnswer::NotSent);
-        if is_written || now.since(self.requested_at) >= self.life_ms {
+        if is_written || now.since(self.requested_at) >= self.lifetime_ms {
             return self.end();
         }
         let doublings = (*attempts - 1).min(16);
--- a/crates/core/src/once/effect.rs
+++ b/crates/core/src/once/effect.rs
@@ -147,7 +147,7 @@
         /// Value to write.
         record: ActionRecord,
         /// Minimum lifetime of the record from now, in milliseconds.
-        life_ms: u64,
+        lifetime_ms: u64,
     },
     /// Read the key on a fresh connection.
     ReadBack {
--- a/crates/core/src/once/lease.rs
+++ b/crates/core/src/once/lease.rs
@@ -38,15 +38,15 @@
 }
 
 impl LeasePool {
-    /// Chooses the lease for a record that has to exist for `life_ms` from `now`.
-    pub fn choose(&self, life_ms: u64, now: Millis) -> LeaseChoice {
-        let needed_until = now.plus(life_ms);
+    /// Chooses the lease for a record that has to exist for `lifetime_ms` from `now`.
+    pub fn choose(&self, lifetime_ms: u64, now: Millis) -> LeaseChoice {
+        let needed_until = now.plus(lifetime_ms);
         let longest_useful = needed_until.plus(LEASE_SHARING_MS + 1_000);
         let fits = |lease: &&Lease| (needed_until..=longest_useful).contains(&lease.ends_at);
         match self.leases.iter().find(fits) {
             Some(lease) => LeaseChoice::Use(lease.id),
             None => LeaseChoice::Grant {
-                ttl_s: (life_ms + LEASE_SHARING_MS).div_ceil(1_000),
+                ttl_s: (lifetime_ms + LEASE_SHARING_MS).div_ceil(1_000),
             },
         }
     }
--- a/crates/core/tests/once_cases.rs
+++ b/crates/core/tests/once_cases.rs
@@ -245,16 +245,16 @@
 
 #[test]
 fn one_lease_serves_a_minute_and_never_ends_before_its_records() {
-    let life_ms = 100_000;
+    let lifetime_ms = 100_000;
     let mut pool = LeasePool::default();
     let grant = LeaseChoice::Grant { ttl_s: 160 };
-    assert_eq!(pool.choose(life_ms, NOW), grant);
+    assert_eq!(pool.choose(lifetime_ms, NOW), grant);
     pool.granted(LeaseId(5), 160, NOW);
     for delay_ms in [0, 30_000, 60_000] {
-        let choice = pool.choose(life_ms, NOW.plus(delay_ms));
+        let choice = pool.choose(lifetime_ms, NOW.plus(delay_ms));
         assert_eq!(choice, LeaseChoice::Use(LeaseId(5)));
     }
-    assert_eq!(pool.choose(life_ms, NOW.plus(60_001)), grant);
+    assert_eq!(pool.choose(lifetime_ms, NOW.plus(60_001)), grant);
     let short = LeaseChoice::Grant { ttl_s: 61 };
     assert_eq!(
         pool.choose(1_000, NOW),
@@ -262,5 +262,5 @@
         "a long lease is not used for a short lifetime"
     );
     pool.forget(LeaseId(5));
-    assert_eq!(pool.choose(life_ms, NOW), grant);
+    assert_eq!(pool.choose(lifetime_ms, NOW), grant);
 }
--- a/crates/core/tests/once_world/mod.rs
+++ b/crates/core/tests/once_world/mod.rs
@@ -406,7 +406,7 @@
             Effect::Create {
                 key,
                 record,
-                life_ms,
+                lifetime_ms,
                 ..
             } => {
                 self.counts.writes += 1;
@@ -414,11 +414,11 @@
                 if is_present && self.bug != InjectedBug::StoreOverwrites {
                     return Some(found(self.store.get(key.as_str())));
                 }
-                let life_ms = match self.bug {
+                let lifetime_ms = match self.bug {
                     InjectedBug::ShortLease => 500,
-                    _ => *life_ms,
+                    _ => *lifetime_ms,
                 };
-                self.put(key, record, self.now_ms + life_ms)
+                self.put(key, record, self.now_ms + lifetime_ms)
             }
             Effect::WriteOutcome {
                 key,
--- a/crates/gateway/src/intake/action/claims.rs
+++ b/crates/gateway/src/intake/action/claims.rs
@@ -21,9 +21,9 @@
         }
     }
 
-    /// A lease on which a record lives for at least `life_ms`.
-    pub(super) async fn lease(&self, life_ms: u64, now: Millis) -> Option<LeaseId> {
-        let choice = self.leases().choose(life_ms, now);
+    /// A lease on which a record lives for at least `lifetime_ms`.
+    pub(super) async fn lease(&self, lifetime_ms: u64, now: Millis) -> Option<LeaseId> {
+        let choice = self.leases().choose(lifetime_ms, now);
         match choice {
             LeaseChoice::Use(lease) => Some(lease),
             LeaseChoice::Grant { ttl_s } => {
--- a/crates/gateway/src/intake/action/mod.rs
+++ b/crates/gateway/src/intake/action/mod.rs
@@ -126,9 +126,9 @@
                 call,
                 key,
                 record,
-                life_ms,
+                lifetime_ms,
             } => {
-                let answer = self.create(&key, &record, life_ms).await;
+                let answer = self.create(&key, &record, lifetime_ms).await;
                 vec![Input::Store { call, answer }]
             }
             Effect::ReadBack { call, key } => {
@@ -171,9 +171,14 @@
         }
     }
 
-    async fn create(&mut self, key: &OnceKey, record: &ActionRecord, life_ms: u64) -> StoreAnswer {
+    async fn create(
+        &mut self,
+        key: &OnceKey,
+        record: &ActionRecord,
+        lifetime_ms: u64,
+    ) -> StoreAnswer {
         let claims = &self.shared.claims;
-        let Some(lease) = claims.lease(life_ms, self.shared.clock.now()).await else {
+        let Some(lease) = claims.lease(lifetime_ms, self.shared.clock.now()).await else {
             return StoreAnswer::NotSent;
         };
         self.lease = Some(lease);
