--- a/crates/core/src/member/gossip.rs
+++ b/crates/core/src/member/gossip.rs
@@ -96,7 +96,7 @@
     fn updates_for(&self, to: &InstanceId, now: Millis) -> Vec<Update> {
         let mut updates = Vec::new();
         let receiver = self.table.get(to);
-        let is_stranger = receiver.is_none_or(|m| m.heard_at.is_none() || !m.is_present());
+        let is_stranger = receiver.is_none_or(|m| m.last_packet_at.is_none() || !m.is_present());
         if is_stranger || self.is_starting(now) {
             updates.push(Update::Record(self.own_member().record()));
         }
--- a/crates/core/src/member/members.rs
+++ b/crates/core/src/member/members.rs
@@ -49,7 +49,7 @@
     /// Highest document revision that the member has reported as in force.
     pub revision: u64,
     /// Time of the last packet from the member itself.
-    pub heard_at: Option<Millis>,
+    pub last_packet_at: Option<Millis>,
     /// Time at which the member's health last changed.
     pub changed_at: Millis,
 }
@@ -252,7 +252,7 @@
             is_reachable: self.is_region_reachable(&identity.region),
             is_listed: listed == Some(&identity.incarnation),
             revision: member.status.revision,
-            heard_at: member.heard_at,
+            last_packet_at: member.last_packet_at,
             changed_at: member.changed_at,
             identity,
         }
--- a/crates/core/src/member/receive.rs
+++ b/crates/core/src/member/receive.rs
@@ -178,7 +178,7 @@
         if member.identity.incarnation != packet.incarnation {
             return;
         }
-        member.heard_at = Some(now);
+        member.last_packet_at = Some(now);
         let region = member.identity.region.clone();
         let is_not_alive = member.status.health != Health::Alive;
         self.regions.record_packet(&region, now);
--- a/crates/core/src/member/region.rs
+++ b/crates/core/src/member/region.rs
@@ -23,9 +23,9 @@
 #[derive(Clone, Debug)]
 struct RegionState {
     counter: u64,
-    heard_at: Millis,
+    last_seen_at: Millis,
     next_probe_at: Millis,
-    is_silent: bool,
+    is_unreachable: bool,
 }
 
 /// States of all known regions, and contacts that failed recently.
@@ -39,9 +39,9 @@
     fn entry(&mut self, region: &RegionId, now: Millis) -> &mut RegionState {
         self.states.entry(region.clone()).or_insert(RegionState {
             counter: 0,
-            heard_at: now,
+            last_seen_at: now,
             next_probe_at: now,
-            is_silent: false,
+            is_unreachable: false,
         })
     }
 
@@ -59,7 +59,7 @@
 
     /// Records the arrival of a packet from a member of `region`.
     pub(super) fn record_packet(&mut self, region: &RegionId, now: Millis) {
-        self.entry(region, now).heard_at = now;
+        self.entry(region, now).last_seen_at = now;
     }
 
     pub(super) fn merge_heartbeat(&mut self, heartbeat: RegionHeartbeat, now: Millis) {
@@ -68,7 +68,7 @@
         if let Some((_, state)) = known {
             if heartbeat.counter > state.counter {
                 state.counter = heartbeat.counter;
-                state.heard_at = now;
+                state.last_seen_at = now;
             }
         }
     }
@@ -76,17 +76,17 @@
     pub(super) fn is_reachable(&self, region: &RegionId) -> bool {
         self.states
             .get(region)
-            .is_some_and(|state| !state.is_silent)
+            .is_some_and(|state| !state.is_unreachable)
     }
 
     pub(super) fn silent_ms(&self, region: &RegionId, now: Millis) -> u64 {
         let state = self.states.get(region);
-        state.map_or(0, |state| now.since(state.heard_at))
+        state.map_or(0, |state| now.since(state.last_seen_at))
     }
 
     pub(super) fn reset_silence(&mut self, now: Millis) {
         for state in self.states.values_mut() {
-            state.heard_at = now;
+            state.last_seen_at = now;
         }
     }
 
@@ -128,11 +128,11 @@
         let mut events = Vec::new();
         for (region, state) in &mut self.regions.states {
             let is_silent =
-                *region != self.own_region && now.since(state.heard_at) >= REGION_TIMEOUT_MS;
-            if is_silent == state.is_silent {
+                *region != self.own_region && now.since(state.last_seen_at) >= REGION_TIMEOUT_MS;
+            if is_silent == state.is_unreachable {
                 continue;
             }
-            state.is_silent = is_silent;
+            state.is_unreachable = is_silent;
             let region = region.clone();
             events.push(if is_silent {
                 MemberEvent::RegionSilent { region }
@@ -153,7 +153,7 @@
             if now < state.next_probe_at {
                 continue;
             }
-            let period_ms = if state.is_silent {
+            let period_ms = if state.is_unreachable {
                 UNREACHABLE_REGION_PERIOD_MS
             } else {
                 REGION_PERIOD_MS
--- a/crates/core/src/member/table.rs
+++ b/crates/core/src/member/table.rs
@@ -25,7 +25,7 @@
     /// Whether a packet or gossip has confirmed the member, not the live list alone.
     pub(super) is_confirmed: bool,
     /// Time of the last packet from the member itself.
-    pub(super) heard_at: Option<Millis>,
+    pub(super) last_packet_at: Option<Millis>,
     /// Time at which sequence or health last changed.
     pub(super) changed_at: Millis,
     pub(super) key: [u8; 4],
@@ -39,7 +39,7 @@
             status,
             entries: BTreeMap::new(),
             is_confirmed: false,
-            heard_at: None,
+            last_packet_at: None,
             changed_at: now,
             key,
         }
