--- a/crates/core/tests/once_runs.rs
+++ b/crates/core/tests/once_runs.rs
@@ -7,15 +7,15 @@
 use test_case::test_case;
 
 const FREQUENT_FAULTS: FaultRates = FaultRates {
-    lost: 0.3,
-    refused: 0.2,
+    store_call_lost: 0.3,
+    connect_failed: 0.2,
     response_lost: 0.2,
     has_failures: true,
     deduplicates: false,
 };
 const NO_FAULTS: FaultRates = FaultRates {
-    lost: 0.0,
-    refused: 0.0,
+    store_call_lost: 0.0,
+    connect_failed: 0.0,
     response_lost: 0.0,
     has_failures: false,
     deduplicates: false,
@@ -85,11 +85,11 @@
 #[test_case(InjectedBug::ShortLease)]
 #[test_case(InjectedBug::LostReportedAsWritten)]
 fn an_injected_bug_is_detected(bug: InjectedBug) {
-    let is_caught = |seed: &u64| {
+    let is_detected = |seed: &u64| {
         let outcome = catch_unwind(AssertUnwindSafe(|| run(*seed, FREQUENT_FAULTS, bug)));
         !matches!(outcome, Ok(Ok(_)))
     };
-    let caught = (0..300).filter(is_caught).count();
-    println!("{bug:?}: caught in {caught} of 300 seeds");
-    assert!(caught > 0, "{bug:?} was not caught");
+    let detected = (0..300).filter(is_detected).count();
+    println!("{bug:?}: detected in {detected} of 300 seeds");
+    assert!(detected > 0, "{bug:?} was not detected");
 }
--- a/crates/core/tests/once_world/mod.rs
+++ b/crates/core/tests/once_world/mod.rs
@@ -32,9 +32,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FaultRates {
     /// Probability that a store call is lost; half of the lost calls take effect.
-    pub(crate) lost: f64,
+    pub(crate) store_call_lost: f64,
     /// Probability that a connection to the upstream fails.
-    pub(crate) refused: f64,
+    pub(crate) connect_failed: f64,
     /// Probability that the response of the upstream is lost.
     pub(crate) response_lost: f64,
     /// Whether process pauses, crashes, a store outage and disconnecting callers occur.
@@ -43,10 +43,10 @@
     pub(crate) deduplicates: bool,
 }
 
-const KEPT_MS: u64 = 5_000;
+const OUTCOME_KEPT_MS: u64 = 5_000;
 const DEADLINE_MS: u64 = 3_000;
 const CALL_TIMEOUT_MS: u64 = 400;
-const TRANSIT_MS: u64 = 90;
+const MAX_TRANSIT_MS: u64 = 90;
 
 enum Event {
     Start(usize),
@@ -141,11 +141,11 @@
             runs: BTreeMap::new(),
             counts: Counts::default(),
         };
-        world.plan();
+        world.schedule_attempts();
         world
     }
 
-    fn plan(&mut self) {
+    fn schedule_attempts(&mut self) {
         for key in 0..3 {
             for _ in 0..self.rng.random_range(2..6) {
                 let at_ms = self.rng.random_range(0..12_000) / 500 * 500;
@@ -158,7 +158,7 @@
                 self.rng.random_range(0..12_000),
                 self.rng.random_range(0..3),
             );
-            self.at(at_ms, Event::Crash(instance));
+            self.schedule_at(at_ms, Event::Crash(instance));
         }
     }
 
@@ -168,7 +168,7 @@
             key: Some(OnceKey::new(&account, &format!("key-{key}")).expect("a valid key")),
             request_sha256: [body; 32],
             deadline: Millis(at_ms + DEADLINE_MS),
-            outcome_kept_ms: KEPT_MS,
+            outcome_kept_ms: OUTCOME_KEPT_MS,
             deduplicates: self.faults.deduplicates,
         };
         let writer = match self.bug {
@@ -184,24 +184,24 @@
             is_lost: false,
             answers: Vec::new(),
         });
-        self.at(at_ms, Event::Start(index));
-        self.at(
+        self.schedule_at(at_ms, Event::Start(index));
+        self.schedule_at(
             at_ms + DEADLINE_MS,
             Event::Input(index, Input::DeadlinePassed),
         );
         if self.faults.has_failures && self.rng.random_bool(0.1) {
             let gone_ms = at_ms + self.rng.random_range(1..1_000);
-            self.at(gone_ms, Event::Input(index, Input::CallerGone));
+            self.schedule_at(gone_ms, Event::Input(index, Input::CallerGone));
         }
     }
 
-    fn at(&mut self, at_ms: u64, event: Event) {
+    fn schedule_at(&mut self, at_ms: u64, event: Event) {
         self.sequence += 1;
         self.events.insert((at_ms, self.sequence), event);
     }
 
-    fn after(&mut self, delay_ms: u64, event: Event) {
-        self.at(self.now_ms + delay_ms, event);
+    fn schedule_after(&mut self, delay_ms: u64, event: Event) {
+        self.schedule_at(self.now_ms + delay_ms, event);
     }
 
     // Defers an event to the end of the pause if its instance is paused; otherwise returns it.
@@ -210,19 +210,19 @@
         if until_ms <= self.now_ms {
             return Some(event);
         }
-        self.at(until_ms, event);
+        self.schedule_at(until_ms, event);
         None
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::StoreCallArrives(attempt, effect) => self.store_call(attempt, &effect),
-            Event::RequestArrives(attempt, call) => self.upstream(attempt, call),
+            Event::RequestArrives(attempt, call) => self.handle_request(attempt, call),
             Event::Crash(instance) => self.crash(instance),
             Event::Start(attempt) | Event::Input(attempt, _) | Event::Connected(attempt, _) => {
                 self.maybe_pause(attempt);
                 if let Some(event) = self.defer_if_paused(attempt, event) {
-                    self.at_instance(attempt, event);
+                    self.handle_at_instance(attempt, event);
                 }
             }
         }
@@ -255,7 +255,7 @@
         }
     }
 
-    fn at_instance(&mut self, index: usize, event: Event) {
+    fn handle_at_instance(&mut self, index: usize, event: Event) {
         let now = Millis(self.now_ms);
         let attempt = &mut self.attempts[index];
         if attempt.is_lost {
@@ -273,7 +273,7 @@
             _ => unreachable!("events of the store and the upstream are handled by the caller"),
         };
         for effect in effects {
-            self.effect(index, effect);
+            self.execute_effect(index, effect);
         }
     }
 
@@ -291,12 +291,12 @@
         } else {
             0
         };
-        let transit_ms = self.rng.random_range(1..TRANSIT_MS);
-        self.after(delay_ms + transit_ms, Event::RequestArrives(index, call));
+        let transit_ms = self.rng.random_range(1..MAX_TRANSIT_MS);
+        self.schedule_after(delay_ms + transit_ms, Event::RequestArrives(index, call));
         Vec::new()
     }
 
-    fn effect(&mut self, index: usize, effect: Effect) {
+    fn execute_effect(&mut self, index: usize, effect: Effect) {
         match effect {
             Effect::Create { call, .. } | Effect::ReadBack { call, .. } => {
                 self.send_to_store(index, Some(call), effect, 0);
@@ -338,12 +338,12 @@
                 }
                 _ => StoreAnswer::Lost,
             };
-            self.after(
+            self.schedule_after(
                 timeout_ms,
                 Event::Input(index, Input::Store { call, answer }),
             );
         }
-        let is_lost_before = self.rng.random_bool(self.faults.lost / 2.0);
+        let is_lost_before = self.rng.random_bool(self.faults.store_call_lost / 2.0);
         if is_lost_before && self.rng.random_bool(0.5) {
             return;
         }
@@ -353,8 +353,8 @@
         } else {
             0
         };
-        let transit_ms = self.rng.random_range(1..TRANSIT_MS);
-        self.after(
+        let transit_ms = self.rng.random_range(1..MAX_TRANSIT_MS);
+        self.schedule_after(
             wait_ms + late_ms + transit_ms,
             Event::StoreCallArrives(index, effect),
         );
@@ -364,7 +364,7 @@
         if self.store_down.contains(&self.now_ms) {
             if let (Some(call), true) = (call_of(effect), self.rng.random_bool(0.5)) {
                 let answer = StoreAnswer::NotSent;
-                self.after(1, Event::Input(index, Input::Store { call, answer }));
+                self.schedule_after(1, Event::Input(index, Input::Store { call, answer }));
             }
             return;
         }
@@ -374,16 +374,16 @@
             return;
         };
         let call = call_of(effect).expect("a call with an answer has a number");
-        if self.rng.random_bool(self.faults.lost / 2.0) {
+        if self.rng.random_bool(self.faults.store_call_lost / 2.0) {
             return;
         }
         // Responses may arrive late or twice.
-        for _ in 0..=u8::from(self.rng.random_bool(self.faults.lost / 3.0)) {
-            let is_late = self.rng.random_bool(self.faults.lost / 6.0);
+        for _ in 0..=u8::from(self.rng.random_bool(self.faults.store_call_lost / 3.0)) {
+            let is_late = self.rng.random_bool(self.faults.store_call_lost / 6.0);
             let late_ms = if is_late { 600 } else { 0 };
-            let transit_ms = self.rng.random_range(1..TRANSIT_MS) + late_ms;
+            let transit_ms = self.rng.random_range(1..MAX_TRANSIT_MS) + late_ms;
             let answer = answer.clone();
-            self.after(
+            self.schedule_after(
                 transit_ms,
                 Event::Input(index, Input::Store { call, answer }),
             );
@@ -462,14 +462,14 @@
 
     fn dispatch(&mut self, index: usize, call: u32) {
         let delay_ms = self.rng.random_range(1..50);
-        if self.rng.random_bool(self.faults.refused) {
-            self.after(delay_ms, Event::Input(index, not_sent(call)));
+        if self.rng.random_bool(self.faults.connect_failed) {
+            self.schedule_after(delay_ms, Event::Input(index, not_sent(call)));
         } else {
-            self.after(delay_ms, Event::Connected(index, call));
+            self.schedule_after(delay_ms, Event::Connected(index, call));
         }
     }
 
-    fn upstream(&mut self, index: usize, call: u32) {
+    fn handle_request(&mut self, index: usize, call: u32) {
         let key = self.attempts[index].key;
         let runs = self.runs.entry(key).or_default();
         let is_duplicate = self.faults.deduplicates && !runs.is_empty();
@@ -482,7 +482,7 @@
             let event = UpstreamEvent::Failed {
                 may_have_sent_bytes: self.bug != InjectedBug::SentReportedAsUnsent,
             };
-            self.after(
+            self.schedule_after(
                 delay_ms,
                 Event::Input(index, Input::Upstream { call, event }),
             );
@@ -490,7 +490,7 @@
         }
         if self.rng.random_bool(0.5) {
             let event = UpstreamEvent::Head;
-            self.after(
+            self.schedule_after(
                 delay_ms,
                 Event::Input(index, Input::Upstream { call, event }),
             );
@@ -498,14 +498,14 @@
         let first = self.runs[&key].last().expect("a run was recorded").1;
         if self.attempts[first].body != self.attempts[index].body {
             let event = UpstreamEvent::Refused;
-            self.after(
+            self.schedule_after(
                 delay_ms + 5,
                 Event::Input(index, Input::Upstream { call, event }),
             );
             return;
         }
         let event = UpstreamEvent::Done(outcome(first));
-        self.after(
+        self.schedule_after(
             delay_ms + 5,
             Event::Input(index, Input::Upstream { call, event }),
         );
@@ -515,7 +515,7 @@
         for (key, runs) in &self.runs {
             for pair in runs.windows(2) {
                 let apart_ms = pair[1].0 - pair[0].0;
-                if apart_ms < KEPT_MS {
+                if apart_ms < OUTCOME_KEPT_MS {
                     return Err(format!("key {key} ran twice within {apart_ms} ms"));
                 }
             }
@@ -533,20 +533,22 @@
             };
             let is_wrong = answer.run() == Execution::NotRun && ran.contains(&index);
             if is_wrong {
-                return Err(format!("attempt {index} ran and was told {answer:?}"));
+                return Err(format!("attempt {index} ran but was answered {answer:?}"));
             }
             if let Answer::Replay(kept) = answer {
                 let is_first = |run: &(u64, usize)| {
                     outcome(run.1) == *kept && self.attempts[run.1].body == attempt.body
                 };
                 if !self.runs[&attempt.key].iter().any(is_first) {
-                    return Err(format!("attempt {index} got the answer of another request"));
+                    return Err(format!(
+                        "attempt {index} got the response of another request"
+                    ));
                 }
             }
             if *answer == Answer::NotRun(NotRun::KeyReused) {
                 let is_other = |a: &Attempt| a.key == attempt.key && a.body != attempt.body;
                 if !self.attempts.iter().any(is_other) {
-                    return Err(format!("attempt {index} was told that its key was reused"));
+                    return Err(format!("attempt {index} was answered that its key was reused, but no request differs"));
                 }
             }
         }
--- a/crates/core/tests/order_runs.rs
+++ b/crates/core/tests/order_runs.rs
@@ -109,23 +109,23 @@
             orders: 0,
             refused: 0,
         };
-        world.at(1, Event::Tick(0));
-        world.at(2, Event::Tick(1));
+        world.schedule_at(1, Event::Tick(0));
+        world.schedule_at(2, Event::Tick(1));
         for version in 2..20 {
             let at_ms = world.rng.random_range(0..FAULT_PHASE_MS / 20)
                 + (version - 2) * FAULT_PHASE_MS / 20;
-            world.at(at_ms, Event::NewTarget(version));
+            world.schedule_at(at_ms, Event::NewTarget(version));
         }
         world
     }
 
-    fn at(&mut self, at_ms: u64, event: Event) {
+    fn schedule_at(&mut self, at_ms: u64, event: Event) {
         self.sequence += 1;
         self.events.insert((at_ms, self.sequence), event);
     }
 
-    fn after(&mut self, delay_ms: u64, event: Event) {
-        self.at(self.now_ms + delay_ms, event);
+    fn schedule_after(&mut self, delay_ms: u64, event: Event) {
+        self.schedule_at(self.now_ms + delay_ms, event);
     }
 
     fn has_faults(&self) -> bool {
@@ -168,7 +168,7 @@
             }
             let until_ms = self.holders[index].paused_until_ms;
             if until_ms > self.now_ms {
-                self.at(until_ms, event);
+                self.schedule_at(until_ms, event);
                 return Ok(());
             }
         }
@@ -207,7 +207,7 @@
     }
 
     fn tick(&mut self, index: usize) {
-        self.after(500, Event::Tick(index));
+        self.schedule_after(500, Event::Tick(index));
         let now = Millis(self.now_ms);
         let writer = WriterId(self.rng.random());
         let effects = self.holders[index].lease.tick(writer, now);
@@ -227,9 +227,11 @@
         for effect in holder.issuer.tick(now) {
             let delay_ms = self.rng.random_range(0..50);
             match effect {
-                IssuerEffect::Read { call, .. } => self.after(delay_ms, Event::Read(index, call)),
+                IssuerEffect::Read { call, .. } => {
+                    self.schedule_after(delay_ms, Event::Read(index, call))
+                }
                 IssuerEffect::Send { call, target, .. } => {
-                    self.after(delay_ms, Event::Send(index, call, target));
+                    self.schedule_after(delay_ms, Event::Send(index, call, target));
                 }
             }
         }
@@ -259,9 +261,9 @@
         let arrives = Event::Arrives(index, call, target, number, self.sent);
         let until_ms = &mut self.holders[index].paused_until_ms;
         *until_ms = self.now_ms.max(*until_ms) + pause_ms;
-        self.after(pause_ms + transit_ms, arrives);
+        self.schedule_after(pause_ms + transit_ms, arrives);
         let answer = EngineAnswer::Lost;
-        self.after(
+        self.schedule_after(
             pause_ms + MAX_ORDER_LATENCY_MS,
             Event::EngineAnswer(index, call, answer),
         );
@@ -298,7 +300,7 @@
         let is_lost = self.has_faults() && self.rng.random_bool(0.2);
         let answer = if is_lost { EngineAnswer::Lost } else { answer };
         let delay_ms = self.rng.random_range(1..100);
-        self.after(delay_ms, Event::EngineAnswer(index, call, answer));
+        self.schedule_after(delay_ms, Event::EngineAnswer(index, call, answer));
     }
 
     fn lease_effects(&mut self, index: usize, effects: Vec<LeaseEffect>) {
@@ -311,7 +313,7 @@
             };
             let wait_ms = not_before.since(Millis(self.now_ms));
             let transit_ms = self.rng.random_range(1..100);
-            self.after(wait_ms + transit_ms, Event::Store(index, effect));
+            self.schedule_after(wait_ms + transit_ms, Event::Store(index, effect));
         }
     }
 
@@ -373,7 +375,7 @@
         let is_lost = self.has_faults() && self.rng.random_bool(0.1);
         let answer = if is_lost { LeaseAnswer::Lost } else { answer };
         let transit_ms = self.rng.random_range(1..100);
-        self.after(transit_ms, Event::StoreAnswer(index, call, answer));
+        self.schedule_after(transit_ms, Event::StoreAnswer(index, call, answer));
     }
 }
 
@@ -401,8 +403,8 @@
 #[test_case(InjectedBug::NoInitialWait)]
 #[test_case(InjectedBug::ShortLease)]
 fn an_injected_bug_is_detected(bug: InjectedBug) {
-    let is_caught = |seed: &u64| World::new(*seed, false, bug).run().is_err();
-    let caught = (0..200).filter(is_caught).count();
-    println!("{bug:?}: caught in {caught} of 200 seeds");
-    assert!(caught > 0, "{bug:?} was not caught");
+    let is_detected = |seed: &u64| World::new(*seed, false, bug).run().is_err();
+    let detected = (0..200).filter(is_detected).count();
+    println!("{bug:?}: detected in {detected} of 200 seeds");
+    assert!(detected > 0, "{bug:?} was not detected");
 }
