--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -3,7 +3,7 @@
 use super::affinity::rendezvous;
 use super::knobs::{knobs, Knobs};
 use super::upstream::UpstreamState;
-use super::{Load, Request, Target};
+use super::{LatencyTarget, Load, Request};
 use crate::document::Objective;
 use crate::time::Millis;
 use rand::Rng;
@@ -109,7 +109,7 @@
     }
 
     /// Whether the prediction uses up no more than these shares of the target.
-    fn meets(&self, target: &Target, first_token_share: f64, between_share: f64) -> bool {
+    fn meets(&self, target: &LatencyTarget, first_token_share: f64, between_share: f64) -> bool {
         let first_token_ms = target.first_token_ms as f64 * first_token_share;
         let between_ms = target.between_tokens_ms as f64 * between_share;
         self.has_room
@@ -132,7 +132,7 @@
 
 /// Prompt tokens that the engine reads before this request's: engines honour priorities, so a short
 /// prompt waits for short ones and for the rest of one chunk only.
-fn ahead_tokens(load: &Load, target: &Target) -> f64 {
+fn ahead_tokens(load: &Load, target: &LatencyTarget) -> f64 {
     let long = load.long_prompt_tokens as f64;
     let ahead = if target.is_long {
         long
@@ -142,7 +142,12 @@
     load.prompt_tokens as f64 + ahead
 }
 
-fn has_room_for_long(load: &Load, slots: u64, state: &UpstreamState, target: &Target) -> bool {
+fn has_room_for_long(
+    load: &Load,
+    slots: u64,
+    state: &UpstreamState,
+    target: &LatencyTarget,
+) -> bool {
     if !target.is_long {
         return true;
     }
@@ -163,7 +168,12 @@
 }
 
 /// An engine with a cold cache is given prompts no faster than it reads them.
-fn has_room_while_cold(load: &Load, state: &UpstreamState, target: &Target, now: Millis) -> bool {
+fn has_room_while_cold(
+    load: &Load,
+    state: &UpstreamState,
+    target: &LatencyTarget,
+    now: Millis,
+) -> bool {
     let warmth = state.warmth(now);
     if warmth >= 1.0 {
         return true;
--- a/crates/core/src/route/digest.rs
+++ b/crates/core/src/route/digest.rs
@@ -11,7 +11,7 @@
 /// Work of one instance on one upstream. Token counts are in units of 64 tokens, rounded up, which
 /// takes one or two bytes each on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DigestEntry {
+pub struct LoadDigestEntry {
     /// Hash of the upstream's name.
     pub upstream: [u8; 4],
     /// Requests in flight.
@@ -26,7 +26,7 @@
     pub output_units: u32,
 }
 
-impl DigestEntry {
+impl LoadDigestEntry {
     pub(super) fn new(upstream: [u8; 4], load: &Load) -> Self {
         let units = |tokens: u64| u32::try_from(tokens.div_ceil(UNIT_TOKENS)).unwrap_or(u32::MAX);
         let count = |requests: u64| u16::try_from(requests).unwrap_or(u16::MAX);
@@ -67,7 +67,7 @@
     /// Number of the digest; an older one than the last received is dropped.
     pub sequence: u64,
     /// Work on each upstream that has any.
-    pub entries: Vec<DigestEntry>,
+    pub entries: Vec<LoadDigestEntry>,
     /// Upstreams that are leaving.
     pub leaving: Vec<LeavingNotice>,
 }
--- a/crates/core/src/route/flight.rs
+++ b/crates/core/src/route/flight.rs
@@ -7,7 +7,7 @@
 
 /// Name of one attempt of a request on one upstream, unique within a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct FlightId(pub u64);
+pub struct AttemptId(pub u64);
 
 /// One attempt of a request on one upstream.
 #[derive(Clone, Debug)]
--- a/crates/core/src/route/hops.rs
+++ b/crates/core/src/route/hops.rs
@@ -13,31 +13,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Hop {
     /// To an instance of the same region.
-    Within,
+    WithinRegion,
     /// To another region.
-    Across,
+    AcrossRegions,
 }
 
 /// Why a request may not go on to an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HopFault {
+pub enum HopError {
     /// The request has used up its forwards of this kind.
     TooMany(Hop),
     /// The request has been at the instance before.
     Visited(InstanceId),
 }
 
-impl fmt::Display for HopFault {
+impl fmt::Display for HopError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooMany(Hop::Within) => f.write_str("no second forward inside a region"),
-            Self::TooMany(Hop::Across) => f.write_str("no second forward across regions"),
+            Self::TooMany(Hop::WithinRegion) => f.write_str("no second forward inside a region"),
+            Self::TooMany(Hop::AcrossRegions) => f.write_str("no second forward across regions"),
             Self::Visited(instance) => write!(f, "instance `{instance}` was visited before"),
         }
     }
 }
 
-impl std::error::Error for HopFault {}
+impl std::error::Error for HopError {}
 
 /// Forwards and visited instances of a request; travels with it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -56,8 +56,8 @@
     /// Whether a forward of kind `hop` is left.
     pub fn is_allowed(&self, hop: Hop) -> bool {
         match hop {
-            Hop::Within => self.within < MAX_WITHIN,
-            Hop::Across => self.across < MAX_ACROSS,
+            Hop::WithinRegion => self.within < MAX_WITHIN,
+            Hop::AcrossRegions => self.across < MAX_ACROSS,
         }
     }
 
@@ -66,15 +66,15 @@
     /// # Errors
     ///
     /// Refuses a second visit, and counters beyond the limits, which a faulty peer may send.
-    pub fn arrive(mut self, instance: &InstanceId) -> Result<Self, HopFault> {
+    pub fn arrive(mut self, instance: &InstanceId) -> Result<Self, HopError> {
         if self.within > MAX_WITHIN {
-            return Err(HopFault::TooMany(Hop::Within));
+            return Err(HopError::TooMany(Hop::WithinRegion));
         }
         if self.across > MAX_ACROSS {
-            return Err(HopFault::TooMany(Hop::Across));
+            return Err(HopError::TooMany(Hop::AcrossRegions));
         }
         if self.visited.contains(instance) {
-            return Err(HopFault::Visited(instance.clone()));
+            return Err(HopError::Visited(instance.clone()));
         }
         self.visited.push(instance.clone());
         self.assert_bounded();
@@ -86,9 +86,9 @@
     /// # Errors
     ///
     /// Refuses a forward beyond the limits and a second visit.
-    pub fn forward(&self, hop: Hop, next: &InstanceId) -> Result<Self, HopFault> {
+    pub fn forward(&self, hop: Hop, next: &InstanceId) -> Result<Self, HopError> {
         if self.visited.contains(next) {
-            return Err(HopFault::Visited(next.clone()));
+            return Err(HopError::Visited(next.clone()));
         }
         self.used(hop)
     }
@@ -98,14 +98,14 @@
     /// # Errors
     ///
     /// Refuses a forward beyond the limits.
-    pub fn used(&self, hop: Hop) -> Result<Self, HopFault> {
+    pub fn used(&self, hop: Hop) -> Result<Self, HopError> {
         if !self.is_allowed(hop) {
-            return Err(HopFault::TooMany(hop));
+            return Err(HopError::TooMany(hop));
         }
         let mut hops = self.clone();
         match hop {
-            Hop::Within => hops.within += 1,
-            Hop::Across => hops.across += 1,
+            Hop::WithinRegion => hops.within += 1,
+            Hop::AcrossRegions => hops.across += 1,
         }
         hops.assert_bounded();
         Ok(hops)
--- a/crates/core/src/route/life.rs
+++ b/crates/core/src/route/life.rs
@@ -1,6 +1,6 @@
 //! The life of a placed request, which keeps the work in flight true.
 
-use super::flight::{Flight, FlightId};
+use super::flight::{AttemptId, Flight};
 use super::router::Router;
 use super::upstream::UpstreamState;
 use super::Placement;
@@ -15,8 +15,8 @@
     /// # Panics
     ///
     /// Panics if the placement is stale: the upstream has begun to leave since.
-    pub fn start(&mut self, placement: &Placement, now: Millis) -> FlightId {
-        let id = FlightId(self.next_flight);
+    pub fn start(&mut self, placement: &Placement, now: Millis) -> AttemptId {
+        let id = AttemptId(self.next_flight);
         self.next_flight += 1;
         let state = self
             .upstreams
@@ -42,7 +42,7 @@
     }
 
     /// The first token has arrived: the prompt is read.
-    pub fn first_token(&mut self, id: FlightId, now: Millis) {
+    pub fn first_token(&mut self, id: AttemptId, now: Millis) {
         let Some((flight, state)) = self.flight(id) else {
             return;
         };
@@ -62,7 +62,7 @@
     }
 
     /// So many output tokens have arrived in all.
-    pub fn progress(&mut self, id: FlightId, output_tokens: u64, now: Millis) {
+    pub fn progress(&mut self, id: AttemptId, output_tokens: u64, now: Millis) {
         let Some((flight, state)) = self.flight(id) else {
             return;
         };
@@ -85,7 +85,7 @@
     }
 
     /// The answer is complete.
-    pub fn finish(&mut self, id: FlightId) {
+    pub fn finish(&mut self, id: AttemptId) {
         let Some(flight) = self.remove_flight(id) else {
             return;
         };
@@ -98,17 +98,17 @@
     }
 
     /// The attempt has failed or was cancelled.
-    pub fn cancel(&mut self, id: FlightId) {
+    pub fn cancel(&mut self, id: AttemptId) {
         self.remove_flight(id);
     }
 
-    fn flight(&mut self, id: FlightId) -> Option<(&mut Flight, &mut UpstreamState)> {
+    fn flight(&mut self, id: AttemptId) -> Option<(&mut Flight, &mut UpstreamState)> {
         let flight = self.flights.get_mut(&id)?;
         let state = self.upstreams.get_mut(&flight.upstream)?;
         Some((flight, state))
     }
 
-    fn remove_flight(&mut self, id: FlightId) -> Option<Flight> {
+    fn remove_flight(&mut self, id: AttemptId) -> Option<Flight> {
         let flight = self.flights.remove(&id)?;
         let state = self
             .upstreams
--- a/crates/core/src/route/load.rs
+++ b/crates/core/src/route/load.rs
@@ -60,7 +60,7 @@
 
 /// An upstream's own report of its load, which lags.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Report {
+pub struct UpstreamReport {
     /// When the upstream measured it, on this instance's clock.
     pub measured_at: Millis,
     /// Requests that the upstream runs or queues.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -29,10 +29,10 @@
 
 pub use affinity::{prefix_hashes, PREFIX_BLOCK_TOKENS};
 pub use choice::Prediction;
-pub use digest::{DigestEntry, LeavingNotice, LoadDigest, DIGEST_LIFETIME_MS};
-pub use flight::FlightId;
-pub use hops::{Hop, HopFault, Hops};
-pub use load::{Load, Report};
-pub use request::{Placement, Refusal, Request, Target, Wanted};
-pub use router::{Delays, Router, Settings};
-pub use upstream::{LeavingSource, RAMP_MS};
+pub use digest::{LeavingNotice, LoadDigest, LoadDigestEntry, DIGEST_LIFETIME_MS};
+pub use flight::AttemptId;
+pub use hops::{Hop, HopError, Hops};
+pub use load::{Load, UpstreamReport};
+pub use request::{LatencyTarget, Placement, Refusal, Request, Requirement};
+pub use router::{NetworkDelays, Router, RouterSettings};
+pub use upstream::{LeavingSource, SLOW_START_MS};
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -1,9 +1,9 @@
 //! News of upstreams and peers that a router takes in, and what it tells its peers.
 
-use super::digest::{DigestEntry, LeavingNotice, LoadDigest, DIGEST_LIFETIME_MS};
+use super::digest::{LeavingNotice, LoadDigest, LoadDigestEntry, DIGEST_LIFETIME_MS};
 use super::router::{add_peer, Peer, Router};
 use super::upstream::UpstreamState;
-use super::{LeavingSource, Load, Report};
+use super::{LeavingSource, Load, UpstreamReport};
 use crate::id::{InstanceId, UpstreamId};
 use crate::time::Millis;
 
@@ -52,7 +52,7 @@
     }
 
     /// Takes in an upstream's own report.
-    pub fn report(&mut self, upstream: &UpstreamId, report: Report, now: Millis) {
+    pub fn report(&mut self, upstream: &UpstreamId, report: UpstreamReport, now: Millis) {
         self.register(upstream, report.registration, now);
         let Some(state) = self.upstreams.get_mut(upstream) else {
             return;
@@ -88,7 +88,7 @@
     pub fn digest(&self, sequence: u64) -> LoadDigest {
         let states = self.upstreams.values();
         let is_busy = |state: &&UpstreamState| !state.own.is_idle();
-        let entry = |state: &UpstreamState| DigestEntry::new(state.short_hash(), &state.own);
+        let entry = |state: &UpstreamState| LoadDigestEntry::new(state.short_hash(), &state.own);
         let notice = |state: &UpstreamState| LeavingNotice {
             upstream: state.short_hash(),
             registration: state.registration,
@@ -113,7 +113,7 @@
             return;
         }
         self.drop_peer(from);
-        let id = |entry: &DigestEntry| self.by_hash.get(&entry.upstream).cloned();
+        let id = |entry: &LoadDigestEntry| self.by_hash.get(&entry.upstream).cloned();
         let loads: Vec<_> = digest
             .entries
             .iter()
@@ -166,7 +166,7 @@
     }
 
     /// Attempts that this instance has in flight.
-    pub fn flights(&self) -> usize {
+    pub fn attempts_in_flight(&self) -> usize {
         self.flights.len()
     }
 }
--- a/crates/core/src/route/request.rs
+++ b/crates/core/src/route/request.rs
@@ -7,7 +7,7 @@
 
 /// What a request needs from an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wanted<'a> {
+pub enum Requirement<'a> {
     /// A version of a model.
     Model {
         /// The model.
@@ -21,10 +21,10 @@
 
 /// The latency that a request's class asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Target {
-    /// Target of the time to the first token, in milliseconds.
+pub struct LatencyTarget {
+    /// Target for the time to the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Target of the time between two tokens, in milliseconds.
+    /// Target for the time between two tokens, in milliseconds.
     pub between_tokens_ms: u64,
     /// Time left until the request's deadline, in milliseconds.
     pub remaining_ms: u64,
@@ -32,7 +32,7 @@
     pub is_long: bool,
 }
 
-impl Target {
+impl LatencyTarget {
     /// The target of `class` with `remaining_ms` left; every class but the most urgent is long.
     pub fn of_class(class: &Class, remaining_ms: u64) -> Self {
         Self {
@@ -60,7 +60,7 @@
     /// Name of the request.
     pub id: &'a RequestId,
     /// What the request needs.
-    pub wanted: Wanted<'a>,
+    pub requirement: Requirement<'a>,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
     /// Most tokens that may be generated.
@@ -68,7 +68,7 @@
     /// Hashes of the prompt's prefixes, one a block; see [`super::prefix_hashes`].
     pub prefix_hashes: &'a [u64],
     /// Latency that the class asks for.
-    pub target: Target,
+    pub target: LatencyTarget,
     /// Region that the request has to be served in, if it is bound.
     pub bound_region: Option<&'a RegionId>,
     /// The way the request has taken, this instance included.
@@ -84,7 +84,7 @@
     pub upstream: UpstreamId,
     /// The upstream's region.
     pub region: RegionId,
-    /// [`Hop::Across`] when the upstream stands in another region.
+    /// [`Hop::AcrossRegions`] when the upstream stands in another region.
     pub hop: Option<Hop>,
     /// The hops to send along, with this placement's hop counted.
     pub hops: Hops,
--- a/crates/core/src/route/router.rs
+++ b/crates/core/src/route/router.rs
@@ -1,7 +1,7 @@
 //! One instance's view of all upstreams, and placement on them.
 
 use super::choice::{choose, Candidate};
-use super::flight::{Flight, FlightId};
+use super::flight::{AttemptId, Flight};
 use super::upstream::UpstreamState;
 use super::{Hop, Load, Placement, Refusal, Request};
 use crate::document::{Document, Objective};
@@ -15,7 +15,7 @@
 
 /// One-way network delays from this instance, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Delays {
+pub struct NetworkDelays {
     /// To an upstream of the same data centre.
     pub same_data_centre_us: u64,
     /// To another data centre of the region.
@@ -26,13 +26,13 @@
 
 /// Settings of a router.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct RouterSettings {
     /// Region of this instance.
     pub region: RegionId,
     /// Data centre of this instance.
     pub data_centre: DataCentreId,
     /// Network delays from this instance.
-    pub delays: Delays,
+    pub delays: NetworkDelays,
 }
 
 pub(super) struct Peer {
@@ -43,12 +43,12 @@
 
 /// One instance's view of all upstreams. Owned by the deciding thread.
 pub struct Router {
-    settings: Settings,
+    settings: RouterSettings,
     objective: Objective,
     pub(super) upstreams: BTreeMap<UpstreamId, UpstreamState>,
     pub(super) by_hash: HashMap<[u8; 4], UpstreamId>,
     pub(super) peers: HashMap<InstanceId, Peer>,
-    pub(super) flights: HashMap<FlightId, Flight>,
+    pub(super) flights: HashMap<AttemptId, Flight>,
     pub(super) next_flight: u64,
     // Share of its bound that an answer uses, of short and of long requests.
     pub(super) output_share: [f64; 2],
@@ -56,7 +56,7 @@
 
 impl Router {
     /// A router with the upstreams of `document`.
-    pub fn new(settings: Settings, document: &Document, now: Millis) -> Self {
+    pub fn new(settings: RouterSettings, document: &Document, now: Millis) -> Self {
         let mut router = Self {
             settings,
             objective: document.policy.objective,
@@ -162,7 +162,8 @@
         request: &Request<'_>,
         now: Millis,
     ) -> (Vec<Candidate<'a>>, Vec<Candidate<'a>>) {
-        let may_leave = request.bound_region.is_none() && request.hops.is_allowed(Hop::Across);
+        let may_leave =
+            request.bound_region.is_none() && request.hops.is_allowed(Hop::AcrossRegions);
         let expected = self.expected_output_tokens(request);
         let mut home = Vec::new();
         let mut away = Vec::new();
@@ -170,7 +171,7 @@
             let is_home = state.spec.region == self.settings.region;
             let is_allowed = is_home || may_leave;
             let is_open = !state.is_leaving() && !state.is_ejected;
-            if !is_allowed || !is_open || !state.serves(&request.wanted) {
+            if !is_allowed || !is_open || !state.serves(&request.requirement) {
                 continue;
             }
             if request.tried.contains(id) {
@@ -216,7 +217,7 @@
     pub(super) fn placement(&self, chosen: &Candidate<'_>, request: &Request<'_>) -> Placement {
         let spec = &chosen.state.spec;
         let is_away = spec.region != self.settings.region;
-        let hop = is_away.then_some(Hop::Across);
+        let hop = is_away.then_some(Hop::AcrossRegions);
         let hops = match hop {
             Some(hop) => request.hops.used(hop),
             None => Ok(request.hops.clone()),
--- a/crates/core/src/route/tests.rs
+++ b/crates/core/src/route/tests.rs
@@ -1,7 +1,10 @@
 //! Planted faults: each assertion of the module stops a program that breaks its promise.
 
 use super::choice::Candidate;
-use super::{Delays, Hop, Hops, LeavingSource, Load, Request, Router, Settings, Target, Wanted};
+use super::{
+    Hop, Hops, LatencyTarget, LeavingSource, Load, NetworkDelays, Request, Requirement, Router,
+    RouterSettings,
+};
 use crate::document::{Document, Objective};
 use crate::id::{ModelId, RegionId, RequestId, UpstreamId, VersionId};
 use crate::time::Millis;
@@ -33,10 +36,10 @@
 fn router() -> Router {
     let json = routing::document_json(2, "cost");
     let document = Document::parse(json.as_bytes()).expect("a valid document");
-    let settings = Settings {
+    let settings = RouterSettings {
         region: "north".parse().expect("a name"),
         data_centre: "north-0".parse().expect("a name"),
-        delays: Delays {
+        delays: NetworkDelays {
             same_data_centre_us: 100,
             same_region_us: 1_000,
             other_region_us: 80_000,
@@ -48,14 +51,14 @@
 fn request<'a>(names: &'a Names, hops: &'a Hops, tried: &'a [UpstreamId]) -> Request<'a> {
     Request {
         id: &names.id,
-        wanted: Wanted::Model {
+        requirement: Requirement::Model {
             model: &names.model,
             version: &names.version,
         },
         prompt_tokens: 100,
         max_output_tokens: 100,
         prefix_hashes: &[],
-        target: Target {
+        target: LatencyTarget {
             first_token_ms: 480,
             between_tokens_ms: 30,
             remaining_ms: 10_000,
@@ -90,7 +93,9 @@
 #[should_panic(expected = "placed in another region without a hop left")]
 fn a_second_hop_across_regions_is_noticed() {
     let names = names();
-    let hops = Hops::default().used(Hop::Across).expect("a first hop");
+    let hops = Hops::default()
+        .used(Hop::AcrossRegions)
+        .expect("a first hop");
     let request = request(&names, &hops, &[]);
     plant(&router(), &request, "south-engine-0");
 }
--- a/crates/core/src/route/upstream.rs
+++ b/crates/core/src/route/upstream.rs
@@ -2,12 +2,12 @@
 
 use super::affinity::{self, PrefixView};
 use super::speed::Speed;
-use super::{Load, Report, Wanted};
+use super::{Load, Requirement, UpstreamReport};
 use crate::document::{Serves, Upstream};
 use crate::time::Millis;
 
 /// Time over which an upstream that comes back is given its full work, in milliseconds.
-pub const RAMP_MS: u64 = 20_000;
+pub const SLOW_START_MS: u64 = 20_000;
 /// Share of its work that an upstream gets at the start of the ramp.
 const RAMP_START: f64 = 0.15;
 /// Age at which an upstream's own report no longer counts, in milliseconds.
@@ -37,7 +37,7 @@
     pub(super) peers: Load,
     /// Peers that have work on the upstream.
     pub(super) busy_peers: u64,
-    pub(super) report: Option<Report>,
+    pub(super) report: Option<UpstreamReport>,
     pub(super) speed: Speed,
     pub(super) prefixes: PrefixView,
     pub(super) registration: u64,
@@ -82,17 +82,19 @@
         self.is_leaving_by_document || self.is_leaving_by_news
     }
 
-    pub(super) fn serves(&self, wanted: &Wanted<'_>) -> bool {
-        match (&self.spec.serves, wanted) {
+    pub(super) fn serves(&self, requirement: &Requirement<'_>) -> bool {
+        match (&self.spec.serves, requirement) {
             (
                 Serves::Engine {
                     model: has_model,
                     version: has_version,
                     ..
                 },
-                Wanted::Model { model, version },
+                Requirement::Model { model, version },
             ) => has_model == *model && has_version == *version,
-            (Serves::Service { service: has, .. }, Wanted::Service(service)) => has == *service,
+            (Serves::Service { service: has, .. }, Requirement::Service(service)) => {
+                has == *service
+            }
             _ => false,
         }
     }
@@ -163,6 +165,6 @@
     let Some(since) = since else {
         return 1.0;
     };
-    let progress = now.since(since) as f64 / RAMP_MS as f64;
+    let progress = now.since(since) as f64 / SLOW_START_MS as f64;
     (RAMP_START + (1.0 - RAMP_START) * progress).min(1.0)
 }
--- a/crates/core/tests/route_random.rs
+++ b/crates/core/tests/route_random.rs
@@ -6,8 +6,8 @@
 use carobwheel_core::document::Document;
 use carobwheel_core::id::{InstanceId, RegionId, UpstreamId};
 use carobwheel_core::route::{
-    Delays, FlightId, Hop, Hops, LeavingSource, LoadDigest, Refusal, Report, Request, Router,
-    Settings, Target, Wanted, DIGEST_LIFETIME_MS,
+    AttemptId, Hop, Hops, LatencyTarget, LeavingSource, LoadDigest, NetworkDelays, Refusal,
+    Request, Requirement, Router, RouterSettings, UpstreamReport, DIGEST_LIFETIME_MS,
 };
 use carobwheel_core::time::Millis;
 use rand::rngs::StdRng;
@@ -24,7 +24,7 @@
     id: InstanceId,
     region: RegionId,
     router: Router,
-    flights: Vec<(FlightId, UpstreamId, u64)>,
+    flights: Vec<(AttemptId, UpstreamId, u64)>,
 }
 
 struct World {
@@ -49,10 +49,10 @@
         let json = routing::document_json(3, objective);
         let document = Document::parse(json.as_bytes()).expect("a valid document");
         let instance = |name: &&str| {
-            let settings = Settings {
+            let settings = RouterSettings {
                 region: id(name),
                 data_centre: id(&format!("{name}-0")),
-                delays: Delays {
+                delays: NetworkDelays {
                     same_data_centre_us: 100,
                     same_region_us: 1_000,
                     other_region_us: 80_000,
@@ -106,7 +106,7 @@
         let instance = &mut self.instances[index];
         let mut hops = Hops::default();
         if self.rng.random_bool(0.3) {
-            hops = hops.used(Hop::Across).expect("a first hop");
+            hops = hops.used(Hop::AcrossRegions).expect("a first hop");
         }
         let hops = hops.arrive(&instance.id).expect("a first visit");
         let prompt_tokens = self.rng.random_range(1..20_000);
@@ -115,14 +115,14 @@
         let is_long = prompt_tokens > 2_048;
         let request = Request {
             id: &name,
-            wanted: Wanted::Model {
+            requirement: Requirement::Model {
                 model: &model,
                 version: &version,
             },
             prompt_tokens,
             max_output_tokens: self.rng.random_range(1..500),
             prefix_hashes: &prefix_hashes,
-            target: Target {
+            target: LatencyTarget {
                 first_token_ms: if is_long { 2_500 } else { 480 },
                 between_tokens_ms: 30,
                 remaining_ms: 10_000,
@@ -136,12 +136,12 @@
             Ok(placement) => {
                 let is_away = placement.region != instance.region;
                 assert!(!is_bound || placement.region == bound, "residency");
-                assert!(!is_away || hops.is_allowed(Hop::Across), "hops");
-                assert_eq!(placement.hop, is_away.then_some(Hop::Across));
+                assert!(!is_away || hops.is_allowed(Hop::AcrossRegions), "hops");
+                assert_eq!(placement.hop, is_away.then_some(Hop::AcrossRegions));
                 assert!(!instance.router.is_leaving(&placement.upstream), "leaving");
                 assert!(!tried.contains(&placement.upstream), "tried");
-                assert_eq!(placement.hops.is_allowed(Hop::Across), {
-                    hops.is_allowed(Hop::Across) && !is_away
+                assert_eq!(placement.hops.is_allowed(Hop::AcrossRegions), {
+                    hops.is_allowed(Hop::AcrossRegions) && !is_away
                 });
                 let flight = instance.router.start(&placement, self.now);
                 instance.flights.push((flight, placement.upstream, 0));
@@ -212,7 +212,7 @@
             }
             2 => router.set_ejected(upstream, self.rng.random_bool(0.3), self.now),
             3 => {
-                let report = Report {
+                let report = UpstreamReport {
                     measured_at: Millis(self.now.0.saturating_sub(1_000)),
                     requests: self.rng.random_range(0..12),
                     prompt_tokens: self.rng.random_range(0..20_000),
@@ -253,7 +253,7 @@
         let mut requests = 0;
         for instance in &mut self.instances {
             instance.router.expire(self.now);
-            assert_eq!(instance.router.flights(), 0);
+            assert_eq!(instance.router.attempts_in_flight(), 0);
             for upstream in &self.document.upstreams {
                 let load = instance.router.load(&upstream.id, self.now);
                 requests += load.map_or(0, |load| load.requests);
--- a/crates/ctl/src/experiment/placement/mod.rs
+++ b/crates/ctl/src/experiment/placement/mod.rs
@@ -4,7 +4,7 @@
 use carobwheel_core::{
     document::{Document, Serves, Upstream},
     id::{RegionId, RequestId},
-    route::{Delays, Hops, Request, Router, Settings, Target, Wanted},
+    route::{Hops, LatencyTarget, NetworkDelays, Request, Requirement, Router, RouterSettings},
     time::Millis,
 };
 use rand::{rngs::StdRng, Rng as _, SeedableRng as _};
@@ -49,10 +49,10 @@
     let mut rng = StdRng::seed_from_u64(args.seed);
     let document = document(args.engines)?;
     let region: RegionId = document.regions[0].id.clone();
-    let settings = Settings {
+    let settings = RouterSettings {
         data_centre: document.regions[0].data_centres[0].clone(),
         region,
-        delays: Delays {
+        delays: NetworkDelays {
             same_data_centre_us: 100,
             same_region_us: 1_000,
             other_region_us: 80_000,
@@ -88,14 +88,14 @@
     let model = &document.models[number as usize % MODELS];
     let request = Request {
         id: &id,
-        wanted: Wanted::Model {
+        requirement: Requirement::Model {
             model: &model.id,
             version: &model.version,
         },
         prompt_tokens: rng.random_range(20..2_000),
         max_output_tokens: 256,
         prefix_hashes: &[rng.random(), rng.random()],
-        target: Target::of_class(&document.classes[0], 20_000),
+        target: LatencyTarget::of_class(&document.classes[0], 20_000),
         bound_region: None,
         hops: &Hops::default(),
         tried: &[],
--- a/crates/ctl/src/experiment/routing/deployment.rs
+++ b/crates/ctl/src/experiment/routing/deployment.rs
@@ -5,7 +5,7 @@
     Account, Class, Document, Model, Objective, Policy, Region, Serves, Upstream, SCHEMA,
 };
 use carobwheel_core::id::{DataCentreId, InstanceId, RegionId};
-use carobwheel_core::route::Delays;
+use carobwheel_core::route::NetworkDelays;
 use carobwheel_standin::batch::EngineSettings;
 use std::ops::Range;
 
@@ -44,7 +44,7 @@
     pub(super) document: Document,
     pub(super) instances: Vec<InstanceSpec>,
     pub(super) engine: EngineSettings,
-    pub(super) delays: Delays,
+    pub(super) delays: NetworkDelays,
     /// Share of the requests of each account, in the document's order.
     pub(super) account_shares: Vec<f64>,
     /// Shape of each class, in the document's order.
@@ -205,7 +205,7 @@
     Deployment {
         instances: instances(&document.regions),
         engine,
-        delays: Delays {
+        delays: NetworkDelays {
             same_data_centre_us: 100,
             same_region_us: sizes.same_region_us,
             other_region_us: 80_000,
--- a/crates/ctl/src/experiment/routing/instance.rs
+++ b/crates/ctl/src/experiment/routing/instance.rs
@@ -6,7 +6,7 @@
 use carobwheel_core::document::Upstream;
 use carobwheel_core::id::RegionId;
 use carobwheel_core::retry::{Ejection, Group, Outliers, Retrier, RetrySettings};
-use carobwheel_core::route::{Router, Settings};
+use carobwheel_core::route::{Router, RouterSettings};
 use carobwheel_core::time::Millis;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
@@ -29,7 +29,7 @@
     pub(super) fn new(deployment: &Deployment, index: usize, seed: u64) -> Self {
         let spec = deployment.instances[index].clone();
         let document = &deployment.document;
-        let settings = Settings {
+        let settings = RouterSettings {
             region: spec.region.clone(),
             data_centre: spec.data_centre.clone(),
             delays: deployment.delays,
--- a/crates/ctl/src/experiment/routing/live.rs
+++ b/crates/ctl/src/experiment/routing/live.rs
@@ -2,7 +2,7 @@
 
 use carobwheel_core::id::{RequestId, UpstreamId};
 use carobwheel_core::retry::ResumePoint;
-use carobwheel_core::route::{FlightId, Hops};
+use carobwheel_core::route::{AttemptId, Hops};
 use carobwheel_standin::batch::JobId;
 
 /// Attempts that a job's name has room for.
@@ -33,7 +33,7 @@
     pub(super) attempts: u32,
     pub(super) tried: Vec<UpstreamId>,
     pub(super) engine: Option<usize>,
-    pub(super) flight: Option<FlightId>,
+    pub(super) flight: Option<AttemptId>,
     pub(super) last_token_at_us: Option<u64>,
     pub(super) resume: ResumePoint,
     pub(super) is_away: bool,
--- a/crates/ctl/src/experiment/routing/world/mod.rs
+++ b/crates/ctl/src/experiment/routing/world/mod.rs
@@ -13,7 +13,7 @@
 use super::workload::Arrival;
 use carobwheel_core::admit::{Entry, Next};
 use carobwheel_core::document::Document;
-use carobwheel_core::route::{Hops, Placement, Refusal, Request, Target, Wanted};
+use carobwheel_core::route::{Hops, LatencyTarget, Placement, Refusal, Request, Requirement};
 use carobwheel_core::time::Millis;
 use carobwheel_standin::batch::BatchEngine;
 
@@ -92,14 +92,14 @@
     };
     Request {
         id: &live.id,
-        wanted: Wanted::Model {
+        requirement: Requirement::Model {
             model: &model.id,
             version: &model.version,
         },
         prompt_tokens: arrival.prompt_tokens + live.resume.relayed_tokens(),
         max_output_tokens: arrival.max_output_tokens - live.resume.relayed_tokens(),
         prefix_hashes: &arrival.prefix_hashes,
-        target: Target::of_class(class, remaining_ms),
+        target: LatencyTarget::of_class(class, remaining_ms),
         bound_region: document.accounts[arrival.account].bound_region.as_ref(),
         hops: &live.hops,
         tried: &live.tried,
--- a/crates/ctl/src/experiment/routing/world/news.rs
+++ b/crates/ctl/src/experiment/routing/world/news.rs
@@ -2,7 +2,7 @@
 
 use super::{World, FAR_DIGEST_US, NEAR_DIGEST_US, REPORT_US, TICK_US};
 use crate::experiment::routing::event::Event;
-use carobwheel_core::route::{LeavingSource, Report};
+use carobwheel_core::route::{LeavingSource, UpstreamReport};
 use carobwheel_core::time::Millis;
 
 impl World<'_> {
@@ -46,7 +46,7 @@
                 continue;
             }
             let lagged = engine.batch.report(self.now_us);
-            let report = Report {
+            let report = UpstreamReport {
                 measured_at: Millis(lagged.measured_at_us / 1_000),
                 requests: lagged.requests,
                 prompt_tokens: lagged.prompt_tokens,
--- a/crates/gateway/src/decide/apply.rs
+++ b/crates/gateway/src/decide/apply.rs
@@ -6,13 +6,13 @@
     document::{Serves, Upstream},
     id::UpstreamId,
     retry::{Ejection, Group, Outliers, Retrier},
-    route::{Delays, Router, Settings},
+    route::{NetworkDelays, Router, RouterSettings},
     time::Millis,
 };
 use std::sync::Arc;
 
 /// One-way delays until they are measured.
-const DELAYS: Delays = Delays {
+const DELAYS: NetworkDelays = NetworkDelays {
     same_data_centre_us: 100,
     same_region_us: 1_000,
     other_region_us: 80_000,
@@ -45,7 +45,7 @@
                 configured.heed(back, now);
             }
             None => {
-                let settings = Settings {
+                let settings = RouterSettings {
                     region: self.identity.region.clone(),
                     data_centre: self.identity.data_centre.clone(),
                     delays: DELAYS,
--- a/crates/gateway/src/decide/ask.rs
+++ b/crates/gateway/src/decide/ask.rs
@@ -12,7 +12,7 @@
 use carobwheel_core::{
     admit::{Entry, Next},
     id::{ModelId, VersionId},
-    route::{self, Placement, Request, Wanted},
+    route::{self, Placement, Request, Requirement},
     slot::TOLERATED_PAUSE_MS,
     time::{Millis, UnixMillis},
 };
@@ -219,12 +219,12 @@
                     .iter()
                     .find(|known| known.id == *class)
                     .ok_or(route::Refusal::NoUpstream)?;
-                let target = route::Target::of_class(class, remaining_ms);
-                let wanted = Wanted::Model {
+                let target = route::LatencyTarget::of_class(class, remaining_ms);
+                let requirement = Requirement::Model {
                     model,
                     version: &version,
                 };
-                match self.seek(ask, wanted, target, rng) {
+                match self.seek(ask, requirement, target, rng) {
                     Ok(placement) => Ok(Chosen {
                         placement,
                         version: Some(version),
@@ -237,8 +237,8 @@
                 }
             }
             Target::Service { service, .. } => {
-                let target = route::Target::of_service(remaining_ms);
-                let placement = self.seek(ask, Wanted::Service(service), target, rng)?;
+                let target = route::LatencyTarget::of_service(remaining_ms);
+                let placement = self.seek(ask, Requirement::Service(service), target, rng)?;
                 Ok(Chosen {
                     placement,
                     version: None,
@@ -253,18 +253,18 @@
         &self,
         ask: &Ask,
         model: &ModelId,
-        target: route::Target,
+        target: route::LatencyTarget,
         rng: &mut impl Rng,
     ) -> Result<Chosen, route::Refusal> {
         let version = self
             .rollouts
             .old_version(model)
             .ok_or(route::Refusal::NoUpstream)?;
-        let wanted = Wanted::Model {
+        let requirement = Requirement::Model {
             model,
             version: &version,
         };
-        let placement = self.seek(ask, wanted, target, rng)?;
+        let placement = self.seek(ask, requirement, target, rng)?;
         Ok(Chosen {
             placement,
             version: Some(version),
@@ -275,13 +275,13 @@
     fn seek(
         &self,
         ask: &Ask,
-        wanted: Wanted<'_>,
-        target: route::Target,
+        requirement: Requirement<'_>,
+        target: route::LatencyTarget,
         rng: &mut impl Rng,
     ) -> Result<Placement, route::Refusal> {
         let request = Request {
             id: &ask.request,
-            wanted,
+            requirement,
             prompt_tokens: ask.prompt_tokens,
             max_output_tokens: ask.max_output_tokens,
             prefix_hashes: &ask.prefix,
--- a/crates/gateway/src/decide/forward.rs
+++ b/crates/gateway/src/decide/forward.rs
@@ -27,7 +27,7 @@
             refuse(ask, refusal);
             return;
         };
-        match ask.hops.forward(Hop::Across, &next.instance) {
+        match ask.hops.forward(Hop::AcrossRegions, &next.instance) {
             Ok(hops) => {
                 let step = Step::Forward(ForwardTo {
                     instance: next.instance,
--- a/crates/gateway/src/decide/state.rs
+++ b/crates/gateway/src/decide/state.rs
@@ -18,7 +18,7 @@
     identity::Caller,
     member::Members,
     retry::{Outliers, Retrier, RetrySettings},
-    route::{FlightId, LoadDigest, Router},
+    route::{AttemptId, LoadDigest, Router},
     slot::Peer,
     time::{Clock, Millis, UnixMillis},
 };
@@ -33,7 +33,7 @@
 
 /// A placement that has not been settled.
 pub(super) struct Open {
-    pub(super) flight: FlightId,
+    pub(super) flight: AttemptId,
     pub(super) upstream: UpstreamId,
     /// What the request says about a version, if a rollout decided it.
     pub(super) trial: Option<Trial>,
