--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -1,7 +1,7 @@
 //! The retry budget: retries and hedges are at most a share of the requests.
 
 /// Most retries that may be saved up, which bounds the burst of retries after a quiet time.
-pub const BUDGET_CAP: u64 = 100;
+pub const MAX_SAVED_RETRIES: u64 = 100;
 /// Parts of one retry; a request pays in one part for each percent of the share.
 const RETRY_PARTS: u64 = 100;
 
@@ -10,14 +10,14 @@
 /// Every instance keeps its own, so retries of the whole fleet are at most the same share of the
 /// requests of the whole fleet. It starts empty.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     share_pct: u32,
     pub(super) parts: u64,
     paid_in_parts: u64,
     retries: u64,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A budget of `share_pct` retries for each 100 requests.
     pub fn new(share_pct: u32) -> Self {
         Self {
@@ -37,7 +37,7 @@
     pub fn on_request(&mut self) {
         let parts = u64::from(self.share_pct);
         self.paid_in_parts += parts;
-        self.parts = (self.parts + parts).min(BUDGET_CAP * RETRY_PARTS);
+        self.parts = (self.parts + parts).min(MAX_SAVED_RETRIES * RETRY_PARTS);
     }
 
     /// Takes one retry or hedge; false if none is left.
--- a/crates/core/src/retry/outlier.rs
+++ b/crates/core/src/retry/outlier.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Largest share of a group that may be out at the same time.
-pub const EJECTED_SHARE_MAX: f64 = 0.5;
+pub const MAX_EJECTED_SHARE: f64 = 0.5;
 /// Errors in a row that eject.
 const CONSECUTIVE_ERRORS: u32 = 5;
 /// Share of errors that ejects.
@@ -23,7 +23,7 @@
 
 /// Upstreams that stand in for each other: those of one model version or service in one region.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Group {
+pub struct UpstreamGroup {
     /// The region.
     pub region: RegionId,
     /// Model and version, or service, as text.
@@ -32,21 +32,21 @@
 
 /// A change that the router has to be told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ejection {
+pub enum EjectionChange {
     /// The upstream is out.
-    Out {
+    Ejected {
         /// The upstream.
         upstream: UpstreamId,
         /// When it comes back.
         until: Millis,
     },
     /// The upstream is back.
-    Back(UpstreamId),
+    Readmitted(UpstreamId),
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Record {
-    group: Group,
+    group: UpstreamGroup,
     consecutive_errors: u32,
     answers: f64,
     errors: f64,
@@ -56,7 +56,7 @@
 }
 
 impl Record {
-    fn new(group: Group) -> Self {
+    fn new(group: UpstreamGroup) -> Self {
         Self {
             group,
             consecutive_errors: 0,
@@ -106,19 +106,19 @@
 
 /// Errors of all upstreams as one instance sees them.
 #[derive(Clone, Debug, Default)]
-pub struct Outliers {
+pub struct OutlierDetector {
     pub(super) records: BTreeMap<UpstreamId, Record>,
 }
 
-impl Outliers {
+impl OutlierDetector {
     /// Sets the upstreams and their groups; what is known of those that stay is kept.
     ///
     /// A group that shrinks may have too many of its members out: those that come back soonest are
     /// brought back at once, and returned.
     pub fn set_upstreams(
         &mut self,
-        upstreams: impl IntoIterator<Item = (UpstreamId, Group)>,
-    ) -> Vec<Ejection> {
+        upstreams: impl IntoIterator<Item = (UpstreamId, UpstreamGroup)>,
+    ) -> Vec<EjectionChange> {
         let mut former = std::mem::take(&mut self.records);
         for (id, group) in upstreams {
             let record = match former.remove(&id) {
@@ -140,7 +140,7 @@
         upstream: &UpstreamId,
         is_error: bool,
         now: Millis,
-    ) -> Option<Ejection> {
+    ) -> Option<EjectionChange> {
         let record = self.records.get_mut(upstream)?;
         record.count(is_error);
         if record.out_until.is_some() || !record.is_outlier() {
@@ -153,37 +153,37 @@
         }
         let until = self.records.get_mut(upstream)?.eject(now);
         self.assert_floor(&group);
-        Some(Ejection::Out {
+        Some(EjectionChange::Ejected {
             upstream: upstream.clone(),
             until,
         })
     }
 
     /// Brings back the upstreams whose ejection has ended. To be called about once a second.
-    pub fn expire(&mut self, now: Millis) -> Vec<Ejection> {
+    pub fn expire(&mut self, now: Millis) -> Vec<EjectionChange> {
         let mut back = Vec::new();
         for (id, record) in &mut self.records {
             if record.out_until.is_some_and(|until| until <= now) {
                 record.bring_back();
-                back.push(Ejection::Back(id.clone()));
+                back.push(EjectionChange::Readmitted(id.clone()));
             }
         }
         back
     }
 
     /// Whether the upstream is out.
-    pub fn is_out(&self, upstream: &UpstreamId) -> bool {
+    pub fn is_ejected(&self, upstream: &UpstreamId) -> bool {
         let record = self.records.get(upstream);
         record.is_some_and(|record| record.out_until.is_some())
     }
 
-    fn count_group(&self, group: &Group) -> (usize, usize) {
+    fn count_group(&self, group: &UpstreamGroup) -> (usize, usize) {
         let members = || self.records.values().filter(|r| r.group == *group);
         let out = members().filter(|r| r.out_until.is_some()).count();
         (members().count(), out)
     }
 
-    fn restore_floor(&mut self) -> Vec<Ejection> {
+    fn restore_floor(&mut self) -> Vec<EjectionChange> {
         let mut back = Vec::new();
         let out = |record: &Record| record.out_until;
         let mut by_end: Vec<_> = self
@@ -202,20 +202,20 @@
             }
             if let Some(record) = self.records.get_mut(&id) {
                 record.bring_back();
-                back.push(Ejection::Back(id));
+                back.push(EjectionChange::Readmitted(id));
             }
         }
         back
     }
 
-    pub(super) fn assert_floor(&self, group: &Group) {
+    pub(super) fn assert_floor(&self, group: &UpstreamGroup) {
         let (members, out) = self.count_group(group);
-        let most = (members as f64 * EJECTED_SHARE_MAX).floor() as usize;
+        let most = (members as f64 * MAX_EJECTED_SHARE).floor() as usize;
         assert!(out <= most, "{out} of {members} upstreams ejected");
     }
 }
 
 /// Members of a group of `members` that may be out; a group of one is never without its member.
 fn most_out(members: usize) -> usize {
-    (members as f64 * EJECTED_SHARE_MAX).floor() as usize
+    (members as f64 * MAX_EJECTED_SHARE).floor() as usize
 }
--- a/crates/core/src/retry/policy.rs
+++ b/crates/core/src/retry/policy.rs
@@ -1,6 +1,6 @@
 //! Whether a failed attempt is tried again.
 
-use super::Budget;
+use super::RetryBudget;
 use rand::Rng;
 
 /// How an attempt failed.
@@ -60,7 +60,7 @@
 
 /// Why a request is not tried again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GiveUp {
+pub enum GiveUpReason {
     /// The request is not idempotent and may have run.
     MayHaveRun,
     /// All attempts of the request are used up.
@@ -80,14 +80,14 @@
         after_ms: u64,
     },
     /// Report the failure to the caller.
-    GiveUp(GiveUp),
+    GiveUp(GiveUpReason),
 }
 
 /// Decides on retries and hedges of one instance.
 #[derive(Clone, Debug)]
 pub struct Retrier {
     settings: RetrySettings,
-    budget: Budget,
+    budget: RetryBudget,
 }
 
 impl Retrier {
@@ -95,7 +95,7 @@
     pub fn new(settings: RetrySettings) -> Self {
         Self {
             settings,
-            budget: Budget::new(settings.budget_pct),
+            budget: RetryBudget::new(settings.budget_pct),
         }
     }
 
@@ -121,17 +121,17 @@
         rng: &mut impl Rng,
     ) -> Decision {
         if !is_idempotent && !failure.is_not_run() {
-            return Decision::GiveUp(GiveUp::MayHaveRun);
+            return Decision::GiveUp(GiveUpReason::MayHaveRun);
         }
         if attempts >= self.settings.max_attempts {
-            return Decision::GiveUp(GiveUp::Attempts);
+            return Decision::GiveUp(GiveUpReason::Attempts);
         }
         let after_ms = self.backoff_ms(attempts, rng);
         if after_ms >= remaining_ms {
-            return Decision::GiveUp(GiveUp::Deadline);
+            return Decision::GiveUp(GiveUpReason::Deadline);
         }
         if !self.budget.try_take() {
-            return Decision::GiveUp(GiveUp::Budget);
+            return Decision::GiveUp(GiveUpReason::Budget);
         }
         Decision::Retry { after_ms }
     }
--- a/crates/core/src/retry/resume.rs
+++ b/crates/core/src/retry/resume.rs
@@ -4,7 +4,7 @@
 
 /// What to relay of a piece of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Relay {
+pub enum RelayAction {
     /// Relay the piece without its first `skip_tokens` tokens, which the caller has.
     Pass {
         /// Tokens at the start of the piece to leave out.
@@ -16,7 +16,7 @@
 
 /// A stream that does not fit what was relayed before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StreamFault {
+pub enum StreamError {
     /// Tokens are missing before the piece.
     Gap {
         /// Tokens relayed so far.
@@ -32,7 +32,7 @@
     AfterEnd,
 }
 
-impl fmt::Display for StreamFault {
+impl fmt::Display for StreamError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Gap {
@@ -49,7 +49,7 @@
     }
 }
 
-impl std::error::Error for StreamFault {}
+impl std::error::Error for StreamError {}
 
 /// What to ask of the next engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -101,22 +101,26 @@
     /// # Errors
     ///
     /// Reports tokens that are missing or too many; nothing of the piece may be relayed then.
-    pub fn on_piece(&mut self, position_tokens: u64, tokens: u64) -> Result<Relay, StreamFault> {
+    pub fn on_piece(
+        &mut self,
+        position_tokens: u64,
+        tokens: u64,
+    ) -> Result<RelayAction, StreamError> {
         if self.is_ended {
-            return Err(StreamFault::AfterEnd);
+            return Err(StreamError::AfterEnd);
         }
         if position_tokens > self.relayed_tokens {
-            return Err(StreamFault::Gap {
+            return Err(StreamError::Gap {
                 relayed_tokens: self.relayed_tokens,
                 position_tokens,
             });
         }
         let end_tokens = position_tokens.saturating_add(tokens);
         if end_tokens > self.max_output_tokens {
-            return Err(StreamFault::TooLong);
+            return Err(StreamError::TooLong);
         }
         if end_tokens <= self.relayed_tokens {
-            return Ok(Relay::Drop);
+            return Ok(RelayAction::Drop);
         }
         let skip_tokens = self.relayed_tokens - position_tokens;
         self.relayed_tokens = end_tokens;
@@ -125,7 +129,7 @@
             self.passed_tokens, self.relayed_tokens,
             "a token was doubled or lost"
         );
-        Ok(Relay::Pass { skip_tokens })
+        Ok(RelayAction::Pass { skip_tokens })
     }
 
     /// The final event has arrived.
@@ -138,11 +142,11 @@
     /// # Errors
     ///
     /// Reports an end without the final event.
-    pub fn on_close(&self) -> Result<(), StreamFault> {
+    pub fn on_close(&self) -> Result<(), StreamError> {
         if self.is_ended {
             return Ok(());
         }
-        Err(StreamFault::CutShort)
+        Err(StreamError::CutShort)
     }
 
     /// What to do after the stream broke.
--- a/crates/core/src/retry/tests.rs
+++ b/crates/core/src/retry/tests.rs
@@ -1,12 +1,12 @@
 //! Planted faults: each assertion of the module stops a program that breaks its promise.
 
-use super::{Budget, Group, Outliers, ResumePoint};
+use super::{OutlierDetector, ResumePoint, RetryBudget, UpstreamGroup};
 use crate::time::Millis;
 
 #[test]
 #[should_panic(expected = "more retries than the budget allows")]
 fn a_retry_that_was_not_paid_for_is_noticed() {
-    let mut budget = Budget::new(10);
+    let mut budget = RetryBudget::new(10);
     budget.on_request();
     budget.parts = 1_000;
     budget.try_take();
@@ -15,11 +15,11 @@
 #[test]
 #[should_panic(expected = "upstreams ejected")]
 fn an_ejection_below_the_floor_is_noticed() {
-    let group = Group {
+    let group = UpstreamGroup {
         region: "north".parse().expect("a name"),
         serves: "m/v1".to_owned(),
     };
-    let mut outliers = Outliers::default();
+    let mut outliers = OutlierDetector::default();
     let member = |name: &str| (name.parse().expect("a name"), group.clone());
     outliers.set_upstreams([member("a"), member("b"), member("c")]);
     for record in outliers.records.values_mut().take(2) {
--- a/crates/core/tests/retry_random.rs
+++ b/crates/core/tests/retry_random.rs
@@ -2,8 +2,8 @@
 
 use carobwheel_core::id::UpstreamId;
 use carobwheel_core::retry::{
-    BrokenStream, Decision, Ejection, Failure, GiveUp, Group, Outliers, Relay, ResumePoint,
-    Retrier, RetrySettings, StreamFault,
+    BrokenStream, Decision, EjectionChange, Failure, GiveUpReason, OutlierDetector, RelayAction,
+    ResumePoint, Retrier, RetrySettings, StreamError, UpstreamGroup,
 };
 use carobwheel_core::time::Millis;
 use rand::rngs::StdRng;
@@ -45,7 +45,7 @@
         }
         Decision::GiveUp(reason) => {
             assert_eq!(expected, "may have run");
-            assert_eq!(reason, GiveUp::MayHaveRun);
+            assert_eq!(reason, GiveUpReason::MayHaveRun);
         }
     }
 }
@@ -65,9 +65,12 @@
         )
     };
     let give_up = Decision::GiveUp;
-    assert_eq!(decide(&mut rich, 3, 10_000), give_up(GiveUp::Attempts));
-    assert_eq!(decide(&mut rich, 1, 0), give_up(GiveUp::Deadline));
-    assert_eq!(decide(&mut poor, 1, 10_000), give_up(GiveUp::Budget));
+    assert_eq!(
+        decide(&mut rich, 3, 10_000),
+        give_up(GiveUpReason::Attempts)
+    );
+    assert_eq!(decide(&mut rich, 1, 0), give_up(GiveUpReason::Deadline));
+    assert_eq!(decide(&mut poor, 1, 10_000), give_up(GiveUpReason::Budget));
     assert_eq!(rich.retries(), 0);
     assert!(!rich.try_hedge(false, 1_000, 500), "not idempotent");
     assert!(!rich.try_hedge(true, 499, 500), "not yet slow");
@@ -107,8 +110,8 @@
     }
 }
 
-fn group(region: usize) -> Group {
-    Group {
+fn group(region: usize) -> UpstreamGroup {
+    UpstreamGroup {
         region: format!("region-{region}").parse().expect("a name"),
         serves: "m/v1".to_owned(),
     }
@@ -120,7 +123,7 @@
 
 #[test]
 fn a_failing_upstream_is_out_for_longer_each_time_and_alone_it_stays() {
-    let mut outliers = Outliers::default();
+    let mut outliers = OutlierDetector::default();
     let pair = [(upstream(0, 0), group(0)), (upstream(0, 1), group(0))];
     outliers.set_upstreams(pair.into_iter().chain([(upstream(1, 0), group(1))]));
     let mut now = Millis(1_000_000);
@@ -128,13 +131,13 @@
     for _ in 0..3 {
         let ejections = (0..5).filter_map(|_| outliers.record(&upstream(0, 0), true, now));
         for ejection in ejections.collect::<Vec<_>>() {
-            let Ejection::Out { until, .. } = ejection else {
+            let EjectionChange::Ejected { until, .. } = ejection else {
                 panic!("{ejection:?}");
             };
             outs.push(until.since(now));
             now = until;
         }
-        let back = vec![Ejection::Back(upstream(0, 0))];
+        let back = vec![EjectionChange::Readmitted(upstream(0, 0))];
         assert_eq!(outliers.expire(now), back);
     }
     assert_eq!(outs, [5_000, 10_000, 20_000]);
@@ -147,7 +150,7 @@
 fn ejection_keeps_to_its_floor() {
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut outliers = Outliers::default();
+        let mut outliers = OutlierDetector::default();
         let mut out = BTreeSet::new();
         let mut sizes = [0; 3];
         let mut ejected = 0;
@@ -169,15 +172,15 @@
             events.extend(outliers.record(&upstream(region, index), is_error, now));
             for event in events {
                 match event {
-                    Ejection::Out { upstream, .. } => {
+                    EjectionChange::Ejected { upstream, .. } => {
                         ejected += 1;
-                        assert!(out.insert(upstream), "out twice");
+                        assert!(out.insert(upstream), "ejected twice");
                     }
-                    Ejection::Back(upstream) => assert!(out.remove(&upstream), "back twice"),
+                    EjectionChange::Readmitted(id) => assert!(out.remove(&id), "readmitted twice"),
                 }
             }
             for (region, size) in sizes.iter().enumerate() {
-                let of_region = |id: &&UpstreamId| outliers.is_out(id);
+                let of_region = |id: &&UpstreamId| outliers.is_ejected(id);
                 let ids: Vec<_> = (0..*size).map(|index| upstream(region, index)).collect();
                 let count = ids.iter().filter(of_region).count();
                 assert!(count * 2 <= *size, "seed {seed}: {count} of {size}");
@@ -202,10 +205,10 @@
             while position < breaks_at {
                 let tokens = rng.random_range(1..=(breaks_at - position));
                 match point.on_piece(position, tokens).expect("no gap") {
-                    Relay::Pass { skip_tokens } => {
+                    RelayAction::Pass { skip_tokens } => {
                         relayed.extend(position + skip_tokens..position + tokens);
                     }
-                    Relay::Drop => {}
+                    RelayAction::Drop => {}
                 }
                 position += tokens;
             }
@@ -226,17 +229,20 @@
 #[test]
 fn a_faulty_stream_is_noticed() {
     let mut point = ResumePoint::new(false, 10);
-    assert_eq!(point.on_piece(0, 4), Ok(Relay::Pass { skip_tokens: 0 }));
-    let gap = StreamFault::Gap {
+    assert_eq!(
+        point.on_piece(0, 4),
+        Ok(RelayAction::Pass { skip_tokens: 0 })
+    );
+    let gap = StreamError::Gap {
         relayed_tokens: 4,
         position_tokens: 5,
     };
     assert_eq!(point.on_piece(5, 1), Err(gap));
-    assert_eq!(point.on_piece(4, 7), Err(StreamFault::TooLong));
+    assert_eq!(point.on_piece(4, 7), Err(StreamError::TooLong));
     assert_eq!(point.on_break(), BrokenStream::Fail);
-    assert_eq!(point.on_close(), Err(StreamFault::CutShort));
+    assert_eq!(point.on_close(), Err(StreamError::CutShort));
     point.on_end();
-    assert_eq!(point.on_piece(4, 1), Err(StreamFault::AfterEnd));
+    assert_eq!(point.on_piece(4, 1), Err(StreamError::AfterEnd));
     assert_eq!(point.on_close(), Ok(()));
     assert_eq!(point.relayed_tokens(), 4);
 }
--- a/crates/ctl/src/experiment/routing/instance.rs
+++ b/crates/ctl/src/experiment/routing/instance.rs
@@ -5,7 +5,9 @@
 use carobwheel_core::admit::{Admit, AdmitSettings};
 use carobwheel_core::document::Upstream;
 use carobwheel_core::id::RegionId;
-use carobwheel_core::retry::{Ejection, Group, Outliers, Retrier, RetrySettings};
+use carobwheel_core::retry::{
+    EjectionChange, OutlierDetector, Retrier, RetrySettings, UpstreamGroup,
+};
 use carobwheel_core::route::{Router, RouterSettings};
 use carobwheel_core::time::Millis;
 use rand::rngs::StdRng;
@@ -17,7 +19,7 @@
     pub(super) router: Router,
     pub(super) admit: Admit<usize>,
     pub(super) retrier: Retrier,
-    pub(super) outliers: Outliers,
+    pub(super) outliers: OutlierDetector,
     /// Requests that the instance itself has on each engine, which baselines choose by.
     pub(super) in_flight: Vec<u64>,
     pub(super) turn: usize,
@@ -34,8 +36,8 @@
             data_centre: spec.data_centre.clone(),
             delays: deployment.delays,
         };
-        let mut outliers = Outliers::default();
-        let group = |upstream: &Upstream| Group {
+        let mut outliers = OutlierDetector::default();
+        let group = |upstream: &Upstream| UpstreamGroup {
             region: upstream.region.clone(),
             serves: "m/v1".to_owned(),
         };
@@ -70,7 +72,7 @@
     /// Counts the outcome of an attempt and leaves out an upstream that fails.
     pub(super) fn record(&mut self, upstream: &Upstream, is_error: bool, now: Millis) {
         let ejection = self.outliers.record(&upstream.id, is_error, now);
-        if let Some(Ejection::Out { upstream, .. }) = ejection {
+        if let Some(EjectionChange::Ejected { upstream, .. }) = ejection {
             self.router.set_ejected(&upstream, true, now);
         }
     }
@@ -79,7 +81,7 @@
     pub(super) fn expire(&mut self, now: Millis) {
         self.router.expire(now);
         for ejection in self.outliers.expire(now) {
-            if let Ejection::Back(upstream) = ejection {
+            if let EjectionChange::Readmitted(upstream) = ejection {
                 self.router.set_ejected(&upstream, false, now);
             }
         }
@@ -97,7 +99,7 @@
         let is_usable = |upstream: &Upstream| {
             !tried.contains(&upstream.id)
                 && !self.router.is_leaving(&upstream.id)
-                && !self.outliers.is_out(&upstream.id)
+                && !self.outliers.is_ejected(&upstream.id)
         };
         let in_region = |region: Option<&RegionId>| -> Vec<Eligible> {
             let upstreams = upstreams.iter().enumerate();
--- a/crates/ctl/src/experiment/routing/world/attempt.rs
+++ b/crates/ctl/src/experiment/routing/world/attempt.rs
@@ -4,7 +4,7 @@
 use crate::experiment::routing::event::Event;
 use crate::experiment::routing::instance::Instance;
 use crate::experiment::routing::live::{job_of, request_of, Stage};
-use carobwheel_core::retry::{Decision, Failure, Relay};
+use carobwheel_core::retry::{Decision, Failure, RelayAction};
 use carobwheel_standin::batch::{Job, JobId, Token};
 
 impl World<'_> {
@@ -98,7 +98,11 @@
             return false;
         }
         let relay = live.resume.on_piece(token.position, 1);
-        assert_eq!(relay, Ok(Relay::Pass { skip_tokens: 0 }), "a broken answer");
+        assert_eq!(
+            relay,
+            Ok(RelayAction::Pass { skip_tokens: 0 }),
+            "a broken answer"
+        );
         let router = &mut self.instances[arrival.instance].router;
         let last_us = live.last_token_at_us.replace(self.now_us);
         if let Some(last_us) = last_us {
--- a/crates/gateway/src/decide/apply.rs
+++ b/crates/gateway/src/decide/apply.rs
@@ -5,7 +5,7 @@
 use carobwheel_core::{
     document::{Serves, Upstream},
     id::UpstreamId,
-    retry::{Ejection, Group, Outliers, Retrier},
+    retry::{EjectionChange, OutlierDetector, Retrier, UpstreamGroup},
     route::{NetworkDelays, Router, RouterSettings},
     time::Millis,
 };
@@ -50,7 +50,7 @@
                     data_centre: self.identity.data_centre.clone(),
                     delays: DELAYS,
                 };
-                let mut outliers = Outliers::default();
+                let mut outliers = OutlierDetector::default();
                 outliers.set_upstreams(groups);
                 self.configured = Some(Configured {
                     router: Router::new(settings, &next.document, now),
@@ -72,14 +72,14 @@
 
 impl Configured {
     /// Tells the router which upstreams are ejected and which are back.
-    pub(super) fn heed(&mut self, changes: impl IntoIterator<Item = Ejection>, now: Millis) {
+    pub(super) fn heed(&mut self, changes: impl IntoIterator<Item = EjectionChange>, now: Millis) {
         for change in changes {
             match change {
-                Ejection::Out { upstream, .. } => {
+                EjectionChange::Ejected { upstream, .. } => {
                     log::warn!(upstream = upstream.as_str(); "upstream ejected");
                     self.router.set_ejected(&upstream, true, now);
                 }
-                Ejection::Back(upstream) => {
+                EjectionChange::Readmitted(upstream) => {
                     log::info!(upstream = upstream.as_str(); "upstream back");
                     self.router.set_ejected(&upstream, false, now);
                 }
@@ -88,12 +88,12 @@
     }
 }
 
-fn group_of(upstream: &Upstream) -> (UpstreamId, Group) {
+fn group_of(upstream: &Upstream) -> (UpstreamId, UpstreamGroup) {
     let serves = match &upstream.serves {
         Serves::Engine { model, version, .. } => format!("{model}/{version}"),
         Serves::Service { service, .. } => service.to_string(),
     };
-    let group = Group {
+    let group = UpstreamGroup {
         region: upstream.region.clone(),
         serves,
     };
--- a/crates/gateway/src/decide/settle.rs
+++ b/crates/gateway/src/decide/settle.rs
@@ -5,7 +5,7 @@
     state::State,
 };
 use carobwheel_core::{
-    retry::{Decision, GiveUp},
+    retry::{Decision, GiveUpReason},
     time::Millis,
 };
 
@@ -67,7 +67,7 @@
                 question.deadline.since(now),
                 &mut self.rng,
             ),
-            None => Decision::GiveUp(GiveUp::Budget),
+            None => Decision::GiveUp(GiveUpReason::Budget),
         };
         // The caller may have gone away.
         let _ = question.reply.send(decision);
--- a/crates/gateway/src/decide/state.rs
+++ b/crates/gateway/src/decide/state.rs
@@ -17,7 +17,7 @@
     id::{AccountId, UpstreamId},
     identity::Caller,
     member::Members,
-    retry::{Outliers, Retrier, RetrySettings},
+    retry::{OutlierDetector, Retrier, RetrySettings},
     route::{AttemptId, LoadDigest, Router},
     slot::Peer,
     time::{Clock, Millis, UnixMillis},
@@ -44,7 +44,7 @@
     pub(super) in_force: Arc<InForce>,
     pub(super) router: Router,
     pub(super) retrier: Retrier,
-    pub(super) outliers: Outliers,
+    pub(super) outliers: OutlierDetector,
 }
 
 /// The state behind every decision.
--- a/crates/gateway/src/decide/status.rs
+++ b/crates/gateway/src/decide/status.rs
@@ -55,7 +55,7 @@
                 upstream: upstream.id.to_string(),
                 requests: load.map_or(0, |load| load.requests),
                 is_leaving: configured.router.is_leaving(&upstream.id),
-                is_ejected: configured.outliers.is_out(&upstream.id),
+                is_ejected: configured.outliers.is_ejected(&upstream.id),
             }
         };
         let document = &configured.in_force.document;
