--- a/crates/core/src/document/mod.rs
+++ b/crates/core/src/document/mod.rs
@@ -61,7 +61,7 @@
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Key {
+pub struct ApiKey {
     /// Name by which operators withdraw the key.
     pub id: KeyId,
     /// SHA-256 digest of the key, as 64 hexadecimal digits.
@@ -85,7 +85,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub bound_region: Option<RegionId>,
     /// Keys that identify the account; may be empty.
-    pub keys: Vec<Key>,
+    pub keys: Vec<ApiKey>,
 }
 
 /// A latency class. A request belongs to the first class whose prompt bound it fits.
@@ -196,7 +196,7 @@
 /// One step of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Step {
+pub struct RolloutStep {
     /// Time at which the step begins, in milliseconds since the Unix epoch.
     pub at_unix_ms: UnixMillis,
     /// Share of requests that go to the new version from then on, out of 1,000,000.
@@ -216,7 +216,7 @@
     /// Version that traffic moves to.
     pub new_version: VersionId,
     /// Steps in order of time and share.
-    pub steps: Vec<Step>,
+    pub steps: Vec<RolloutStep>,
     /// Time by which the move is declared done or rolled back, in milliseconds since the Unix
     /// epoch.
     pub deadline_unix_ms: UnixMillis,
--- a/crates/core/src/evidence/cohort.rs
+++ b/crates/core/src/evidence/cohort.rs
@@ -11,7 +11,7 @@
 
 /// A request that has begun, at the instance that sent it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Ticket {
+pub struct RequestTicket {
     pub(super) rollout: RolloutTag,
     pub(super) route: RouteTag,
     number: u64,
@@ -51,14 +51,14 @@
         route: RouteTag,
         side: Side,
         now: Millis,
-    ) -> Ticket {
+    ) -> RequestTicket {
         self.pending.push_back(Pending {
             side,
             began_at: now,
             sample: None,
             is_abandoned: false,
         });
-        Ticket {
+        RequestTicket {
             rollout,
             route,
             number: self.front + self.pending.len() as u64 - 1,
@@ -67,7 +67,7 @@
 
     /// Takes what became of a request, and returns its version and whether it was counted as
     /// overdue before; none if it ended before.
-    pub(super) fn end(&mut self, ticket: Ticket, sample: Sample) -> Option<(Side, bool)> {
+    pub(super) fn end(&mut self, ticket: RequestTicket, sample: Sample) -> Option<(Side, bool)> {
         let Some(index) = ticket.number.checked_sub(self.front) else {
             return self.overdue.remove(&ticket.number).map(|side| (side, true));
         };
@@ -80,7 +80,7 @@
     }
 
     /// Leaves out a request that says nothing about its version.
-    pub(super) fn abandon(&mut self, ticket: Ticket) {
+    pub(super) fn abandon(&mut self, ticket: RequestTicket) {
         let Some(index) = ticket.number.checked_sub(self.front) else {
             self.overdue.remove(&ticket.number);
             return;
--- a/crates/core/src/evidence/counts.rs
+++ b/crates/core/src/evidence/counts.rs
@@ -13,7 +13,7 @@
 
 /// What a version can do worse than another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum RegressionKind {
     /// Requests fail.
     Failure,
     /// First tokens come late.
@@ -23,7 +23,11 @@
 }
 
 /// All kinds.
-pub const KINDS: [Kind; 3] = [Kind::Failure, Kind::SlowFirstToken, Kind::SlowTokens];
+pub const REGRESSION_KINDS: [RegressionKind; 3] = [
+    RegressionKind::Failure,
+    RegressionKind::SlowFirstToken,
+    RegressionKind::SlowTokens,
+];
 
 /// What became of one request.
 ///
@@ -76,21 +80,21 @@
         self.zip(earlier, u64::saturating_sub)
     }
 
-    /// Trials of `kind`.
-    pub fn trials(&self, kind: Kind) -> u64 {
+    /// TrialCounts of `kind`.
+    pub fn trials(&self, kind: RegressionKind) -> u64 {
         match kind {
-            Kind::Failure => self.requests,
-            Kind::SlowFirstToken => self.timed_first,
-            Kind::SlowTokens => self.timed_between,
+            RegressionKind::Failure => self.requests,
+            RegressionKind::SlowFirstToken => self.timed_first,
+            RegressionKind::SlowTokens => self.timed_between,
         }
     }
 
-    /// Trials of `kind` that went badly.
-    pub fn faults(&self, kind: Kind) -> u64 {
+    /// TrialCounts of `kind` that went badly.
+    pub fn faults(&self, kind: RegressionKind) -> u64 {
         match kind {
-            Kind::Failure => self.failures,
-            Kind::SlowFirstToken => self.slow_first,
-            Kind::SlowTokens => self.slow_between,
+            RegressionKind::Failure => self.failures,
+            RegressionKind::SlowFirstToken => self.slow_first,
+            RegressionKind::SlowTokens => self.slow_between,
         }
     }
 
@@ -108,14 +112,14 @@
 
 /// Counters of both versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Sides {
+pub struct VersionCounts {
     /// The old version.
     pub old: Counts,
     /// The new version.
     pub new: Counts,
 }
 
-impl Sides {
+impl VersionCounts {
     /// The larger of each counter.
     #[must_use]
     pub fn max(&self, other: &Self) -> Self {
--- a/crates/core/src/evidence/gathered.rs
+++ b/crates/core/src/evidence/gathered.rs
@@ -1,10 +1,10 @@
 //! All evidence that an instance has.
 
-use super::cohort::{Cohort, Ticket};
+use super::cohort::{Cohort, RequestTicket};
 use super::reference::References;
 use super::{
-    Digest, OriginCells, OriginTag, RegionCells, RolloutTag, RouteCell, RouteTag, Sample, Side,
-    Sides, Suspicion,
+    EvidenceDigest, OriginCounts, OriginTag, RegionCounts, RolloutTag, RouteCounts, RouteTag,
+    Sample, Side, Suspicion, VersionCounts,
 };
 use crate::id::RegionId;
 use crate::rollout::Verdict;
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often a change is sent on before it counts as spread.
-pub const SENDS_OF_A_CHANGE: u8 = 4;
+pub const SENDS_PER_CHANGE: u8 = 4;
 
 /// A source of counters whose requests may be compared with each other.
 ///
@@ -28,7 +28,7 @@
 
 /// Counters that have grown.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct EvidenceChange {
     /// Rollout that they belong to.
     pub rollout: RolloutTag,
     /// Route that they belong to.
@@ -36,12 +36,12 @@
     /// Source that they come from.
     pub stratum: Stratum,
     /// Counters now.
-    pub sides: Sides,
+    pub counts: VersionCounts,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Cell {
-    sides: Sides,
+    counts: VersionCounts,
     sends_left: u8,
 }
 
@@ -80,7 +80,7 @@
         route: RouteTag,
         side: Side,
         now: Millis,
-    ) -> Ticket {
+    ) -> RequestTicket {
         let cohort = self.cohorts.entry((rollout, route)).or_default();
         cohort.begin(rollout, route, side, now)
     }
@@ -89,7 +89,7 @@
     ///
     /// A request that fails later is reported a second time by [`Self::fail_late`]. Nothing is
     /// counted before [`Self::count`], but for failures of overdue requests.
-    pub fn end(&mut self, ticket: Ticket, sample: Sample) {
+    pub fn end(&mut self, ticket: RequestTicket, sample: Sample) {
         let key = (ticket.rollout, ticket.route);
         let Some(cohort) = self.cohorts.get_mut(&key) else {
             return;
@@ -107,7 +107,7 @@
 
     /// Leaves out a request that says nothing about its version, such as one whose caller has gone
     /// before its first token.
-    pub fn abandon(&mut self, ticket: Ticket) {
+    pub fn abandon(&mut self, ticket: RequestTicket) {
         let key = (ticket.rollout, ticket.route);
         if let Some(cohort) = self.cohorts.get_mut(&key) {
             cohort.abandon(ticket);
@@ -118,32 +118,32 @@
     pub fn fail_late(&mut self, rollout: RolloutTag, route: RouteTag, side: Side) {
         let key = (Stratum::Origin(self.origin), (rollout, route));
         let cell = self.cells.entry(key).or_default();
-        cell.sides.side_mut(side).failures += 1;
-        cell.sends_left = SENDS_OF_A_CHANGE;
+        cell.counts.side_mut(side).failures += 1;
+        cell.sends_left = SENDS_PER_CHANGE;
     }
 
     /// Counts the requests whose turn has come and returns the own counters that grew. Called
     /// after [`Self::end`] and several times a second.
-    pub fn count(&mut self, now: Millis) -> Vec<Change> {
+    pub fn count(&mut self, now: Millis) -> Vec<EvidenceChange> {
         let mut changes = Vec::new();
         let stratum = Stratum::Origin(self.origin);
         for (key, cohort) in &mut self.cohorts {
             let references = self.references.entry(*key).or_default();
-            let mut growth = Sides::default();
+            let mut growth = VersionCounts::default();
             while let Some(turn) = cohort.next_turn(references.hold_ms(), now) {
                 references.judge(&turn, growth.side_mut(turn.side));
             }
-            if growth == Sides::default() {
+            if growth == VersionCounts::default() {
                 continue;
             }
             let cell = self.cells.entry((stratum.clone(), *key)).or_default();
-            cell.sides = cell.sides.plus(&growth);
-            cell.sends_left = SENDS_OF_A_CHANGE;
-            changes.push(Change {
+            cell.counts = cell.counts.plus(&growth);
+            cell.sends_left = SENDS_PER_CHANGE;
+            changes.push(EvidenceChange {
                 rollout: key.0,
                 route: key.1,
                 stratum: stratum.clone(),
-                sides: cell.sides,
+                counts: cell.counts,
             });
         }
         changes
@@ -153,42 +153,47 @@
     ///
     /// Merging is idempotent and commutative. The process's own counters and the sums of its own
     /// region are not taken from others.
-    pub fn merge(&mut self, digest: &Digest) -> Vec<Change> {
+    pub fn merge(&mut self, digest: &EvidenceDigest) -> Vec<EvidenceChange> {
         for suspicion in &digest.suspicions {
             self.suspect(*suspicion);
         }
         for (rollout, verdict) in &digest.verdicts {
-            self.note_verdict(*rollout, *verdict);
+            self.record_verdict(*rollout, *verdict);
         }
         let mut changes = Vec::new();
         let own_origin = self.origin;
         for origin in digest.origins.iter().filter(|o| o.origin != own_origin) {
             let stratum = Stratum::Origin(origin.origin);
-            self.merge_cells(&stratum, &origin.cells, &mut changes);
+            self.merge_cells(&stratum, &origin.routes, &mut changes);
         }
         let own_region = self.region.clone();
         for region in digest.regions.iter().filter(|r| r.region != own_region) {
             let stratum = Stratum::Region(region.region.clone());
-            self.merge_cells(&stratum, &region.cells, &mut changes);
+            self.merge_cells(&stratum, &region.routes, &mut changes);
         }
         changes
     }
 
-    fn merge_cells(&mut self, stratum: &Stratum, cells: &[RouteCell], changes: &mut Vec<Change>) {
+    fn merge_cells(
+        &mut self,
+        stratum: &Stratum,
+        cells: &[RouteCounts],
+        changes: &mut Vec<EvidenceChange>,
+    ) {
         for heard in cells {
             let key = (stratum.clone(), (heard.rollout, heard.route));
             let cell = self.cells.entry(key).or_default();
-            let merged = cell.sides.max(&heard.sides);
-            if merged == cell.sides {
+            let merged = cell.counts.max(&heard.counts);
+            if merged == cell.counts {
                 continue;
             }
-            cell.sides = merged;
-            cell.sends_left = SENDS_OF_A_CHANGE;
-            changes.push(Change {
+            cell.counts = merged;
+            cell.sends_left = SENDS_PER_CHANGE;
+            changes.push(EvidenceChange {
                 rollout: heard.rollout,
                 route: heard.route,
                 stratum: stratum.clone(),
-                sides: merged,
+                counts: merged,
             });
         }
     }
@@ -206,7 +211,7 @@
     }
 
     /// Takes note of a verdict that stands in the store.
-    pub fn note_verdict(&mut self, rollout: RolloutTag, verdict: Verdict) {
+    pub fn record_verdict(&mut self, rollout: RolloutTag, verdict: Verdict) {
         let noted = *self.verdicts.entry(rollout).or_insert(verdict);
         assert_eq!(noted, verdict, "a verdict is never left");
     }
@@ -216,20 +221,20 @@
         self.verdicts.get(&rollout).copied()
     }
 
-    /// News for a peer of the region: changed counters, at most `max_cells` of them, those sent
+    /// News for a peer of the region: changed counters, at most `max_entries` of them, those sent
     /// least often first.
-    pub fn news_for_region(&mut self, max_cells: usize) -> Digest {
+    pub fn digest_for_region(&mut self, max_entries: usize) -> EvidenceDigest {
         let mut changed: Vec<_> = self
             .cells
             .iter_mut()
             .filter(|(_, cell)| cell.sends_left > 0)
             .collect();
         changed.sort_by_key(|(_, cell)| u8::MAX - cell.sends_left);
-        changed.truncate(max_cells);
-        let mut digest = Digest::default();
+        changed.truncate(max_entries);
+        let mut digest = EvidenceDigest::default();
         for ((stratum, key), cell) in changed {
             cell.sends_left -= 1;
-            push(&mut digest, stratum, *key, cell.sides);
+            push(&mut digest, stratum, *key, cell.counts);
         }
         self.with_flags(digest)
     }
@@ -238,12 +243,12 @@
     ///
     /// A fleet uses either these or [`Self::sums_for_other_region`] between its regions, never
     /// both, or requests would count twice.
-    pub fn news_for_other_region(&self) -> Digest {
+    pub fn digest_for_other_region(&self) -> EvidenceDigest {
         let own = Stratum::Origin(self.origin);
-        let mut digest = Digest::default();
+        let mut digest = EvidenceDigest::default();
         for ((stratum, key), cell) in &self.cells {
             if *stratum == own {
-                push(&mut digest, stratum, *key, cell.sides);
+                push(&mut digest, stratum, *key, cell.counts);
             }
         }
         self.with_flags(digest)
@@ -251,27 +256,27 @@
 
     /// Sums over the own region, for a peer of another region, in a fleet in which the counters of
     /// single instances would be too many.
-    pub fn sums_for_other_region(&self) -> Digest {
-        let mut sums: BTreeMap<CellKey, Sides> = BTreeMap::new();
+    pub fn sums_for_other_region(&self) -> EvidenceDigest {
+        let mut sums: BTreeMap<CellKey, VersionCounts> = BTreeMap::new();
         for ((stratum, key), cell) in &self.cells {
             if matches!(stratum, Stratum::Origin(_)) {
                 let sum = sums.entry(*key).or_default();
-                *sum = sum.plus(&cell.sides);
+                *sum = sum.plus(&cell.counts);
             }
         }
-        let mut digest = Digest::default();
+        let mut digest = EvidenceDigest::default();
         let own = Stratum::Region(self.region.clone());
-        for (key, sides) in sums {
-            push(&mut digest, &own, key, sides);
+        for (key, counts) in sums {
+            push(&mut digest, &own, key, counts);
         }
         self.with_flags(digest)
     }
 
     /// Everything, for a peer of the region that has just started.
-    pub fn snapshot(&self) -> Digest {
-        let mut digest = Digest::default();
+    pub fn snapshot(&self) -> EvidenceDigest {
+        let mut digest = EvidenceDigest::default();
         for ((stratum, key), cell) in &self.cells {
-            push(&mut digest, stratum, *key, cell.sides);
+            push(&mut digest, stratum, *key, cell.counts);
         }
         self.with_flags(digest)
     }
@@ -286,8 +291,8 @@
         self.verdicts.retain(|tag, _| current.contains(tag));
     }
 
-    fn with_flags(&self, digest: Digest) -> Digest {
-        Digest {
+    fn with_flags(&self, digest: EvidenceDigest) -> EvidenceDigest {
+        EvidenceDigest {
             suspicions: self.suspicions.values().copied().collect(),
             verdicts: self.verdicts.iter().map(|(t, v)| (*t, *v)).collect(),
             ..digest
@@ -295,25 +300,30 @@
     }
 }
 
-fn push(digest: &mut Digest, stratum: &Stratum, (rollout, route): CellKey, sides: Sides) {
-    let cell = RouteCell {
+fn push(
+    digest: &mut EvidenceDigest,
+    stratum: &Stratum,
+    (rollout, route): CellKey,
+    counts: VersionCounts,
+) {
+    let cell = RouteCounts {
         rollout,
         route,
-        sides,
+        counts,
     };
     match stratum {
         Stratum::Origin(origin) => match digest.origins.last_mut() {
-            Some(last) if last.origin == *origin => last.cells.push(cell),
-            _ => digest.origins.push(OriginCells {
+            Some(last) if last.origin == *origin => last.routes.push(cell),
+            _ => digest.origins.push(OriginCounts {
                 origin: *origin,
-                cells: vec![cell],
+                routes: vec![cell],
             }),
         },
         Stratum::Region(region) => match digest.regions.last_mut() {
-            Some(last) if last.region == *region => last.cells.push(cell),
-            _ => digest.regions.push(RegionCells {
+            Some(last) if last.region == *region => last.routes.push(cell),
+            _ => digest.regions.push(RegionCounts {
                 region: region.clone(),
-                cells: vec![cell],
+                routes: vec![cell],
             }),
         },
     }
--- a/crates/core/src/evidence/mod.rs
+++ b/crates/core/src/evidence/mod.rs
@@ -12,10 +12,10 @@
 mod gathered;
 mod reference;
 
-pub use cohort::Ticket;
-pub use counts::{Counts, Kind, Sample, Side, Sides, KINDS};
-pub use digest::{Digest, OriginCells, RegionCells, RouteCell, Suspicion};
-pub use gathered::{Change, Evidence, Stratum, SENDS_OF_A_CHANGE};
+pub use cohort::RequestTicket;
+pub use counts::{Counts, RegressionKind, Sample, Side, VersionCounts, REGRESSION_KINDS};
+pub use digest::{EvidenceDigest, OriginCounts, RegionCounts, RouteCounts, Suspicion};
+pub use gathered::{Evidence, EvidenceChange, Stratum, SENDS_PER_CHANGE};
 pub use reference::REFERENCE_QUANTILE;
 
 use crate::id::{InstanceId, RolloutId};
--- a/crates/core/src/rollout/assessment.rs
+++ b/crates/core/src/rollout/assessment.rs
@@ -2,7 +2,9 @@
 
 use super::comparison::{Comparison, Finding};
 use crate::document::WHOLE_PPM;
-use crate::evidence::{Change, Kind, RouteTag, Sides, Stratum, KINDS};
+use crate::evidence::{
+    EvidenceChange, RegressionKind, RouteTag, Stratum, VersionCounts, REGRESSION_KINDS,
+};
 use crate::time::Millis;
 use std::collections::BTreeMap;
 
@@ -11,29 +13,29 @@
 /// Requests to the new version on each route that counts, without which it is not declared done.
 pub const MIN_ROUTE_REQUESTS: u64 = 20;
 /// Share of the requests that makes a route count, out of 1,000,000.
-pub const ROUTE_THAT_COUNTS_PPM: u32 = 20_000;
+pub const MIN_ROUTE_SHARE_PPM: u32 = 20_000;
 
 /// What an instance makes of all evidence on one rollout.
 #[derive(Clone, Debug, Default)]
 pub struct Assessment {
-    seen: BTreeMap<(RouteTag, Stratum), Sides>,
+    seen: BTreeMap<(RouteTag, Stratum), VersionCounts>,
     // Counters of each route, summed over all sources.
-    totals: BTreeMap<RouteTag, Sides>,
-    comparisons: BTreeMap<(RouteTag, Kind), Comparison>,
-    worse: Option<(RouteTag, Kind)>,
+    totals: BTreeMap<RouteTag, VersionCounts>,
+    comparisons: BTreeMap<(RouteTag, RegressionKind), Comparison>,
+    worse: Option<(RouteTag, RegressionKind)>,
 }
 
 impl Assessment {
     /// Takes counters that have grown.
-    pub fn add(&mut self, change: &Change, now: Millis) {
+    pub fn add(&mut self, change: &EvidenceChange, now: Millis) {
         let source = (change.route, change.stratum.clone());
         let seen = self.seen.entry(source.clone()).or_default();
-        let growth = change.sides.since(seen);
-        *seen = seen.max(&change.sides);
+        let growth = change.counts.since(seen);
+        *seen = seen.max(&change.counts);
         let total = self.totals.entry(change.route).or_default();
         *total = total.plus(&growth);
         for route in [change.route, RouteTag::ALL] {
-            for kind in KINDS {
+            for kind in REGRESSION_KINDS {
                 self.compare(route, kind, &source, &growth, now);
             }
         }
@@ -42,9 +44,9 @@
     fn compare(
         &mut self,
         route: RouteTag,
-        kind: Kind,
+        kind: RegressionKind,
         source: &(RouteTag, Stratum),
-        growth: &Sides,
+        growth: &VersionCounts,
         now: Millis,
     ) {
         let comparison = self.comparisons.entry((route, kind));
@@ -56,7 +58,7 @@
     }
 
     /// Route and kind of the first fault that is sure.
-    pub fn worse(&self) -> Option<(RouteTag, Kind)> {
+    pub fn worse(&self) -> Option<(RouteTag, RegressionKind)> {
         self.worse
     }
 
@@ -71,7 +73,7 @@
     }
 
     fn is_worse_on(&self, route: RouteTag) -> bool {
-        KINDS.iter().any(|kind| {
+        REGRESSION_KINDS.iter().any(|kind| {
             let comparison = self.comparisons.get(&(route, *kind));
             comparison.is_some_and(|comparison| comparison.finding() != Finding::Alike)
         })
@@ -83,7 +85,7 @@
     /// Each route that looks worse by itself gets as many probes as the next, so that the rarest
     /// one is judged in time too.
     pub fn probe_share_ppm(&self, route: RouteTag, probe_ppm: u32) -> u32 {
-        let requests = |sides: &Sides| sides.old.requests + sides.new.requests;
+        let requests = |counts: &VersionCounts| counts.old.requests + counts.new.requests;
         let is_worse = |route: &&RouteTag| self.is_worse_on(**route);
         let routes = self.totals.keys().filter(is_worse).count() as u64;
         let (is_all, is_route) = (self.is_worse_on(RouteTag::ALL), self.is_worse_on(route));
@@ -100,17 +102,18 @@
     /// Whether the new version has had enough requests, on every route that counts, to be
     /// declared done.
     pub fn is_sufficient(&self) -> bool {
-        let requests = |sides: &Sides| sides.old.requests + sides.new.requests;
+        let requests = |counts: &VersionCounts| counts.old.requests + counts.new.requests;
         let all: u64 = self.totals.values().map(requests).sum();
-        let new: u64 = self.totals.values().map(|sides| sides.new.requests).sum();
-        let least = all * u64::from(ROUTE_THAT_COUNTS_PPM) / u64::from(WHOLE_PPM);
-        let is_route_covered =
-            |sides: &Sides| requests(sides) < least || sides.new.requests >= MIN_ROUTE_REQUESTS;
+        let new: u64 = self.totals.values().map(|counts| counts.new.requests).sum();
+        let least = all * u64::from(MIN_ROUTE_SHARE_PPM) / u64::from(WHOLE_PPM);
+        let is_route_covered = |counts: &VersionCounts| {
+            requests(counts) < least || counts.new.requests >= MIN_ROUTE_REQUESTS
+        };
         new >= MIN_TOTAL_REQUESTS && self.totals.values().all(is_route_covered)
     }
 
     /// Counters of each route, summed over all sources.
-    pub fn totals(&self) -> &BTreeMap<RouteTag, Sides> {
+    pub fn totals(&self) -> &BTreeMap<RouteTag, VersionCounts> {
         &self.totals
     }
 }
--- a/crates/core/src/rollout/baseline.rs
+++ b/crates/core/src/rollout/baseline.rs
@@ -1,7 +1,7 @@
 //! How often requests to the old version go badly of late.
 
-use super::comparison::Trials;
-use crate::evidence::Kind;
+use super::comparison::TrialCounts;
+use crate::evidence::RegressionKind;
 use crate::time::Millis;
 
 // The past loses weight with these time constants. Latency follows the load; failures hardly do.
@@ -22,10 +22,10 @@
 
 impl Baseline {
     /// The ratio of the last seconds.
-    pub(super) fn recent(kind: Kind, now: Millis) -> Self {
+    pub(super) fn recent(kind: RegressionKind, now: Millis) -> Self {
         let (prior_ratio, prior_trials) = match kind {
-            Kind::Failure => (0.002, 100.0),
-            Kind::SlowFirstToken | Kind::SlowTokens => (0.2, 10.0),
+            RegressionKind::Failure => (0.002, 100.0),
+            RegressionKind::SlowFirstToken | RegressionKind::SlowTokens => (0.2, 10.0),
         };
         Self {
             trials: 0.0,
@@ -38,10 +38,10 @@
     }
 
     /// The ratio to be expected when nothing is amiss.
-    pub(super) fn expected(kind: Kind, now: Millis) -> Self {
+    pub(super) fn expected(kind: RegressionKind, now: Millis) -> Self {
         let memory_ms = match kind {
-            Kind::Failure => FAILURE_MEMORY_MS,
-            Kind::SlowFirstToken | Kind::SlowTokens => RECENT_MEMORY_MS,
+            RegressionKind::Failure => FAILURE_MEMORY_MS,
+            RegressionKind::SlowFirstToken | RegressionKind::SlowTokens => RECENT_MEMORY_MS,
         };
         Self {
             memory_ms,
@@ -49,7 +49,7 @@
         }
     }
 
-    pub(super) fn record(&mut self, old: Trials, now: Millis) {
+    pub(super) fn record(&mut self, old: TrialCounts, now: Millis) {
         let elapsed_ms = now.since(self.updated_at) as f64;
         let kept = (-elapsed_ms / self.memory_ms).exp();
         self.trials = self.trials * kept + old.trials as f64;
--- a/crates/core/src/rollout/comparison.rs
+++ b/crates/core/src/rollout/comparison.rs
@@ -13,7 +13,7 @@
 
 use super::baseline::Baseline;
 use super::score::{block_score, log_likelihood_ratio, with_odds_times};
-use crate::evidence::{Counts, Kind, RouteTag, Sides, Stratum};
+use crate::evidence::{Counts, RegressionKind, RouteTag, Stratum, VersionCounts};
 use crate::time::Millis;
 use std::collections::BTreeMap;
 
@@ -43,15 +43,15 @@
 
 /// Requests, and those among them that went badly.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Trials {
+pub struct TrialCounts {
     /// Requests.
     pub trials: u64,
     /// Bad ones among them.
     pub faults: u64,
 }
 
-impl Trials {
-    fn of(counts: &Counts, kind: Kind) -> Self {
+impl TrialCounts {
+    fn of(counts: &Counts, kind: RegressionKind) -> Self {
         let trials = counts.trials(kind);
         Self {
             trials,
@@ -90,11 +90,11 @@
 /// Comparison of both versions, on one route or on all, for one kind of fault.
 #[derive(Clone, Debug)]
 pub struct Comparison {
-    kind: Kind,
+    kind: RegressionKind,
     factors: [f64; ALTERNATIVES],
     expected: Baseline,
     recent: Baseline,
-    pending: BTreeMap<(RouteTag, Stratum), (Trials, Trials)>,
+    pending: BTreeMap<(RouteTag, Stratum), (TrialCounts, TrialCounts)>,
     block_scores: [f64; ALTERNATIVES],
     alarm_scores: [f64; ALTERNATIVES],
     caution: Option<Caution>,
@@ -105,10 +105,10 @@
 
 impl Comparison {
     /// A comparison without any evidence.
-    pub fn new(kind: Kind, now: Millis) -> Self {
+    pub fn new(kind: RegressionKind, now: Millis) -> Self {
         let factors = match kind {
-            Kind::Failure => FAILURE_FACTORS,
-            Kind::SlowFirstToken | Kind::SlowTokens => SLOWNESS_FACTORS,
+            RegressionKind::Failure => FAILURE_FACTORS,
+            RegressionKind::SlowFirstToken | RegressionKind::SlowTokens => SLOWNESS_FACTORS,
         };
         Self {
             kind,
@@ -125,9 +125,14 @@
     }
 
     /// Takes requests that ended at `source` since the last call for it.
-    pub fn add(&mut self, source: &(RouteTag, Stratum), growth: &Sides, now: Millis) -> Finding {
-        let new = Trials::of(&growth.new, self.kind);
-        let old = Trials::of(&growth.old, self.kind);
+    pub fn add(
+        &mut self,
+        source: &(RouteTag, Stratum),
+        growth: &VersionCounts,
+        now: Millis,
+    ) -> Finding {
+        let new = TrialCounts::of(&growth.new, self.kind);
+        let old = TrialCounts::of(&growth.old, self.kind);
         self.score_alarm(new);
         self.score_block(source, new, old);
         self.expected.record(old, now);
@@ -144,7 +149,7 @@
         }
     }
 
-    fn score_alarm(&mut self, new: Trials) {
+    fn score_alarm(&mut self, new: TrialCounts) {
         let recent = self.recent.upper_ratio();
         let reference = self.expected.upper_ratio().max(recent).max(LEAST_RATIO);
         for index in 0..ALTERNATIVES {
@@ -156,7 +161,7 @@
 
     // A block is complete once it holds requests to both versions; its size does not depend on
     // how they went.
-    fn score_block(&mut self, source: &(RouteTag, Stratum), new: Trials, old: Trials) {
+    fn score_block(&mut self, source: &(RouteTag, Stratum), new: TrialCounts, old: TrialCounts) {
         let pending = self.pending.entry(source.clone()).or_default();
         pending.0.add(new);
         pending.1.add(old);
@@ -164,7 +169,7 @@
         if new.trials == 0 || old.trials == 0 {
             return;
         }
-        *pending = (Trials::default(), Trials::default());
+        *pending = (TrialCounts::default(), TrialCounts::default());
         let old_ratio = self.recent.ratio().max(LEAST_RATIO);
         for index in 0..ALTERNATIVES {
             let new_ratio = with_odds_times(old_ratio, self.factors[index]);
@@ -185,8 +190,8 @@
     fn is_alarming(&self, alternative: usize) -> bool {
         let block_score = self.block_scores[alternative];
         let support_score = match self.kind {
-            Kind::Failure => FAILURE_SUPPORT_SCORE,
-            Kind::SlowFirstToken | Kind::SlowTokens => SLOWNESS_SUPPORT_SCORE,
+            RegressionKind::Failure => FAILURE_SUPPORT_SCORE,
+            RegressionKind::SlowFirstToken | RegressionKind::SlowTokens => SLOWNESS_SUPPORT_SCORE,
         };
         let is_supported = block_score >= support_score;
         let is_alarm = self.alarm_scores[alternative] >= ALARM_SCORE && is_supported;
@@ -229,8 +234,8 @@
     fn clear(&mut self) {
         let peak = self.caution.take().map_or(0.0, |caution| caution.peak);
         let forgotten = match self.kind {
-            Kind::Failure => FORGOTTEN_FAILURE_SCORE,
-            Kind::SlowFirstToken | Kind::SlowTokens => FORGOTTEN_SLOWNESS_SCORE,
+            RegressionKind::Failure => FORGOTTEN_FAILURE_SCORE,
+            RegressionKind::SlowFirstToken | RegressionKind::SlowTokens => FORGOTTEN_SLOWNESS_SCORE,
         };
         self.carried += (peak - forgotten).max(0.0);
         self.alarm_scores = [0.0; ALTERNATIVES];
--- a/crates/core/src/rollout/mod.rs
+++ b/crates/core/src/rollout/mod.rs
@@ -14,9 +14,9 @@
 mod state;
 mod verdict;
 
-pub use assessment::{Assessment, MIN_ROUTE_REQUESTS, MIN_TOTAL_REQUESTS, ROUTE_THAT_COUNTS_PPM};
-pub use comparison::{Comparison, Finding, Trials};
-pub use share::{share_of_new, side_of_request};
+pub use assessment::{Assessment, MIN_ROUTE_REQUESTS, MIN_ROUTE_SHARE_PPM, MIN_TOTAL_REQUESTS};
+pub use comparison::{Comparison, Finding, TrialCounts};
+pub use share::{scheduled_share_ppm, side_of_request};
 pub use state::{
     RolloutState, CAUTION_GRACE_MS, CONTROL_SHARE_PPM, DONE_SETTLE_MS, EVIDENCE_GRACE_MS,
     PROBE_SHARE_PPM,
--- a/crates/core/src/rollout/score.rs
+++ b/crates/core/src/rollout/score.rs
@@ -1,6 +1,6 @@
 //! Likelihood ratios of "the new version is worse" against "both versions are alike".
 
-use super::comparison::Trials;
+use super::comparison::TrialCounts;
 
 /// The ratio whose odds are `factor` times those of `ratio`.
 pub(super) fn with_odds_times(ratio: f64, factor: f64) -> f64 {
@@ -9,7 +9,7 @@
 }
 
 /// Logarithm of the likelihood of `trials` under `ratio` over that under `reference`.
-pub(super) fn log_likelihood_ratio(trials: Trials, ratio: f64, reference: f64) -> f64 {
+pub(super) fn log_likelihood_ratio(trials: TrialCounts, ratio: f64, reference: f64) -> f64 {
     let faults = trials.faults as f64;
     let rest = trials.trials.saturating_sub(trials.faults) as f64;
     faults * (ratio / reference).ln() + rest * ((1.0 - ratio) / (1.0 - reference)).ln()
@@ -21,7 +21,12 @@
 /// over blocks may be looked at after every block, and the common ratio may differ between blocks
 /// (Turner, Ly and Grünwald, safe tests for two streams of Bernoulli trials). `old_ratio` and
 /// `new_ratio` are the alternative; they have to be chosen before the block.
-pub(super) fn block_score(new: Trials, old: Trials, new_ratio: f64, old_ratio: f64) -> f64 {
+pub(super) fn block_score(
+    new: TrialCounts,
+    old: TrialCounts,
+    new_ratio: f64,
+    old_ratio: f64,
+) -> f64 {
     let new_trials = new.trials as f64;
     let old_trials = old.trials as f64;
     let pooled = (new_trials * new_ratio + old_trials * old_ratio) / (new_trials + old_trials);
--- a/crates/core/src/rollout/share.rs
+++ b/crates/core/src/rollout/share.rs
@@ -7,7 +7,7 @@
 /// Share of requests that the steps of `rollout` give to the new version, out of 1,000,000.
 ///
 /// It is 0 before the first step. After the last step it stays, past the deadline too.
-pub fn share_of_new(rollout: &Rollout, unix_now: UnixMillis) -> u32 {
+pub fn scheduled_share_ppm(rollout: &Rollout, unix_now: UnixMillis) -> u32 {
     let begun = rollout
         .steps
         .iter()
--- a/crates/core/src/rollout/state.rs
+++ b/crates/core/src/rollout/state.rs
@@ -1,8 +1,8 @@
 //! One rollout at one instance.
 
-use super::{share_of_new, side_of_request, Assessment, Verdict};
+use super::{scheduled_share_ppm, side_of_request, Assessment, Verdict};
 use crate::document::{Rollout, WHOLE_PPM};
-use crate::evidence::{Change, OriginTag, RolloutTag, RouteTag, Side, Suspicion};
+use crate::evidence::{EvidenceChange, OriginTag, RolloutTag, RouteTag, Side, Suspicion};
 use crate::time::{Millis, UnixMillis};
 
 /// Share of all requests that go to a new version on the routes where it looks worse, out of
@@ -92,7 +92,7 @@
         } else {
             most_ppm
         };
-        share_of_new(&self.rollout, unix_now).min(most_ppm)
+        scheduled_share_ppm(&self.rollout, unix_now).min(most_ppm)
     }
 
     /// The version that a request of `route` goes to.
@@ -112,7 +112,7 @@
     }
 
     /// Takes counters that have grown, and returns a suspicion if they raise one.
-    pub fn add_evidence(&mut self, change: &Change, now: Millis) -> Option<Suspicion> {
+    pub fn add_evidence(&mut self, change: &EvidenceChange, now: Millis) -> Option<Suspicion> {
         assert_eq!(change.rollout, self.tag, "evidence belongs to its rollout");
         if self.suspicion.is_some() || self.verdict.is_some() {
             return None;
@@ -165,7 +165,7 @@
     }
 
     fn assert_share(&self, share_ppm: u32, unix_now: UnixMillis) {
-        let step_ppm = share_of_new(&self.rollout, unix_now);
+        let step_ppm = scheduled_share_ppm(&self.rollout, unix_now);
         let is_done = self.verdict == Some(Verdict::Done);
         assert!(
             is_done || share_ppm <= step_ppm,
--- a/crates/core/tests/identity_table.rs
+++ b/crates/core/tests/identity_table.rs
@@ -1,11 +1,11 @@
 //! Callers' keys: who is identified, who is turned away, and withdrawal.
 
-use carobwheel_core::document::{Account, Document, Key, Objective, Policy, SCHEMA};
+use carobwheel_core::document::{Account, ApiKey, Document, Objective, Policy, SCHEMA};
 use carobwheel_core::identity::{digest, Caller, Identity, IdentityRefusal, KeyTable};
 use test_case::test_case;
 
 fn account(id: &str, keys: &[&str]) -> Account {
-    let key = |(index, key): (usize, &&str)| Key {
+    let key = |(index, key): (usize, &&str)| ApiKey {
         id: format!("{id}-{index}").parse().expect("a valid identifier"),
         sha256: digest(key),
     };
--- a/crates/core/tests/rollout_cases.rs
+++ b/crates/core/tests/rollout_cases.rs
@@ -1,12 +1,12 @@
 //! Rollouts: steps, choices, stops, verdicts, and the merging of evidence.
 
-use carobwheel_core::document::{Rollout, Step, WHOLE_PPM};
+use carobwheel_core::document::{Rollout, RolloutStep, WHOLE_PPM};
 use carobwheel_core::evidence::{
-    Change, Digest, Evidence, Kind, OriginTag, RolloutTag, RouteTag, Sample, Side, Sides, Stratum,
-    Suspicion,
+    Evidence, EvidenceChange, EvidenceDigest, OriginTag, RegressionKind, RolloutTag, RouteTag,
+    Sample, Side, Stratum, Suspicion, VersionCounts,
 };
 use carobwheel_core::rollout::{
-    share_of_new, side_of_request, RolloutState, Verdict, VerdictAnswer, VerdictEffect,
+    scheduled_share_ppm, side_of_request, RolloutState, Verdict, VerdictAnswer, VerdictEffect,
     VerdictWriter, CAUTION_GRACE_MS, DONE_SETTLE_MS, EVIDENCE_GRACE_MS,
 };
 use carobwheel_core::time::{Millis, UnixMillis};
@@ -19,7 +19,7 @@
 const DEADLINE: u64 = 10_000_000;
 
 fn rollout() -> Rollout {
-    let step = |at_ms, share_ppm| Step {
+    let step = |at_ms, share_ppm| RolloutStep {
         at_unix_ms: UnixMillis(at_ms),
         share_ppm,
     };
@@ -45,22 +45,22 @@
     Suspicion {
         rollout: RolloutTag::new(&rollout().id),
         route: ROUTE,
-        kind: Kind::Failure,
+        kind: RegressionKind::Failure,
         origin: OriginTag(8),
     }
 }
 
 /// Adds requests of both versions, one in `every` of the new ones failing.
-fn feed(state: &mut RolloutState, sides: &mut Sides, requests: u64, every: u64) -> u64 {
+fn feed(state: &mut RolloutState, counts: &mut VersionCounts, requests: u64, every: u64) -> u64 {
     for count in 1..=requests {
-        sides.old.requests += 1;
-        sides.new.requests += 1;
-        sides.new.failures += u64::from(count % every == 0);
-        let change = Change {
+        counts.old.requests += 1;
+        counts.new.requests += 1;
+        counts.new.failures += u64::from(count % every == 0);
+        let change = EvidenceChange {
             rollout: state.tag(),
             route: ROUTE,
             stratum: Stratum::Origin(OriginTag(7)),
-            sides: *sides,
+            counts: *counts,
         };
         if state.add_evidence(&change, Millis(count * 10)).is_some() {
             return count;
@@ -74,7 +74,7 @@
 #[test_case(2_500 => 500_000; "between steps")]
 #[test_case(DEADLINE + 1 => WHOLE_PPM; "past the deadline")]
 fn steps_follow_the_clock(unix_ms: u64) -> u32 {
-    share_of_new(&rollout(), UnixMillis(unix_ms))
+    scheduled_share_ppm(&rollout(), UnixMillis(unix_ms))
 }
 
 #[test]
@@ -101,16 +101,16 @@
         assert_eq!(side, Side::Old);
     }
     assert_eq!(state.proposal(UnixMillis(0)), Some(Verdict::RolledBack));
-    let mut sides = Sides::default();
-    feed(&mut state, &mut sides, 1_000, u64::MAX);
+    let mut counts = VersionCounts::default();
+    feed(&mut state, &mut counts, 1_000, u64::MAX);
     assert_eq!(state.suspicion(), Some(&suspicion()));
 }
 
 #[test]
 fn a_version_that_fails_is_stopped_within_few_requests() {
-    let (mut state, mut sides) = (state(), Sides::default());
-    feed(&mut state, &mut sides, 1_000, u64::MAX);
-    let stopped_after = feed(&mut state, &mut sides, 1_000, 1);
+    let (mut state, mut counts) = (state(), VersionCounts::default());
+    feed(&mut state, &mut counts, 1_000, u64::MAX);
+    let stopped_after = feed(&mut state, &mut counts, 1_000, 1);
     assert!(
         stopped_after <= 30,
         "stopped after {stopped_after} requests"
@@ -120,13 +120,13 @@
 
 #[test]
 fn a_version_that_looks_worse_gets_the_probe_share_only() {
-    let (mut state, mut sides) = (state(), Sides::default());
-    feed(&mut state, &mut sides, 1_000, u64::MAX);
+    let (mut state, mut counts) = (state(), VersionCounts::default());
+    feed(&mut state, &mut counts, 1_000, u64::MAX);
     let unix_now = UnixMillis(2_500);
     assert_eq!(state.share_ppm(ROUTE, unix_now), 500_000);
     let mut requests = 0;
     while !state.assessment().is_cautious() {
-        requests += feed(&mut state, &mut sides, 1, 1);
+        requests += feed(&mut state, &mut counts, 1, 1);
         assert!(requests < 30, "no caution after {requests} failures");
     }
     assert!(state.suspicion().is_none());
@@ -139,8 +139,8 @@
 #[test_case(10, EVIDENCE_GRACE_MS => Some(Verdict::RolledBack); "too little evidence")]
 #[test_case(0, CAUTION_GRACE_MS => Some(Verdict::RolledBack); "no evidence")]
 fn proposals_after_the_deadline(requests: u64, late_ms: u64) -> Option<Verdict> {
-    let (mut state, mut sides) = (state(), Sides::default());
-    feed(&mut state, &mut sides, requests, u64::MAX);
+    let (mut state, mut counts) = (state(), VersionCounts::default());
+    feed(&mut state, &mut counts, requests, u64::MAX);
     assert_eq!(state.proposal(UnixMillis(DEADLINE - 1)), None);
     state.proposal(UnixMillis(DEADLINE + late_ms))
 }
@@ -260,7 +260,7 @@
                 source.end(ticket, sample);
             }
             source.count(Millis(round));
-            digests.push(source.news_for_other_region());
+            digests.push(source.digest_for_other_region());
         }
     }
     let mut first = evidence(9, "south");
@@ -285,13 +285,13 @@
     let mut first = evidence(1, "north");
     first.suspect(suspicion());
     let later = Suspicion {
-        kind: Kind::SlowTokens,
+        kind: RegressionKind::SlowTokens,
         ..suspicion()
     };
     first.suspect(later);
     let mut second = evidence(2, "north");
-    second.merge(&first.news_for_region(0));
-    second.merge(&Digest::default());
+    second.merge(&first.digest_for_region(0));
+    second.merge(&EvidenceDigest::default());
     assert_eq!(second.suspicion(suspicion().rollout), Some(&suspicion()));
 }
 
@@ -309,7 +309,7 @@
     evidence.end(slow, Sample::default());
     let changes = evidence.count(Millis(3));
     assert_eq!(
-        changes[0].sides.old.requests + changes[0].sides.new.requests,
+        changes[0].counts.old.requests + changes[0].counts.new.requests,
         2
     );
 }
@@ -319,15 +319,15 @@
     let mut evidence = evidence(1, "north");
     let hanging = evidence.begin(RolloutTag(1), ROUTE, Side::New, Millis(0));
     let changes = evidence.count(Millis(2_000));
-    assert_eq!(changes[0].sides.new.requests, 1);
+    assert_eq!(changes[0].counts.new.requests, 1);
     let failed = Sample {
         failed: true,
         ..Sample::default()
     };
     evidence.end(hanging, failed);
     evidence.end(hanging, failed);
-    let cells = evidence.snapshot().origins;
-    assert_eq!(cells[0].cells[0].sides.new.failures, 1);
+    let origins = evidence.snapshot().origins;
+    assert_eq!(origins[0].routes[0].counts.new.failures, 1);
 }
 
 #[test]
@@ -338,17 +338,17 @@
     evidence.end(ended, Sample::default());
     evidence.abandon(gone);
     let changes = evidence.count(Millis(2));
-    assert_eq!(changes[0].sides.new.requests, 0);
-    assert_eq!(changes[0].sides.old.requests, 1);
+    assert_eq!(changes[0].counts.new.requests, 0);
+    assert_eq!(changes[0].counts.old.requests, 1);
 }
 
 #[test]
 fn no_choice_exceeds_the_step_whatever_the_evidence() {
     let mut state = state();
-    let mut sides = Sides::default();
+    let mut counts = VersionCounts::default();
     let mut rng = StdRng::seed_from_u64(5);
     for n in 0..2_000 {
-        feed(&mut state, &mut sides, 1, rng.random_range(1..500));
+        feed(&mut state, &mut counts, 1, rng.random_range(1..500));
         let unix_now = UnixMillis(rng.random_range(0..4_000));
         // The choice asserts the step and the stop.
         let side = state.choose(ROUTE, &format!("request-{n}"), unix_now);
--- a/crates/ctl/src/experiment/rollout/world.rs
+++ b/crates/ctl/src/experiment/rollout/world.rs
@@ -1,9 +1,10 @@
 //! Six instances in three regions, two versions, and one store, in simulated time.
 
 use super::case::{Case, Fault, Onset};
-use carobwheel_core::document::{Rollout, Step};
+use carobwheel_core::document::{Rollout, RolloutStep};
 use carobwheel_core::evidence::{
-    Change, Digest, Evidence, OriginTag, RouteTag, Sample, Side, Suspicion, Ticket,
+    Evidence, EvidenceChange, EvidenceDigest, OriginTag, RequestTicket, RouteTag, Sample, Side,
+    Suspicion,
 };
 use carobwheel_core::rollout::{
     RolloutState, Verdict, VerdictAnswer, VerdictEffect, VerdictWriter,
@@ -61,10 +62,10 @@
 
 enum Event {
     Arrival,
-    Ended(usize, Ticket, Sample),
+    Ended(usize, RequestTicket, Sample),
     RegionGossip(usize),
     WideGossip(usize),
-    Deliver(usize, Box<Digest>),
+    Deliver(usize, Box<EvidenceDigest>),
     Tick(usize),
     StoreCall(usize, VerdictEffect),
     StoreAnswer(usize, u32, VerdictAnswer),
@@ -137,7 +138,7 @@
 
 fn rollout() -> Rollout {
     let id = |text: &str| text.to_owned();
-    let step = |(at_ms, share_ppm): (u64, u32)| Step {
+    let step = |(at_ms, share_ppm): (u64, u32)| RolloutStep {
         at_unix_ms: UnixMillis(UNIX_START_MS + at_ms),
         share_ppm,
     };
@@ -365,7 +366,7 @@
         }
     }
 
-    fn assess(&mut self, index: usize, change: &Change) {
+    fn assess(&mut self, index: usize, change: &EvidenceChange) {
         let now = Millis(self.now_ms);
         let raised = self.instances[index].state.add_evidence(change, now);
         if let Some(suspicion) = raised {
@@ -381,9 +382,9 @@
         }
         self.instances[index].evidence.suspect(suspicion);
         for other in 0..INSTANCES {
-            let digest = Digest {
+            let digest = EvidenceDigest {
                 suspicions: vec![suspicion],
-                ..Digest::default()
+                ..EvidenceDigest::default()
             };
             self.send(index, other, digest);
         }
@@ -395,7 +396,7 @@
         self.case.trouble.is_partitioned && is_outage && region == REGIONS.len() - 1
     }
 
-    fn send(&mut self, from: usize, to: usize, digest: Digest) {
+    fn send(&mut self, from: usize, to: usize, digest: EvidenceDigest) {
         let (from_region, to_region) = (self.instances[from].region, self.instances[to].region);
         let is_wide = from_region != to_region;
         let is_cut = is_wide && (self.is_cut_off(from_region) || self.is_cut_off(to_region));
@@ -413,7 +414,7 @@
         let peer = (index + REGIONS.len()) % INSTANCES;
         let digest = self.instances[index]
             .evidence
-            .news_for_region(CELLS_IN_NEWS);
+            .digest_for_region(CELLS_IN_NEWS);
         self.send(index, peer, digest);
     }
 
@@ -423,12 +424,12 @@
         for other_region in (0..REGIONS.len()).filter(|other| *other != region) {
             let peers = INSTANCES / REGIONS.len();
             let peer = other_region + REGIONS.len() * self.rng.random_range(0..peers);
-            let digest = self.instances[index].evidence.news_for_other_region();
+            let digest = self.instances[index].evidence.digest_for_other_region();
             self.send(index, peer, digest);
         }
     }
 
-    fn deliver(&mut self, index: usize, digest: &Digest) {
+    fn deliver(&mut self, index: usize, digest: &EvidenceDigest) {
         let instance = &mut self.instances[index];
         let changes = instance.evidence.merge(digest);
         let tag = instance.state.tag();
@@ -466,7 +467,7 @@
                     let instance = &mut self.instances[index];
                     instance.state.adopt(*verdict);
                     let tag = instance.state.tag();
-                    instance.evidence.note_verdict(tag, *verdict);
+                    instance.evidence.record_verdict(tag, *verdict);
                     let after_ms = self.now_ms as i64 - DEADLINE_MS as i64;
                     self.outcome.verdict_after_deadline_ms = after_ms;
                 }
--- a/crates/ctl/src/key/mod.rs
+++ b/crates/ctl/src/key/mod.rs
@@ -6,7 +6,7 @@
 };
 use anyhow::Context as _;
 use carobwheel_core::{
-    document::{Document, Key},
+    document::{ApiKey, Document},
     id::{AccountId, KeyId},
     identity,
 };
@@ -92,7 +92,7 @@
         .iter_mut()
         .find(|known| known.id == *account)
         .with_context(|| format!("no account `{account}`"))?;
-    account.keys.push(Key { id, sha256 });
+    account.keys.push(ApiKey { id, sha256 });
     Ok(())
 }
 
--- a/crates/gateway/src/decide/gossip.rs
+++ b/crates/gateway/src/decide/gossip.rs
@@ -2,7 +2,7 @@
 
 use super::{slots::peer_of, state::State};
 use carobwheel_core::{
-    evidence::Digest,
+    evidence::EvidenceDigest,
     id::InstanceId,
     limit::LoanMessage,
     route::{LoadDigest, DIGEST_LIFETIME_MS},
@@ -178,7 +178,7 @@
     pub(super) fn on_opaque(&mut self, from: &InstanceId, channel: u8, bytes: &[u8], now: Millis) {
         match channel {
             LOAN_CHANNEL => self.on_loan_bytes(from, bytes, now),
-            EVIDENCE_CHANNEL => match postcard::from_bytes::<Digest>(bytes) {
+            EVIDENCE_CHANNEL => match postcard::from_bytes::<EvidenceDigest>(bytes) {
                 Ok(digest) => self.on_digest(from, &digest, now),
                 Err(_) => log::warn!(from = from.as_str(); "malformed evidence skipped"),
             },
--- a/crates/gateway/src/decide/rollouts/gossip.rs
+++ b/crates/gateway/src/decide/rollouts/gossip.rs
@@ -5,7 +5,7 @@
     CELLS_IN_NEWS, WIDE_PERIOD_MS,
 };
 use carobwheel_core::{
-    evidence::{Digest, Suspicion},
+    evidence::{EvidenceDigest, Suspicion},
     id::{InstanceId, RegionId},
     member::{MemberView, State as MemberState},
     time::Millis,
@@ -19,9 +19,9 @@
     pub(super) fn raise(&mut self, suspicion: Suspicion, now: Millis) {
         log::warn!("new version suspect: {suspicion:?}");
         self.rollouts.evidence.suspect(suspicion);
-        let digest = Digest {
+        let digest = EvidenceDigest {
             suspicions: vec![suspicion],
-            ..Digest::default()
+            ..EvidenceDigest::default()
         };
         for member in self.running_members() {
             self.send_digest(&member, &digest);
@@ -40,14 +40,14 @@
             .into_iter()
             .partition(|member| member.identity.region == own_region);
         if let Some(peer) = home.choose(&mut self.rng) {
-            let digest = self.rollouts.evidence.news_for_region(CELLS_IN_NEWS);
+            let digest = self.rollouts.evidence.digest_for_region(CELLS_IN_NEWS);
             self.send_digest(peer, &digest);
         }
         if now.since(self.rollouts.told_wide_at) < WIDE_PERIOD_MS {
             return;
         }
         self.rollouts.told_wide_at = now;
-        let digest = self.rollouts.evidence.news_for_other_region();
+        let digest = self.rollouts.evidence.digest_for_other_region();
         let regions: BTreeSet<&RegionId> = away.iter().map(|it| &it.identity.region).collect();
         for region in regions {
             let of_region: Vec<_> = away
@@ -68,7 +68,7 @@
         members.into_iter().filter(is_other).collect()
     }
 
-    fn send_digest(&self, member: &MemberView, digest: &Digest) {
+    fn send_digest(&self, member: &MemberView, digest: &EvidenceDigest) {
         let Ok(bytes) = postcard::to_stdvec(digest) else {
             return;
         };
@@ -79,7 +79,12 @@
     }
 
     /// Takes what a peer knows.
-    pub(in crate::decide) fn on_digest(&mut self, from: &InstanceId, digest: &Digest, now: Millis) {
+    pub(in crate::decide) fn on_digest(
+        &mut self,
+        from: &InstanceId,
+        digest: &EvidenceDigest,
+        now: Millis,
+    ) {
         log::trace!(from = from.as_str(); "evidence received");
         let changes = self.rollouts.evidence.merge(digest);
         let mut adopted = Vec::new();
--- a/crates/gateway/src/decide/rollouts/trial.rs
+++ b/crates/gateway/src/decide/rollouts/trial.rs
@@ -5,7 +5,7 @@
     state::State,
 };
 use carobwheel_core::{
-    evidence::{Change, RolloutTag, RouteTag, Sample, Side, Ticket},
+    evidence::{EvidenceChange, RequestTicket, RolloutTag, RouteTag, Sample, Side},
     retry::Failure,
     time::Millis,
 };
@@ -17,7 +17,7 @@
     pub(super) route: RouteTag,
     pub(super) side: Side,
     /// Present from the start of the request on.
-    pub(super) ticket: Option<Ticket>,
+    pub(super) ticket: Option<RequestTicket>,
     pub(super) started_at: Millis,
     pub(super) first_at: Option<Millis>,
     pub(super) is_reported: bool,
@@ -93,7 +93,7 @@
         }
     }
 
-    pub(super) fn assess(&mut self, change: &Change, now: Millis) {
+    pub(super) fn assess(&mut self, change: &EvidenceChange, now: Millis) {
         let raised = self
             .rollouts
             .by_tag(change.rollout)
--- a/crates/gateway/src/decide/rollouts/verdicts.rs
+++ b/crates/gateway/src/decide/rollouts/verdicts.rs
@@ -35,7 +35,7 @@
                     }
                     running.state.adopt(verdict);
                     let tag = running.state.tag();
-                    self.rollouts.evidence.note_verdict(tag, verdict);
+                    self.rollouts.evidence.record_verdict(tag, verdict);
                 }
                 VerdictEffect::Create { .. } | VerdictEffect::Read { .. } => {
                     running.due.push(effect);
