--- a/crates/core/src/evidence/mod.rs
+++ b/crates/core/src/evidence/mod.rs
@@ -6,17 +6,17 @@
 //! each instance are gossiped; between regions only sums are. A suspicion, once raised by anyone,
 //! spreads the same way and is never taken back.
 
-mod cohort;
 mod counts;
 mod digest;
-mod gathered;
+mod pending;
 mod reference;
+mod state;
 
-pub use cohort::RequestTicket;
 pub use counts::{Counts, RegressionKind, Sample, Side, VersionCounts, REGRESSION_KINDS};
 pub use digest::{EvidenceDigest, OriginCounts, RegionCounts, RouteCounts, Suspicion};
-pub use gathered::{Evidence, EvidenceChange, Stratum, SENDS_PER_CHANGE};
+pub use pending::RequestTicket;
 pub use reference::REFERENCE_QUANTILE;
+pub use state::{Evidence, EvidenceChange, Stratum, SENDS_PER_CHANGE};
 
 use crate::id::{InstanceId, RolloutId};
 use serde::{Deserialize, Serialize};
--- a/crates/core/src/evidence/reference.rs
+++ b/crates/core/src/evidence/reference.rs
@@ -1,6 +1,6 @@
 //! The latency of the old version, against which requests count as slow.
 
-use super::cohort::Turn;
+use super::pending::Turn;
 use super::{Counts, Sample};
 
 /// Quantile of the old version's latency above which a request counts as slow.
--- a/crates/core/src/evidence/gathered.rs
+++ b/crates/core/src/evidence/state.rs
@@ -1,6 +1,6 @@
 //! All evidence that an instance has.
 
-use super::cohort::{Cohort, RequestTicket};
+use super::pending::{Cohort, RequestTicket};
 use super::reference::References;
 use super::{
     EvidenceDigest, OriginCounts, OriginTag, RegionCounts, RolloutTag, RouteCounts, RouteTag,
--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -1,7 +1,7 @@
 //! Prediction for one candidate and the choice between candidates.
 
 use super::affinity::rendezvous;
-use super::knobs::{knobs, Knobs};
+use super::objective::{knobs, Knobs};
 use super::upstream::UpstreamState;
 use super::{LatencyTarget, Load, Request};
 use crate::document::Objective;
--- a/crates/core/src/route/life.rs
+++ b/crates/core/src/route/lifecycle.rs
@@ -1,6 +1,6 @@
 //! The life of a placed request, which keeps the work in flight true.
 
-use super::flight::{AttemptId, Flight};
+use super::attempt::{AttemptId, Flight};
 use super::router::Router;
 use super::upstream::UpstreamState;
 use super::Placement;
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -11,26 +11,26 @@
 //! gets no new work.
 
 mod affinity;
+mod attempt;
 mod choice;
 mod digest;
-mod flight;
 mod hops;
-mod knobs;
-mod life;
+mod lifecycle;
 mod load;
-mod news;
+mod objective;
 mod request;
 mod router;
 mod speed;
+mod updates;
 mod upstream;
 
 #[cfg(test)]
 mod tests;
 
 pub use affinity::{prefix_hashes, PREFIX_BLOCK_TOKENS};
+pub use attempt::AttemptId;
 pub use choice::Prediction;
 pub use digest::{LeavingNotice, LoadDigest, LoadDigestEntry, DIGEST_LIFETIME_MS};
-pub use flight::AttemptId;
 pub use hops::{Hop, HopError, Hops};
 pub use load::{Load, UpstreamReport};
 pub use request::{LatencyTarget, Placement, Refusal, Request, Requirement};
--- a/crates/core/src/route/router.rs
+++ b/crates/core/src/route/router.rs
@@ -1,7 +1,7 @@
 //! One instance's view of all upstreams, and placement on them.
 
+use super::attempt::{AttemptId, Flight};
 use super::choice::{choose, Candidate};
-use super::flight::{AttemptId, Flight};
 use super::upstream::UpstreamState;
 use super::{Hop, Load, Placement, Refusal, Request};
 use crate::document::{Document, Objective};
