--- a/crates/core/src/route/affinity.rs
+++ b/crates/core/src/route/affinity.rs
@@ -1,16 +1,16 @@
-//! Prefix affinity: which engine is likely to hold a prompt's prefix in its cache.
+//! Prefix affinity: an estimate of the engines that hold a prompt's prefix in their KV cache.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Tokens of a prompt that one prefix hash covers more than the one before it.
+/// Number of tokens by which each prefix hash extends the previous one.
 pub const PREFIX_BLOCK_TOKENS: u64 = 256;
-/// Prefixes remembered for one engine.
+/// Maximum number of prefixes tracked per engine.
 const MAX_PREFIXES: usize = 1_024;
-/// Multiplier of the 64-bit FNV-1a hash, which every instance computes alike.
+/// Prime of the 64-bit FNV-1a hash. All instances have to compute the same hashes.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 
-/// 64-bit FNV-1a of `bytes` continued from `state`, with a final mix.
+/// Computes the 64-bit FNV-1a hash of `bytes`, chained from `state`, with a final mixing step.
 pub(super) fn hash(state: u64, bytes: &[u8]) -> u64 {
     let hash = bytes.iter().fold(state ^ FNV_OFFSET, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME)
@@ -18,16 +18,17 @@
     mix(hash)
 }
 
-/// Spreads every input bit over the whole word.
+/// Mixes the bits so that each input bit affects the whole word.
 fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     value ^ (value >> 31)
 }
 
-/// Hashes of the prefixes of `prompt`, one for each whole block of [`PREFIX_BLOCK_TOKENS`] tokens
-/// at `bytes_per_token` bytes. The account is part of each, since caches are not shared between
-/// accounts.
+/// Computes the prefix hashes of `prompt`, one per complete block of [`PREFIX_BLOCK_TOKENS`] tokens
+/// at `bytes_per_token` bytes per token.
+///
+/// The account is part of each hash, since caches are not shared between accounts.
 pub fn prefix_hashes(account: &str, prompt: &[u8], bytes_per_token: u64) -> Vec<u64> {
     let block_bytes = PREFIX_BLOCK_TOKENS.saturating_mul(bytes_per_token.max(1));
     let block_bytes = usize::try_from(block_bytes).unwrap_or(usize::MAX);
@@ -41,13 +42,13 @@
         .collect()
 }
 
-/// Rendezvous weight of an upstream for a prefix: the upstream with the highest one is preferred
-/// by every instance.
+/// Computes the rendezvous weight of an upstream for a prefix. All instances prefer the upstream
+/// with the highest weight.
 pub(super) fn rendezvous(upstream_hash: u64, prefix: u64) -> u64 {
     mix(upstream_hash ^ prefix.rotate_left(32))
 }
 
-/// The prefixes that one engine was lately sent, oldest forgotten first.
+/// Prefixes recently sent to one engine, evicted in order of insertion.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PrefixView {
     uses: HashMap<u64, u32>,
@@ -55,7 +56,7 @@
 }
 
 impl PrefixView {
-    /// Tokens of the prompt that the engine is likely to hold.
+    /// Estimates the number of prompt tokens that are in the engine's cache.
     pub(super) fn cached_tokens(&self, prefix_hashes: &[u64]) -> u64 {
         let blocks = prefix_hashes
             .iter()
@@ -64,7 +65,7 @@
         blocks as u64 * PREFIX_BLOCK_TOKENS
     }
 
-    /// Remembers that the engine reads a prompt with these prefixes.
+    /// Adds the prefixes of a prompt that is sent to the engine.
     pub(super) fn insert(&mut self, prefix_hashes: &[u64]) {
         for hash in prefix_hashes {
             *self.uses.entry(*hash).or_default() += 1;
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Forgets prefixes that the engine has reported as evicted.
+    /// Removes prefixes that the engine has reported as evicted.
     pub(super) fn remove(&mut self, prefix_hashes: &[u64]) {
         for hash in prefix_hashes {
             self.uses.remove(hash);
@@ -84,7 +85,7 @@
         self.order.retain(|hash| uses.contains_key(hash));
     }
 
-    /// Forgets everything, as after a restart of the engine.
+    /// Removes all prefixes, for example after a restart of the engine.
     pub(super) fn clear(&mut self) {
         self.uses.clear();
         self.order.clear();
--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -1,33 +1,33 @@
-//! Requests that this instance has in flight.
+//! Attempts that this instance has in flight.
 
 use super::upstream::UpstreamState;
 use super::Load;
 use crate::id::UpstreamId;
 use crate::time::Millis;
 
-/// Name of one attempt of a request on one upstream, unique within a router.
+/// Identifier of an attempt, unique within a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
 /// One attempt of a request on one upstream.
 #[derive(Clone, Debug)]
-pub(super) struct Flight {
+pub(super) struct Attempt {
     pub(super) upstream: UpstreamId,
-    /// What the attempt still adds to the upstream's load.
+    /// Remaining load of the attempt on the upstream.
     pub(super) load: Load,
     pub(super) is_long: bool,
     pub(super) max_output_tokens: u64,
     pub(super) output_tokens: u64,
     pub(super) started_at: Millis,
-    /// When the last token was counted.
+    /// Time at which the last tokens were counted.
     pub(super) measured_at: Millis,
     pub(super) has_first_token: bool,
     pub(super) uncorrected_ms: f64,
     pub(super) network_ms: f64,
 }
 
-impl Flight {
-    /// Replaces what the attempt adds to the upstream's load.
+impl Attempt {
+    /// Replaces the attempt's share of the upstream's load.
     pub(super) fn set_load(&mut self, load: Load, state: &mut UpstreamState) {
         state.own -= self.load;
         state.own += load;
--- a/crates/core/src/route/digest.rs
+++ b/crates/core/src/route/digest.rs
@@ -1,34 +1,37 @@
-//! What instances tell each other about the work they have in flight.
+//! Digests of in-flight load exchanged between instances.
 
 use super::Load;
 use serde::{Deserialize, Serialize};
 
-/// Time after which the digest of a silent peer no longer counts, in milliseconds.
+/// Age at which the last digest of a silent peer expires, in milliseconds.
 pub const DIGEST_LIFETIME_MS: u64 = 5_000;
-/// Tokens in one unit of a digest.
-const UNIT_TOKENS: u64 = 64;
+/// Number of tokens per unit in a digest.
+const TOKENS_PER_UNIT: u64 = 64;
 
-/// Work of one instance on one upstream. Token counts are in units of 64 tokens, rounded up, which
-/// takes one or two bytes each on the wire.
+/// In-flight load of one instance on one upstream.
+///
+/// Token counts are in units of 64 tokens, rounded up, which takes one or two bytes each on the
+/// wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDigestEntry {
     /// Hash of the upstream's name.
     pub upstream: [u8; 4],
     /// Requests in flight.
     pub requests: u16,
-    /// Requests of classes with long prompts among them.
+    /// Requests in flight that belong to classes with long prompts.
     pub long_requests: u16,
-    /// Uncached prompt of short requests to be read, in units of 64 tokens.
+    /// Uncached prompt tokens of short requests awaiting prefill, in units of 64 tokens.
     pub prompt_units: u32,
-    /// Uncached prompt of long requests to be read, in units of 64 tokens.
+    /// Uncached prompt tokens of long requests awaiting prefill, in units of 64 tokens.
     pub long_prompt_units: u32,
-    /// Output still expected, in units of 64 tokens.
+    /// Output tokens still expected, in units of 64 tokens.
     pub output_units: u32,
 }
 
 impl LoadDigestEntry {
     pub(super) fn new(upstream: [u8; 4], load: &Load) -> Self {
-        let units = |tokens: u64| u32::try_from(tokens.div_ceil(UNIT_TOKENS)).unwrap_or(u32::MAX);
+        let units =
+            |tokens: u64| u32::try_from(tokens.div_ceil(TOKENS_PER_UNIT)).unwrap_or(u32::MAX);
         let count = |requests: u64| u16::try_from(requests).unwrap_or(u16::MAX);
         Self {
             upstream,
@@ -45,29 +48,29 @@
         Load {
             requests,
             long_requests: u64::from(self.long_requests).min(requests),
-            prompt_tokens: u64::from(self.prompt_units) * UNIT_TOKENS,
-            long_prompt_tokens: u64::from(self.long_prompt_units) * UNIT_TOKENS,
-            output_tokens: u64::from(self.output_units) * UNIT_TOKENS,
+            prompt_tokens: u64::from(self.prompt_units) * TOKENS_PER_UNIT,
+            long_prompt_tokens: u64::from(self.long_prompt_units) * TOKENS_PER_UNIT,
+            output_tokens: u64::from(self.output_units) * TOKENS_PER_UNIT,
         }
     }
 }
 
-/// An upstream is leaving, as the upstream itself or the live list has said.
+/// Notice that an upstream is leaving, as reported by the upstream itself or the live list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingNotice {
     /// Hash of the upstream's name.
     pub upstream: [u8; 4],
-    /// Registration that leaves; a newer one is not affected.
+    /// Registration that is leaving; newer registrations are not affected.
     pub registration: u64,
 }
 
-/// One instance's work in flight, for its peers. Upstreams without work are left out.
+/// In-flight load of one instance, sent to its peers. Upstreams without load are omitted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDigest {
-    /// Number of the digest; an older one than the last received is dropped.
+    /// Sequence number; receivers drop digests that are not newer than the last one received.
     pub sequence: u64,
-    /// Work on each upstream that has any.
+    /// Load on each upstream that has any.
     pub entries: Vec<LoadDigestEntry>,
-    /// Upstreams that are leaving.
+    /// Notices of upstreams that are leaving.
     pub leaving: Vec<LeavingNotice>,
 }
--- a/crates/core/src/route/hops.rs
+++ b/crates/core/src/route/hops.rs
@@ -1,45 +1,51 @@
-//! The way a request has taken between instances.
+//! Forwarding history of a request between instances.
 
 use crate::id::InstanceId;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Forwards allowed inside a region.
-const MAX_WITHIN: u8 = 1;
-/// Forwards allowed across regions.
-const MAX_ACROSS: u8 = 1;
+/// Maximum number of forwards within a region.
+const MAX_FORWARDS_WITHIN_REGION: u8 = 1;
+/// Maximum number of forwards across regions.
+const MAX_FORWARDS_ACROSS_REGIONS: u8 = 1;
 
-/// The kind of a forward.
+/// Kind of a forward between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Hop {
-    /// To an instance of the same region.
+    /// Forward to an instance in the same region.
     WithinRegion,
-    /// To another region.
+    /// Forward to another region.
     AcrossRegions,
 }
 
-/// Why a request may not go on to an instance.
+/// Reason why a request may not be forwarded to an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HopError {
-    /// The request has used up its forwards of this kind.
+    /// The request has reached the limit of forwards of this kind.
     TooMany(Hop),
-    /// The request has been at the instance before.
+    /// The request has already visited the instance.
     Visited(InstanceId),
 }
 
 impl fmt::Display for HopError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooMany(Hop::WithinRegion) => f.write_str("no second forward inside a region"),
-            Self::TooMany(Hop::AcrossRegions) => f.write_str("no second forward across regions"),
-            Self::Visited(instance) => write!(f, "instance `{instance}` was visited before"),
+            Self::TooMany(Hop::WithinRegion) => {
+                f.write_str("the request was already forwarded within its region")
+            }
+            Self::TooMany(Hop::AcrossRegions) => {
+                f.write_str("the request was already forwarded across regions")
+            }
+            Self::Visited(instance) => {
+                write!(f, "the request has already visited instance `{instance}`")
+            }
         }
     }
 }
 
 impl std::error::Error for HopError {}
 
-/// Forwards and visited instances of a request; travels with it.
+/// Forward counters and visited instances of a request, sent along with it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hops {
     pub(super) within: u8,
@@ -48,29 +54,30 @@
 }
 
 impl Hops {
-    /// The instances that the request has been at, in order.
+    /// Returns the visited instances, in order.
     pub fn visited(&self) -> &[InstanceId] {
         &self.visited
     }
 
-    /// Whether a forward of kind `hop` is left.
+    /// Whether another forward of kind `hop` is allowed.
     pub fn is_allowed(&self, hop: Hop) -> bool {
         match hop {
-            Hop::WithinRegion => self.within < MAX_WITHIN,
-            Hop::AcrossRegions => self.across < MAX_ACROSS,
+            Hop::WithinRegion => self.within < MAX_FORWARDS_WITHIN_REGION,
+            Hop::AcrossRegions => self.across < MAX_FORWARDS_ACROSS_REGIONS,
         }
     }
 
-    /// Enters the request at `instance`, as the first step on arrival.
+    /// Records the arrival of the request at `instance`. Has to be called first on arrival.
     ///
     /// # Errors
     ///
-    /// Refuses a second visit, and counters beyond the limits, which a faulty peer may send.
+    /// Returns an error if the request has already visited `instance`, or if a counter exceeds its
+    /// limit, which a faulty peer may send.
     pub fn arrive(mut self, instance: &InstanceId) -> Result<Self, HopError> {
-        if self.within > MAX_WITHIN {
+        if self.within > MAX_FORWARDS_WITHIN_REGION {
             return Err(HopError::TooMany(Hop::WithinRegion));
         }
-        if self.across > MAX_ACROSS {
+        if self.across > MAX_FORWARDS_ACROSS_REGIONS {
             return Err(HopError::TooMany(Hop::AcrossRegions));
         }
         if self.visited.contains(instance) {
@@ -81,11 +88,12 @@
         Ok(self)
     }
 
-    /// The hops to send along when the request is forwarded to `next`.
+    /// Returns the hops to send along when the request is forwarded to `next`.
     ///
     /// # Errors
     ///
-    /// Refuses a forward beyond the limits and a second visit.
+    /// Returns an error if the forward would exceed its limit, or if the request has already
+    /// visited `next`.
     pub fn forward(&self, hop: Hop, next: &InstanceId) -> Result<Self, HopError> {
         if self.visited.contains(next) {
             return Err(HopError::Visited(next.clone()));
@@ -93,11 +101,11 @@
         self.used(hop)
     }
 
-    /// The hops after a forward of kind `hop` to an instance that is still to be chosen.
+    /// Returns the hops after a forward of kind `hop`, for an instance that is yet to be chosen.
     ///
     /// # Errors
     ///
-    /// Refuses a forward beyond the limits.
+    /// Returns an error if the forward would exceed its limit.
     pub fn used(&self, hop: Hop) -> Result<Self, HopError> {
         if !self.is_allowed(hop) {
             return Err(HopError::TooMany(hop));
@@ -112,10 +120,16 @@
     }
 
     pub(super) fn assert_bounded(&self) {
-        assert!(self.within <= MAX_WITHIN, "forwards inside a region");
-        assert!(self.across <= MAX_ACROSS, "forwards across regions");
-        let most = usize::from(MAX_WITHIN + MAX_ACROSS) + 1;
-        assert!(self.visited.len() <= most, "visited instances");
+        assert!(
+            self.within <= MAX_FORWARDS_WITHIN_REGION,
+            "forwards inside a region"
+        );
+        assert!(
+            self.across <= MAX_FORWARDS_ACROSS_REGIONS,
+            "forwards across regions"
+        );
+        let max_visited = usize::from(MAX_FORWARDS_WITHIN_REGION + MAX_FORWARDS_ACROSS_REGIONS) + 1;
+        assert!(self.visited.len() <= max_visited, "visited instances");
         let last = self.visited.last();
         let visits = self.visited.iter().filter(|id| Some(*id) == last).count();
         assert!(visits <= 1, "an instance was visited twice");
--- a/crates/core/src/route/lifecycle.rs
+++ b/crates/core/src/route/lifecycle.rs
@@ -1,31 +1,32 @@
-//! The life of a placed request, which keeps the work in flight true.
+//! Lifecycle of a placed request, which keeps the accounting of in-flight load up to date.
 
-use super::attempt::{AttemptId, Flight};
+use super::attempt::{Attempt, AttemptId};
 use super::router::Router;
 use super::upstream::UpstreamState;
 use super::Placement;
 use crate::time::Millis;
 
-/// Weight of the newest answer's length in the expected length.
-const OUTPUT_WEIGHT: f64 = 0.02;
+/// Weight of the newest sample in the moving average of the output share.
+const OUTPUT_SHARE_EMA_WEIGHT: f64 = 0.02;
 
 impl Router {
-    /// The request goes out to its place: its work counts from now on.
+    /// Starts an attempt: from now on its load counts towards the chosen upstream.
     ///
     /// # Panics
     ///
-    /// Panics if the placement is stale: the upstream has begun to leave since.
+    /// Panics if the placement is stale, that is, if the upstream is no longer known or has started
+    /// to leave since.
     pub fn start(&mut self, placement: &Placement, now: Millis) -> AttemptId {
-        let id = AttemptId(self.next_flight);
-        self.next_flight += 1;
+        let id = AttemptId(self.next_attempt);
+        self.next_attempt += 1;
         let state = self
             .upstreams
             .get_mut(&placement.upstream)
-            .expect("started on an unknown upstream");
-        assert!(!state.is_leaving(), "started on a leaving upstream");
+            .expect("attempt started on an unknown upstream");
+        assert!(!state.is_leaving(), "attempt started on a leaving upstream");
         state.own += placement.load;
         state.prefixes.insert(&placement.prefix_hashes);
-        let flight = Flight {
+        let attempt = Attempt {
             upstream: placement.upstream.clone(),
             load: placement.load,
             is_long: placement.is_long,
@@ -37,84 +38,84 @@
             uncorrected_ms: placement.prediction.uncorrected_ms,
             network_ms: placement.prediction.network_ms,
         };
-        self.flights.insert(id, flight);
+        self.attempts.insert(id, attempt);
         id
     }
 
-    /// The first token has arrived: the prompt is read.
+    /// Records the arrival of the first token, which completes the prefill.
     pub fn first_token(&mut self, id: AttemptId, now: Millis) {
-        let Some((flight, state)) = self.flight(id) else {
+        let Some((attempt, state)) = self.attempt(id) else {
             return;
         };
-        if flight.has_first_token {
+        if attempt.has_first_token {
             return;
         }
-        flight.has_first_token = true;
-        let measured_ms = now.since(flight.started_at) as f64 - flight.network_ms;
+        attempt.has_first_token = true;
+        let measured_ms = now.since(attempt.started_at) as f64 - attempt.network_ms;
         state
             .speed
-            .observe_first_token(flight.uncorrected_ms, measured_ms);
-        let mut load = flight.load;
+            .observe_first_token(attempt.uncorrected_ms, measured_ms);
+        let mut load = attempt.load;
         load.prompt_tokens = 0;
         load.long_prompt_tokens = 0;
-        flight.set_load(load, state);
-        flight.measured_at = now;
+        attempt.set_load(load, state);
+        attempt.measured_at = now;
     }
 
-    /// So many output tokens have arrived in all.
+    /// Records the total number of output tokens received so far.
     pub fn progress(&mut self, id: AttemptId, output_tokens: u64, now: Millis) {
-        let Some((flight, state)) = self.flight(id) else {
+        let Some((attempt, state)) = self.attempt(id) else {
             return;
         };
-        let new_tokens = output_tokens.saturating_sub(flight.output_tokens);
+        let new_tokens = output_tokens.saturating_sub(attempt.output_tokens);
         if new_tokens == 0 {
             return;
         }
-        let elapsed_ms = now.since(flight.measured_at) as f64;
-        if flight.has_first_token && flight.output_tokens > 0 {
+        let elapsed_ms = now.since(attempt.measured_at) as f64;
+        if attempt.has_first_token && attempt.output_tokens > 0 {
             let batch = state.load(now).requests.min(state.slots()) as f64;
             state
                 .speed
                 .observe_token(batch, elapsed_ms / new_tokens as f64);
         }
-        flight.measured_at = now;
-        flight.output_tokens = output_tokens;
-        let mut load = flight.load;
+        attempt.measured_at = now;
+        attempt.output_tokens = output_tokens;
+        let mut load = attempt.load;
         load.output_tokens = load.output_tokens.saturating_sub(new_tokens);
-        flight.set_load(load, state);
+        attempt.set_load(load, state);
     }
 
-    /// The answer is complete.
+    /// Ends an attempt whose answer is complete.
     pub fn finish(&mut self, id: AttemptId) {
-        let Some(flight) = self.remove_flight(id) else {
+        let Some(attempt) = self.remove_attempt(id) else {
             return;
         };
-        if flight.max_output_tokens == 0 {
+        if attempt.max_output_tokens == 0 {
             return;
         }
-        let share = flight.output_tokens as f64 / flight.max_output_tokens as f64;
-        let expected = &mut self.output_share[usize::from(flight.is_long)];
-        *expected += (share.min(1.0) - *expected) * OUTPUT_WEIGHT;
+        let share = attempt.output_tokens as f64 / attempt.max_output_tokens as f64;
+        let expected = &mut self.output_share[usize::from(attempt.is_long)];
+        *expected += (share.min(1.0) - *expected) * OUTPUT_SHARE_EMA_WEIGHT;
     }
 
-    /// The attempt has failed or was cancelled.
+    /// Ends an attempt that failed or was cancelled.
     pub fn cancel(&mut self, id: AttemptId) {
-        self.remove_flight(id);
+        self.remove_attempt(id);
     }
 
-    fn flight(&mut self, id: AttemptId) -> Option<(&mut Flight, &mut UpstreamState)> {
-        let flight = self.flights.get_mut(&id)?;
-        let state = self.upstreams.get_mut(&flight.upstream)?;
-        Some((flight, state))
+    fn attempt(&mut self, id: AttemptId) -> Option<(&mut Attempt, &mut UpstreamState)> {
+        let attempt = self.attempts.get_mut(&id)?;
+        let state = self.upstreams.get_mut(&attempt.upstream)?;
+        Some((attempt, state))
     }
 
-    fn remove_flight(&mut self, id: AttemptId) -> Option<Flight> {
-        let flight = self.flights.remove(&id)?;
+    fn remove_attempt(&mut self, id: AttemptId) -> Option<Attempt> {
+        let attempt = self.attempts.remove(&id)?;
         let state = self
             .upstreams
-            .get_mut(&flight.upstream)
-            .expect("an upstream with work in flight was forgotten");
-        state.own -= flight.load;
-        Some(flight)
+            .get_mut(&attempt.upstream)
+            .expect("an upstream with attempts in flight was removed");
+        state.own -= attempt.load;
+        Some(attempt)
     }
 }
--- a/crates/core/src/route/load.rs
+++ b/crates/core/src/route/load.rs
@@ -1,25 +1,25 @@
-//! Work that an upstream has to do.
+//! Load of an upstream.
 
 use crate::time::Millis;
 use std::ops::{Add, AddAssign, SubAssign};
 
-/// Work in flight on an upstream.
+/// In-flight load on an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests, the long ones included.
+    /// Requests, including long requests.
     pub requests: u64,
     /// Requests of classes with long prompts.
     pub long_requests: u64,
-    /// Uncached prompt tokens of short requests that wait for their first token.
+    /// Uncached prompt tokens of short requests awaiting their first token.
     pub prompt_tokens: u64,
-    /// Uncached prompt tokens of long requests that wait for their first token.
+    /// Uncached prompt tokens of long requests awaiting their first token.
     pub long_prompt_tokens: u64,
-    /// Output tokens that are still expected.
+    /// Output tokens still expected.
     pub output_tokens: u64,
 }
 
 impl Load {
-    /// Whether there is no work at all.
+    /// Whether no request is in flight.
     pub fn is_idle(&self) -> bool {
         self.requests == 0
     }
@@ -46,29 +46,29 @@
 
 impl SubAssign for Load {
     fn sub_assign(&mut self, other: Self) {
-        let less = |value: &mut u64, part: u64| {
-            assert!(*value >= part, "work in flight below zero");
+        let subtract = |value: &mut u64, part: u64| {
+            assert!(*value >= part, "in-flight load below zero");
             *value -= part;
         };
-        less(&mut self.requests, other.requests);
-        less(&mut self.long_requests, other.long_requests);
-        less(&mut self.prompt_tokens, other.prompt_tokens);
-        less(&mut self.long_prompt_tokens, other.long_prompt_tokens);
-        less(&mut self.output_tokens, other.output_tokens);
+        subtract(&mut self.requests, other.requests);
+        subtract(&mut self.long_requests, other.long_requests);
+        subtract(&mut self.prompt_tokens, other.prompt_tokens);
+        subtract(&mut self.long_prompt_tokens, other.long_prompt_tokens);
+        subtract(&mut self.output_tokens, other.output_tokens);
     }
 }
 
-/// An upstream's own report of its load, which lags.
+/// Load report from the upstream itself, which lags behind its actual load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamReport {
-    /// When the upstream measured it, on this instance's clock.
+    /// Time of the measurement, on this instance's clock.
     pub measured_at: Millis,
-    /// Requests that the upstream runs or queues.
+    /// Requests running or queued on the upstream.
     pub requests: u64,
-    /// Prompt tokens that wait to be read.
+    /// Prompt tokens awaiting prefill.
     pub prompt_tokens: u64,
-    /// The upstream refuses new work because it is about to stop.
+    /// Whether the upstream refuses new requests because it is about to stop.
     pub is_leaving: bool,
-    /// Number of the upstream's registration; a higher one is a newer start.
+    /// Registration number of the upstream; each start has a higher number.
     pub registration: u64,
 }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -1,14 +1,15 @@
 //! Placement of a request on an upstream.
 //!
-//! A [`Router`] holds one instance's view of every upstream: the work the instance itself has in
-//! flight, the work that peers report in a [`LoadDigest`], the upstream's own lagging report and
-//! measured speeds. [`Router::place`] predicts the time to the first token on each candidate and
-//! picks one. The caller then reports the life of the request by [`Router::start`],
-//! [`Router::first_token`], [`Router::progress`] and [`Router::finish`].
+//! A [`Router`] holds one instance's view of every upstream: the load that the instance itself has
+//! in flight, the load that peers report in a [`LoadDigest`], the upstream's own lagging
+//! [`UpstreamReport`], and measured speeds. [`Router::place`] predicts the time to first token on
+//! each candidate and selects one. The caller then reports the lifecycle of the request through
+//! [`Router::start`], [`Router::first_token`], [`Router::progress`], [`Router::finish`] and
+//! [`Router::cancel`].
 //!
-//! These promises are asserted inside the program: a bound request is placed in its region only, a
-//! request crosses regions at most once and visits no instance twice, and an upstream that leaves
-//! gets no new work.
+//! The following invariants are asserted at run time: a bound request is placed only in its region,
+//! a request crosses regions at most once and visits no instance twice, and an upstream that is
+//! leaving gets no new requests.
 
 mod affinity;
 mod attempt;
--- a/crates/core/src/route/request.rs
+++ b/crates/core/src/route/request.rs
@@ -1,39 +1,41 @@
-//! What a router is asked and what it answers.
+//! Placement requests and their results.
 
 use super::{Hop, Hops, Prediction};
 use crate::document::Class;
 use crate::id::{ModelId, RegionId, RequestId, ServiceId, UpstreamId, VersionId};
 use std::fmt;
 
-/// What a request needs from an upstream.
+/// Model version or service that a request needs from an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Requirement<'a> {
-    /// A version of a model.
+    /// Version of a model.
     Model {
-        /// The model.
+        /// Name of the model.
         model: &'a ModelId,
-        /// The version.
+        /// Name of the version.
         version: &'a VersionId,
     },
-    /// A copy of a plain service.
+    /// Replica of a plain HTTP service.
     Service(&'a ServiceId),
 }
 
-/// The latency that a request's class asks for.
+/// Latency target of a request, set by its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LatencyTarget {
-    /// Target for the time to the first token, in milliseconds.
+    /// Target time to first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Target for the time between two tokens, in milliseconds.
+    /// Target inter-token latency, in milliseconds.
     pub between_tokens_ms: u64,
     /// Time left until the request's deadline, in milliseconds.
     pub remaining_ms: u64,
-    /// The request is of a class with long prompts, which may take a part of an engine only.
+    /// Whether the request's class has long prompts. Such requests are limited to a share of each
+    /// engine's slots.
     pub is_long: bool,
 }
 
 impl LatencyTarget {
-    /// The target of `class` with `remaining_ms` left; every class but the most urgent is long.
+    /// Returns the target of `class` with `remaining_ms` left until the deadline. All classes
+    /// except the most urgent one are treated as long.
     pub fn of_class(class: &Class, remaining_ms: u64) -> Self {
         Self {
             first_token_ms: class.first_token_target_ms,
@@ -43,7 +45,7 @@
         }
     }
 
-    /// The target of a call to a plain service, which has no tokens.
+    /// Returns the target of a call to a plain service, which produces no tokens.
     pub fn of_service(remaining_ms: u64) -> Self {
         Self {
             first_token_ms: remaining_ms,
@@ -54,41 +56,41 @@
     }
 }
 
-/// A request to place.
+/// Request to be placed on an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Name of the request.
+    /// Identifier of the request.
     pub id: &'a RequestId,
-    /// What the request needs.
+    /// Model version or service that the request needs.
     pub requirement: Requirement<'a>,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u64,
-    /// Most tokens that may be generated.
+    /// Maximum number of output tokens.
     pub max_output_tokens: u64,
-    /// Hashes of the prompt's prefixes, one a block; see [`super::prefix_hashes`].
+    /// Hashes of the prompt's prefixes, one per block; see [`super::prefix_hashes`].
     pub prefix_hashes: &'a [u64],
-    /// Latency that the class asks for.
+    /// Latency target of the request.
     pub target: LatencyTarget,
-    /// Region that the request has to be served in, if it is bound.
+    /// Region in which the request has to be served, if it is bound to one.
     pub bound_region: Option<&'a RegionId>,
-    /// The way the request has taken, this instance included.
+    /// Forwarding history of the request, including this instance.
     pub hops: &'a Hops,
-    /// Upstreams that have been tried; they are not placed on again.
+    /// Upstreams already tried, which are excluded from placement.
     pub tried: &'a [UpstreamId],
 }
 
-/// Where a request goes.
+/// Upstream chosen for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
-    /// The upstream.
+    /// Chosen upstream.
     pub upstream: UpstreamId,
-    /// The upstream's region.
+    /// Region of the upstream.
     pub region: RegionId,
-    /// [`Hop::AcrossRegions`] when the upstream stands in another region.
+    /// [`Hop::AcrossRegions`] if the upstream is in another region.
     pub hop: Option<Hop>,
-    /// The hops to send along, with this placement's hop counted.
+    /// Hops to send along, including the hop of this placement.
     pub hops: Hops,
-    /// What the placement was decided on.
+    /// Prediction on which the placement is based.
     pub prediction: Prediction,
     pub(super) load: super::Load,
     pub(super) is_long: bool,
@@ -96,21 +98,22 @@
     pub(super) prefix_hashes: Vec<u64>,
 }
 
-/// Why a request has no place now. In every case it has not run.
+/// Reason why a request cannot be placed now. The request has not run in any of these cases.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The request is bound to a region that this instance is not in; callers go there.
+    /// The request is bound to a region other than this instance's; the caller has to send it
+    /// there.
     OutsideBoundRegion(RegionId),
-    /// No allowed upstream serves what the request needs.
+    /// No eligible upstream serves the model version or service.
     NoUpstream,
-    /// Every allowed upstream is full: the request may wait in the queue.
+    /// All eligible upstreams are full; the request may wait in the queue.
     Full {
-        /// Shortest predicted time until one has room, in milliseconds.
+        /// Predicted time until an upstream has room, in milliseconds.
         wait_ms: u64,
     },
-    /// No allowed upstream can answer before the deadline.
+    /// No eligible upstream can answer before the deadline.
     TooLate {
-        /// Shortest predicted time to the first token, in milliseconds.
+        /// Predicted time to first token, in milliseconds.
         first_token_ms: u64,
     },
 }
@@ -121,15 +124,18 @@
             Self::OutsideBoundRegion(region) => {
                 write!(
                     f,
-                    "the request is bound to region `{region}`, this instance is not in it"
+                    "the request is bound to region `{region}`, but this instance is in another region"
                 )
             }
-            Self::NoUpstream => f.write_str("no upstream serves the request here"),
-            Self::Full { wait_ms } => write!(f, "every upstream is full for about {wait_ms} ms"),
+            Self::NoUpstream => f.write_str("no eligible upstream serves the request"),
+            Self::Full { wait_ms } => write!(
+                f,
+                "all eligible upstreams are full; a slot is expected in about {wait_ms} ms"
+            ),
             Self::TooLate { first_token_ms } => {
                 write!(
                     f,
-                    "the first token would come in {first_token_ms} ms, past the deadline"
+                    "the first token is predicted after {first_token_ms} ms, past the deadline"
                 )
             }
         }
--- a/crates/core/src/route/router.rs
+++ b/crates/core/src/route/router.rs
@@ -1,6 +1,6 @@
-//! One instance's view of all upstreams, and placement on them.
+//! One instance's view of all upstreams, and placement of requests on them.
 
-use super::attempt::{AttemptId, Flight};
+use super::attempt::{Attempt, AttemptId};
 use super::choice::{choose, Candidate};
 use super::upstream::UpstreamState;
 use super::{Hop, Load, Placement, Refusal, Request};
@@ -10,21 +10,21 @@
 use rand::Rng;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Share of its bound that an answer is expected to use before any has ended.
+/// Expected answer length before any answer has completed, as a share of its maximum.
 const INITIAL_OUTPUT_SHARE: f64 = 0.6;
 
 /// One-way network delays from this instance, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NetworkDelays {
-    /// To an upstream of the same data centre.
+    /// Delay to an upstream in the same data centre.
     pub same_data_centre_us: u64,
-    /// To another data centre of the region.
+    /// Delay to another data centre of the region.
     pub same_region_us: u64,
-    /// To another region.
+    /// Delay to another region.
     pub other_region_us: u64,
 }
 
-/// Settings of a router.
+/// Settings of a [`Router`].
 #[derive(Clone, Debug)]
 pub struct RouterSettings {
     /// Region of this instance.
@@ -41,21 +41,21 @@
     pub(super) loads: Vec<(UpstreamId, Load)>,
 }
 
-/// One instance's view of all upstreams. Owned by the deciding thread.
+/// One instance's view of all upstreams. Owned by the decision thread.
 pub struct Router {
     settings: RouterSettings,
     objective: Objective,
     pub(super) upstreams: BTreeMap<UpstreamId, UpstreamState>,
     pub(super) by_hash: HashMap<[u8; 4], UpstreamId>,
     pub(super) peers: HashMap<InstanceId, Peer>,
-    pub(super) flights: HashMap<AttemptId, Flight>,
-    pub(super) next_flight: u64,
-    // Share of its bound that an answer uses, of short and of long requests.
+    pub(super) attempts: HashMap<AttemptId, Attempt>,
+    pub(super) next_attempt: u64,
+    // Average answer length as a share of its maximum: short requests, then long requests.
     pub(super) output_share: [f64; 2],
 }
 
 impl Router {
-    /// A router with the upstreams of `document`.
+    /// Creates a router with the upstreams of `document`.
     pub fn new(settings: RouterSettings, document: &Document, now: Millis) -> Self {
         let mut router = Self {
             settings,
@@ -63,8 +63,8 @@
             upstreams: BTreeMap::new(),
             by_hash: HashMap::new(),
             peers: HashMap::new(),
-            flights: HashMap::new(),
-            next_flight: 0,
+            attempts: HashMap::new(),
+            next_attempt: 0,
             output_share: [INITIAL_OUTPUT_SHARE; 2],
         };
         router.apply_document(document, now);
@@ -75,8 +75,10 @@
         router
     }
 
-    /// Takes over the upstreams of a newer document. What is known of upstreams that stay is kept;
-    /// those that are gone get no new work and are forgotten once idle.
+    /// Applies the upstreams of a newer document.
+    ///
+    /// The state of upstreams that remain is kept. Upstreams that are no longer listed get no new
+    /// requests and are removed once they are idle.
     pub fn apply_document(&mut self, document: &Document, now: Millis) {
         self.objective = document.policy.objective;
         let named: HashSet<_> = document.upstreams.iter().map(|spec| &spec.id).collect();
@@ -105,10 +107,10 @@
                 }
             }
         }
-        self.index();
+        self.rebuild_indexes();
     }
 
-    fn index(&mut self) {
+    fn rebuild_indexes(&mut self) {
         self.by_hash = self
             .upstreams
             .iter()
@@ -120,20 +122,20 @@
         }
         for peer in self.peers.values_mut() {
             peer.loads.retain(|(id, _)| self.upstreams.contains_key(id));
-            add_peer(&mut self.upstreams, &peer.loads);
+            add_peer_loads(&mut self.upstreams, &peer.loads);
         }
     }
 
-    /// Chooses the upstream for a request. Nothing changes until [`Router::start`].
+    /// Selects the upstream for a request. The router's state changes only with [`Router::start`].
     ///
     /// # Errors
     ///
-    /// Tells why there is no place now; the request has not run.
+    /// Returns the reason why the request cannot be placed now; the request has not run.
     ///
     /// # Panics
     ///
-    /// Panics if the choice would break residency, the hop limits or the exclusion of leaving
-    /// upstreams, which is a fault of the program.
+    /// Panics if the placement violates the region binding or the hop limits, or selects a leaving,
+    /// ejected or already tried upstream. Any of these is a bug.
     pub fn place(
         &self,
         request: &Request<'_>,
@@ -148,7 +150,7 @@
         let (home, away) = self.candidates(request, now);
         let chosen = choose(&home, &away, request, self.objective, rng);
         let Some(chosen) = chosen else {
-            return Err(no_room(&home, &away));
+            return Err(no_room_refusal(&home, &away));
         };
         let first_token_ms = chosen.prediction.first_token_ms as u64;
         if first_token_ms > request.target.remaining_ms {
@@ -162,14 +164,14 @@
         request: &Request<'_>,
         now: Millis,
     ) -> (Vec<Candidate<'a>>, Vec<Candidate<'a>>) {
-        let may_leave =
+        let may_leave_region =
             request.bound_region.is_none() && request.hops.is_allowed(Hop::AcrossRegions);
         let expected = self.expected_output_tokens(request);
         let mut home = Vec::new();
         let mut away = Vec::new();
         for (id, state) in &self.upstreams {
             let is_home = state.spec.region == self.settings.region;
-            let is_allowed = is_home || may_leave;
+            let is_allowed = is_home || may_leave_region;
             let is_open = !state.is_leaving() && !state.is_ejected;
             if !is_allowed || !is_open || !state.serves(&request.requirement) {
                 continue;
@@ -196,7 +198,7 @@
         (home, away)
     }
 
-    /// Network delay there and back, in milliseconds.
+    /// Network round-trip time to the upstream, in milliseconds.
     fn network_ms(&self, state: &UpstreamState) -> f64 {
         let delays = &self.settings.delays;
         let one_way_us = if state.spec.data_centre == self.settings.data_centre {
@@ -257,9 +259,10 @@
     }
 }
 
-/// The refusal when no candidate has room. Slots become free on all candidates at the same time, so
-/// their rates add up.
-fn no_room(home: &[Candidate<'_>], away: &[Candidate<'_>]) -> Refusal {
+/// Returns the refusal when no candidate has room.
+///
+/// Slots become free on all candidates concurrently, so the rates of the candidates add up.
+fn no_room_refusal(home: &[Candidate<'_>], away: &[Candidate<'_>]) -> Refusal {
     let candidates = if home.is_empty() { away } else { home };
     if candidates.is_empty() {
         return Refusal::NoUpstream;
@@ -270,7 +273,7 @@
     }
 }
 
-pub(super) fn add_peer(
+pub(super) fn add_peer_loads(
     upstreams: &mut BTreeMap<UpstreamId, UpstreamState>,
     loads: &[(UpstreamId, Load)],
 ) {
--- a/crates/core/src/route/tests.rs
+++ b/crates/core/src/route/tests.rs
@@ -1,4 +1,4 @@
-//! Planted faults: each assertion of the module stops a program that breaks its promise.
+//! Fault injection: each assertion of the module panics when its invariant is violated.
 
 use super::choice::Candidate;
 use super::{
@@ -26,10 +26,10 @@
 
 fn names() -> Names {
     Names {
-        id: "r1".parse().expect("a name"),
-        model: "m".parse().expect("a name"),
-        version: "v1".parse().expect("a name"),
-        bound: "north".parse().expect("a name"),
+        id: "r1".parse().expect("a valid name"),
+        model: "m".parse().expect("a valid name"),
+        version: "v1".parse().expect("a valid name"),
+        bound: "north".parse().expect("a valid name"),
     }
 }
 
@@ -37,8 +37,8 @@
     let json = routing::document_json(2, "cost");
     let document = Document::parse(json.as_bytes()).expect("a valid document");
     let settings = RouterSettings {
-        region: "north".parse().expect("a name"),
-        data_centre: "north-0".parse().expect("a name"),
+        region: "north".parse().expect("a valid name"),
+        data_centre: "north-0".parse().expect("a valid name"),
         delays: NetworkDelays {
             same_data_centre_us: 100,
             same_region_us: 1_000,
@@ -70,8 +70,8 @@
     }
 }
 
-/// Places a request on `upstream` without regard for the rules.
-fn plant(router: &Router, request: &Request<'_>, upstream: &str) {
+/// Places a request on `upstream` without checking eligibility.
+fn force_placement(router: &Router, request: &Request<'_>, upstream: &str) {
     let state = &router.upstreams[upstream];
     let objective = Objective::TailLatency;
     let candidate = Candidate::new(state, request, 10, 1.0, true, objective, NOW);
@@ -86,7 +86,7 @@
         bound_region: Some(&names.bound),
         ..request(&names, &hops, &[])
     };
-    plant(&router(), &bound, "south-engine-0");
+    force_placement(&router(), &bound, "south-engine-0");
 }
 
 #[test]
@@ -95,18 +95,18 @@
     let names = names();
     let hops = Hops::default()
         .used(Hop::AcrossRegions)
-        .expect("a first hop");
+        .expect("the first hop is allowed");
     let request = request(&names, &hops, &[]);
-    plant(&router(), &request, "south-engine-0");
+    force_placement(&router(), &request, "south-engine-0");
 }
 
 #[test]
 #[should_panic(expected = "placed on a tried upstream")]
 fn a_second_try_of_an_upstream_is_noticed() {
     let (names, hops) = (names(), Hops::default());
-    let tried = ["north-engine-0".parse().expect("a name")];
+    let tried = ["north-engine-0".parse().expect("a valid name")];
     let request = request(&names, &hops, &tried);
-    plant(&router(), &request, "north-engine-0");
+    force_placement(&router(), &request, "north-engine-0");
 }
 
 #[test]
@@ -114,9 +114,9 @@
 fn a_placement_on_an_ejected_upstream_is_noticed() {
     let (names, hops) = (names(), Hops::default());
     let mut router = router();
-    let upstream = "north-engine-0".parse().expect("a name");
+    let upstream = "north-engine-0".parse().expect("a valid name");
     router.set_ejected(&upstream, true, NOW);
-    plant(&router, &request(&names, &hops, &[]), "north-engine-0");
+    force_placement(&router, &request(&names, &hops, &[]), "north-engine-0");
 }
 
 #[test_case(LeavingSource::Document; "document")]
@@ -127,19 +127,19 @@
 fn a_placement_on_a_leaving_upstream_is_noticed(source: LeavingSource) {
     let (names, hops) = (names(), Hops::default());
     let mut router = router();
-    let upstream = "north-engine-0".parse().expect("a name");
+    let upstream = "north-engine-0".parse().expect("a valid name");
     router.mark_leaving(&upstream, source, None);
-    plant(&router, &request(&names, &hops, &[]), "north-engine-0");
+    force_placement(&router, &request(&names, &hops, &[]), "north-engine-0");
 }
 
 #[test]
-#[should_panic(expected = "started on a leaving upstream")]
+#[should_panic(expected = "attempt started on a leaving upstream")]
 fn a_stale_placement_is_noticed() {
     let (names, hops) = (names(), Hops::default());
     let mut router = router();
     let mut rng = StdRng::seed_from_u64(1);
     let placement = router.place(&request(&names, &hops, &[]), NOW, &mut rng);
-    let placement = placement.expect("a place");
+    let placement = placement.expect("the request is placed");
     router.mark_leaving(&placement.upstream, LeavingSource::LiveList, None);
     router.start(&placement, NOW);
 }
@@ -154,16 +154,16 @@
         across,
         visited: visited
             .iter()
-            .map(|id| id.parse().expect("a name"))
+            .map(|id| id.parse().expect("a valid name"))
             .collect(),
     };
     let panic = std::panic::catch_unwind(|| hops.assert_bounded());
-    let message = panic.expect_err("a panic");
+    let message = panic.expect_err("the assertion panics");
     assert_eq!(message.downcast_ref::<&str>(), Some(&expected));
 }
 
 #[test]
-#[should_panic(expected = "work in flight below zero")]
+#[should_panic(expected = "in-flight load below zero")]
 fn work_that_ends_twice_is_noticed() {
     let mut load = Load::default();
     load -= Load {
--- a/crates/core/src/route/updates.rs
+++ b/crates/core/src/route/updates.rs
@@ -1,17 +1,17 @@
-//! News of upstreams and peers that a router takes in, and what it tells its peers.
+//! Updates of a router from upstreams and peers, and its load digests for peers.
 
 use super::digest::{LeavingNotice, LoadDigest, LoadDigestEntry, DIGEST_LIFETIME_MS};
-use super::router::{add_peer, Peer, Router};
+use super::router::{add_peer_loads, Peer, Router};
 use super::upstream::UpstreamState;
 use super::{LeavingSource, Load, UpstreamReport};
 use crate::id::{InstanceId, UpstreamId};
 use crate::time::Millis;
 
 impl Router {
-    /// An upstream begins to leave: it gets no new work until it registers anew.
+    /// Marks an upstream as leaving: it gets no new requests until it registers again.
     ///
-    /// `registration` is the one that leaves, if the source knows it; news of an older one than the
-    /// current is ignored.
+    /// `registration` is the registration that is leaving, if the source knows it. Notices about a
+    /// registration older than the current one are ignored.
     pub fn mark_leaving(
         &mut self,
         upstream: &UpstreamId,
@@ -29,13 +29,15 @@
         match source {
             LeavingSource::Document => state.is_leaving_by_document = true,
             LeavingSource::Upstream | LeavingSource::LiveList | LeavingSource::Gossip => {
-                state.is_leaving_by_news = true;
+                state.is_leaving_by_notice = true;
             }
         }
     }
 
-    /// An upstream has registered: a higher number than the last known is a new start with a cold
-    /// cache, which ends the leaving of the former one.
+    /// Records the registration of an upstream.
+    ///
+    /// A number higher than the last known one means that the upstream has restarted with a cold
+    /// cache, and clears the leaving state of the previous registration.
     pub fn register(&mut self, upstream: &UpstreamId, registration: u64, now: Millis) {
         let Some(state) = self.upstreams.get_mut(upstream) else {
             return;
@@ -43,15 +45,15 @@
         if registration <= state.registration {
             return;
         }
-        let is_first = state.registration == 0 && !state.is_leaving_by_news;
+        let is_first = state.registration == 0 && !state.is_leaving_by_notice;
         state.registration = registration;
-        state.is_leaving_by_news = false;
+        state.is_leaving_by_notice = false;
         if !is_first {
             state.restart(now);
         }
     }
 
-    /// Takes in an upstream's own report.
+    /// Applies a load report from an upstream.
     pub fn report(&mut self, upstream: &UpstreamId, report: UpstreamReport, now: Millis) {
         self.register(upstream, report.registration, now);
         let Some(state) = self.upstreams.get_mut(upstream) else {
@@ -60,12 +62,12 @@
         if report.registration < state.registration {
             return;
         }
-        state.is_leaving_by_news |= report.is_leaving;
+        state.is_leaving_by_notice |= report.is_leaving;
         state.report = Some(report);
     }
 
-    /// Takes an upstream out or back in, as outlier ejection decides. One that comes back is
-    /// given its work by a ramp.
+    /// Ejects or readmits an upstream, as decided by outlier detection. The load of a readmitted
+    /// upstream is increased gradually (slow start).
     pub fn set_ejected(&mut self, upstream: &UpstreamId, is_ejected: bool, now: Millis) {
         let Some(state) = self.upstreams.get_mut(upstream) else {
             return;
@@ -76,15 +78,17 @@
         state.is_ejected = is_ejected;
     }
 
-    /// The engine has evicted these prefixes from its cache.
+    /// Records that the engine has evicted these prefixes from its cache.
     pub fn cache_evicted(&mut self, upstream: &UpstreamId, prefix_hashes: &[u64]) {
         if let Some(state) = self.upstreams.get_mut(upstream) {
             state.prefixes.remove(prefix_hashes);
         }
     }
 
-    /// This instance's work for its peers. `sequence` has to grow, also over restarts of the
-    /// instance; civil time in milliseconds does.
+    /// Returns the digest of this instance's load, to be sent to its peers.
+    ///
+    /// `sequence` has to increase, including across restarts of the instance; Unix time in
+    /// milliseconds satisfies this.
     pub fn digest(&self, sequence: u64) -> LoadDigest {
         let states = self.upstreams.values();
         let is_busy = |state: &&UpstreamState| !state.own.is_idle();
@@ -93,7 +97,7 @@
             upstream: state.short_hash(),
             registration: state.registration,
         };
-        let is_leaving = |state: &&UpstreamState| state.is_leaving_by_news;
+        let is_leaving = |state: &&UpstreamState| state.is_leaving_by_notice;
         LoadDigest {
             sequence,
             entries: states.clone().filter(is_busy).map(entry).collect(),
@@ -101,7 +105,8 @@
         }
     }
 
-    /// Takes in a peer's digest; an older one than the last is dropped.
+    /// Applies a peer's digest. The loads of a digest that is not newer than the last one are
+    /// dropped; its leaving notices always apply.
     pub fn apply_digest(&mut self, from: &InstanceId, digest: &LoadDigest, now: Millis) {
         for notice in &digest.leaving {
             if let Some(id) = self.by_hash.get(&notice.upstream).cloned() {
@@ -119,7 +124,7 @@
             .iter()
             .filter_map(|entry| Some((id(entry)?, entry.load())))
             .collect();
-        add_peer(&mut self.upstreams, &loads);
+        add_peer_loads(&mut self.upstreams, &loads);
         let peer = Peer {
             sequence: digest.sequence,
             received_at: now,
@@ -128,7 +133,7 @@
         self.peers.insert(from.clone(), peer);
     }
 
-    /// A peer is gone: its work no longer counts.
+    /// Removes the load of a peer that is gone.
     pub fn drop_peer(&mut self, peer: &InstanceId) {
         let Some(peer) = self.peers.remove(peer) else {
             return;
@@ -141,8 +146,8 @@
         }
     }
 
-    /// Forgets the work of peers that have been silent for [`DIGEST_LIFETIME_MS`]. To be called
-    /// about once a second.
+    /// Removes the load of peers that have been silent for [`DIGEST_LIFETIME_MS`]. Has to be called
+    /// about once per second.
     pub fn expire(&mut self, now: Millis) {
         let is_silent = |peer: &Peer| now.since(peer.received_at) >= DIGEST_LIFETIME_MS;
         let silent: Vec<_> = self
@@ -154,19 +159,20 @@
         silent.iter().for_each(|id| self.drop_peer(id));
     }
 
-    /// Work in flight on an upstream as this instance knows it; none if the upstream is unknown.
+    /// Returns this instance's estimate of the in-flight load on an upstream, or `None` if the
+    /// upstream is unknown.
     pub fn load(&self, upstream: &UpstreamId, now: Millis) -> Option<Load> {
         Some(self.upstreams.get(upstream)?.load(now))
     }
 
-    /// Whether an upstream is leaving, by any source; an unknown one is.
+    /// Whether an upstream is leaving according to any source. Unknown upstreams count as leaving.
     pub fn is_leaving(&self, upstream: &UpstreamId) -> bool {
         let state = self.upstreams.get(upstream);
         state.is_none_or(UpstreamState::is_leaving)
     }
 
-    /// Attempts that this instance has in flight.
+    /// Returns the number of attempts that this instance has in flight.
     pub fn attempts_in_flight(&self) -> usize {
-        self.flights.len()
+        self.attempts.len()
     }
 }
--- a/crates/core/tests/route_random.rs
+++ b/crates/core/tests/route_random.rs
@@ -1,5 +1,5 @@
-//! Seeded runs of several routers over random news and requests, with the promises checked beside
-//! the assertions inside the program.
+//! Seeded random runs of several routers with random updates and requests. The tests check the
+//! invariants in addition to the assertions in the router itself.
 
 mod routing;
 
@@ -17,14 +17,14 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 
-const STEPS: u64 = 6_000;
+const STEPS_PER_RUN: u64 = 6_000;
 const STEP_MS: u64 = 7;
 
 struct Instance {
     id: InstanceId,
     region: RegionId,
     router: Router,
-    flights: Vec<(AttemptId, UpstreamId, u64)>,
+    attempts: Vec<(AttemptId, UpstreamId, u64)>,
 }
 
 struct World {
@@ -33,7 +33,7 @@
     rng: StdRng,
     now: Millis,
     sequence: u64,
-    /// Registration and state of every upstream as the world has it.
+    /// Actual registration number of every upstream.
     registrations: BTreeMap<UpstreamId, u64>,
     placed: u64,
     away: u64,
@@ -41,7 +41,7 @@
 }
 
 fn id<T: std::str::FromStr>(name: &str) -> T {
-    name.parse().ok().expect("a name")
+    name.parse().ok().expect("a valid name")
 }
 
 impl World {
@@ -62,7 +62,7 @@
                 id: id(&format!("{name}-gateway")),
                 region: id(name),
                 router: Router::new(settings, &document, Millis(0)),
-                flights: Vec::new(),
+                attempts: Vec::new(),
             }
         };
         let upstreams = document.upstreams.iter();
@@ -87,7 +87,7 @@
             45..80 => self.advance(instance),
             80..90 => self.gossip(instance),
             90..95 => self.instances[instance].router.expire(self.now),
-            _ => self.news(instance),
+            _ => self.update(instance),
         }
     }
 
@@ -106,9 +106,13 @@
         let instance = &mut self.instances[index];
         let mut hops = Hops::default();
         if self.rng.random_bool(0.3) {
-            hops = hops.used(Hop::AcrossRegions).expect("a first hop");
+            hops = hops
+                .used(Hop::AcrossRegions)
+                .expect("the first hop is allowed");
         }
-        let hops = hops.arrive(&instance.id).expect("a first visit");
+        let hops = hops
+            .arrive(&instance.id)
+            .expect("the first visit is allowed");
         let prompt_tokens = self.rng.random_range(1..20_000);
         let prefix_hashes: Vec<u64> = (0..prompt_tokens / 256).map(|i| i % 5 + i).collect();
         let (model, version) = (id("m"), id("v1"));
@@ -143,8 +147,8 @@
                 assert_eq!(placement.hops.is_allowed(Hop::AcrossRegions), {
                     hops.is_allowed(Hop::AcrossRegions) && !is_away
                 });
-                let flight = instance.router.start(&placement, self.now);
-                instance.flights.push((flight, placement.upstream, 0));
+                let attempt = instance.router.start(&placement, self.now);
+                instance.attempts.push((attempt, placement.upstream, 0));
                 self.placed += 1;
                 self.away += u64::from(is_away);
             }
@@ -155,32 +159,32 @@
         }
     }
 
-    /// Moves one request on: a first token, more tokens, or its end.
+    /// Advances one attempt: first token, more tokens, or its end.
     fn advance(&mut self, index: usize) {
         let instance = &mut self.instances[index];
-        if instance.flights.is_empty() {
+        if instance.attempts.is_empty() {
             return;
         }
-        let chosen = self.rng.random_range(0..instance.flights.len());
-        let (flight, _, tokens) = &mut instance.flights[chosen];
+        let chosen = self.rng.random_range(0..instance.attempts.len());
+        let (attempt, _, tokens) = &mut instance.attempts[chosen];
         match self.rng.random_range(0..4) {
-            0 => instance.router.first_token(*flight, self.now),
+            0 => instance.router.first_token(*attempt, self.now),
             1 => {
                 *tokens += self.rng.random_range(0..50);
-                instance.router.progress(*flight, *tokens, self.now);
+                instance.router.progress(*attempt, *tokens, self.now);
             }
             2 => {
-                instance.router.finish(*flight);
-                instance.flights.swap_remove(chosen);
+                instance.router.finish(*attempt);
+                instance.attempts.swap_remove(chosen);
             }
             _ => {
-                instance.router.cancel(*flight);
-                instance.flights.swap_remove(chosen);
+                instance.router.cancel(*attempt);
+                instance.attempts.swap_remove(chosen);
             }
         }
     }
 
-    /// Sends a digest to the others, through its serialised form; some are lost or doubled.
+    /// Sends a serialised digest to the other instances; some copies are lost or duplicated.
     fn gossip(&mut self, from: usize) {
         self.sequence += 1;
         let digest = self.instances[from].router.digest(self.sequence);
@@ -198,7 +202,7 @@
         }
     }
 
-    fn news(&mut self, index: usize) {
+    fn update(&mut self, index: usize) {
         let upstreams: Vec<_> = self.registrations.keys().cloned().collect();
         let upstream = upstreams.choose(&mut self.rng).expect("an upstream");
         let registration = self.registrations[upstream];
@@ -225,7 +229,7 @@
                 let peer = self
                     .instances
                     .choose(&mut self.rng)
-                    .expect("one")
+                    .expect("an instance")
                     .id
                     .clone();
                 self.instances[index].router.drop_peer(&peer);
@@ -242,11 +246,12 @@
         }
     }
 
-    /// Ends all work; gives the work that any router still sees after the digests have aged.
-    fn end(&mut self) -> u64 {
+    /// Cancels all attempts and returns the number of requests that the routers still count after
+    /// the digests have expired.
+    fn drain(&mut self) -> u64 {
         for instance in &mut self.instances {
-            for (flight, _, _) in instance.flights.drain(..) {
-                instance.router.cancel(flight);
+            for (attempt, _, _) in instance.attempts.drain(..) {
+                instance.router.cancel(attempt);
             }
         }
         self.now = self.now.plus(DIGEST_LIFETIME_MS);
@@ -265,19 +270,19 @@
 
 #[test_case("tail_latency"; "tail latency")]
 #[test_case("cost"; "cost")]
-fn no_placement_breaks_a_promise(objective: &str) {
+fn placements_keep_the_invariants(objective: &str) {
     for seed in 0..8 {
         let mut world = World::new(seed, objective);
-        (0..STEPS).for_each(|_| world.step());
+        (0..STEPS_PER_RUN).for_each(|_| world.step());
         assert!(world.placed > 500, "seed {seed}: {} placed", world.placed);
         assert!(world.away > 20, "seed {seed}: {} away", world.away);
         assert!(world.refused > 20, "seed {seed}: {} refused", world.refused);
-        assert_eq!(world.end(), 0, "seed {seed}: work left over");
+        assert_eq!(world.drain(), 0, "seed {seed}: work left over");
     }
 }
 
 #[test]
-fn leaving_is_for_good_until_a_newer_registration() {
+fn upstream_keeps_leaving_until_a_newer_registration() {
     let mut world = World::new(1, "cost");
     let upstream: UpstreamId = id("north-engine-0");
     let router = &mut world.instances[0].router;
@@ -292,6 +297,6 @@
     router.apply_digest(&id("peer"), &gossip, Millis(4));
     assert!(
         !router.is_leaving(&upstream),
-        "old news of the former start"
+        "stale notice of the earlier registration"
     );
 }
--- a/crates/core/tests/routing/mod.rs
+++ b/crates/core/tests/routing/mod.rs
@@ -1,8 +1,8 @@
-//! A small document for the tests of routing.
+//! Small configuration document for the routing tests.
 
 pub(crate) const REGIONS: [&str; 3] = ["north", "south", "central"];
 
-/// Three regions with two data centres and `engines` engines each.
+/// Builds a document with three regions of two data centres and `engines` engines each.
 pub(crate) fn document_json(engines: usize, objective: &str) -> String {
     let region = |name: &&str| {
         serde_json::json!({
