--- a/crates/core/src/route/request.rs
+++ b/crates/core/src/route/request.rs
@@ -124,7 +124,7 @@
             Self::OutsideBoundRegion(region) => {
                 write!(
                     f,
-                    "the request is bound to region `{region}`, but this instance is in another region"
+                    "the request is bound to region `{region}`, not to that of this instance"
                 )
             }
             Self::NoUpstream => f.write_str("no eligible upstream serves the request"),
