--- a/crates/core/src/retry/budget.rs
+++ b/crates/core/src/retry/budget.rs
@@ -1,64 +1,66 @@
-//! The retry budget: retries and hedges are at most a share of the requests.
+//! Retry budget, which limits retries and hedges to a share of the requests.
 
-/// Most retries that may be saved up, which bounds the burst of retries after a quiet time.
+/// Maximum number of saved-up retries, which bounds the burst of retries after a quiet period.
 pub const MAX_SAVED_RETRIES: u64 = 100;
-/// Parts of one retry; a request pays in one part for each percent of the share.
-const RETRY_PARTS: u64 = 100;
+/// Number of budget units that one retry costs; each request adds one unit per percent of the
+/// share.
+const PARTS_PER_RETRY: u64 = 100;
 
-/// A token bucket that each request fills by a share of one retry.
+/// Token bucket to which each request adds a fraction of one retry.
 ///
-/// Every instance keeps its own, so retries of the whole fleet are at most the same share of the
-/// requests of the whole fleet. It starts empty.
+/// Every instance has its own budget, so the fleet's retries are limited to the same share of the
+/// fleet's requests. The bucket starts empty.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     share_pct: u32,
-    pub(super) parts: u64,
-    paid_in_parts: u64,
+    pub(super) available_parts: u64,
+    credited_parts: u64,
     retries: u64,
 }
 
 impl RetryBudget {
-    /// A budget of `share_pct` retries for each 100 requests.
+    /// Creates an empty budget that allows `share_pct` retries per 100 requests.
     pub fn new(share_pct: u32) -> Self {
         Self {
             share_pct,
-            parts: 0,
-            paid_in_parts: 0,
+            available_parts: 0,
+            credited_parts: 0,
             retries: 0,
         }
     }
 
-    /// Changes the share for the requests that follow.
+    /// Changes the share for subsequent requests.
     pub fn set_share_pct(&mut self, share_pct: u32) {
         self.share_pct = share_pct;
     }
 
-    /// Pays in for one request, at its first attempt.
+    /// Credits the budget for one request. Has to be called at its first attempt.
     pub fn on_request(&mut self) {
         let parts = u64::from(self.share_pct);
-        self.paid_in_parts += parts;
-        self.parts = (self.parts + parts).min(MAX_SAVED_RETRIES * RETRY_PARTS);
+        self.credited_parts += parts;
+        self.available_parts =
+            (self.available_parts + parts).min(MAX_SAVED_RETRIES * PARTS_PER_RETRY);
     }
 
-    /// Takes one retry or hedge; false if none is left.
+    /// Consumes one retry or hedge. Returns false if none is available.
     ///
     /// # Panics
     ///
-    /// Panics if more were taken than the share allows, which is a fault of the program.
+    /// Panics if more retries were consumed than the share allows, which is a bug.
     pub fn try_take(&mut self) -> bool {
-        let Some(rest) = self.parts.checked_sub(RETRY_PARTS) else {
+        let Some(rest) = self.available_parts.checked_sub(PARTS_PER_RETRY) else {
             return false;
         };
-        self.parts = rest;
+        self.available_parts = rest;
         self.retries += 1;
         assert!(
-            self.retries * RETRY_PARTS <= self.paid_in_parts,
+            self.retries * PARTS_PER_RETRY <= self.credited_parts,
             "more retries than the budget allows"
         );
         true
     }
 
-    /// Retries and hedges taken so far.
+    /// Returns the number of retries and hedges consumed so far.
     pub fn retries(&self) -> u64 {
         self.retries
     }
--- a/crates/core/src/retry/mod.rs
+++ b/crates/core/src/retry/mod.rs
@@ -1,12 +1,12 @@
-//! Retries, hedges, retry budget, outlier ejection and the resumption of broken streams.
+//! Retries, hedging, retry budget, outlier ejection and resumption of broken streams.
 //!
-//! - [`Retrier`] decides whether a failed attempt is tried again, and when: only if the request is
-//!   idempotent or has truly not run, on another upstream and a new connection, and within a
+//! - [`Retrier`] decides whether and when a failed attempt is retried: only if the request is
+//!   idempotent or has certainly not run, on another upstream over a new connection, and within a
 //!   [`RetryBudget`] that is a share of the requests.
-//! - [`OutlierDetector`] takes failing upstreams out for a time that grows, but never more than a share of
-//!   those that serve the same in a region.
-//! - [`ResumePoint`] relays a stream so that it can go on from another engine with no token doubled
-//!   or lost.
+//! - [`OutlierDetector`] ejects failing upstreams for increasing periods, but never more than a
+//!   share of the [`UpstreamGroup`] that serves the same model version or service in a region.
+//! - [`ResumePoint`] tracks a relayed stream so that another engine can continue it without
+//!   duplicated or lost tokens.
 
 mod budget;
 mod outlier;
--- a/crates/core/src/retry/outlier.rs
+++ b/crates/core/src/retry/outlier.rs
@@ -1,61 +1,62 @@
-//! Outlier ejection: an upstream that fails is left out for a while.
+//! Outlier detection: a failing upstream is temporarily ejected from load balancing.
 
 use crate::id::{RegionId, UpstreamId};
 use crate::time::Millis;
 use std::collections::BTreeMap;
 
-/// Largest share of a group that may be out at the same time.
+/// Maximum share of a group that may be ejected at the same time.
 pub const MAX_EJECTED_SHARE: f64 = 0.5;
-/// Errors in a row that eject.
-const CONSECUTIVE_ERRORS: u32 = 5;
-/// Share of errors that ejects.
-const ERROR_SHARE: f64 = 0.5;
-/// Answers needed before the share of errors counts.
-const MIN_ANSWERS: f64 = 20.0;
-/// Part of the counts that is kept when a new answer is counted.
-const DECAY: f64 = 0.98;
-/// Time of the first ejection, in milliseconds; doubles with each further one.
+/// Number of consecutive errors that causes an ejection.
+const EJECTING_CONSECUTIVE_ERRORS: u32 = 5;
+/// Share of errors that causes an ejection.
+const EJECTING_ERROR_SHARE: f64 = 0.5;
+/// Minimum (decayed) number of answers for evaluating the share of errors.
+const MIN_COUNTED_ANSWERS: f64 = 20.0;
+/// Decay factor applied to the counts for each new answer.
+const COUNT_DECAY: f64 = 0.98;
+/// Duration of the first ejection, in milliseconds; it doubles with each further one.
 const BASE_EJECTION_MS: u64 = 5_000;
-/// Longest ejection, in milliseconds.
+/// Maximum duration of an ejection, in milliseconds.
 const MAX_EJECTION_MS: u64 = 300_000;
-/// Time without an ejection after which the next one is short again, in milliseconds.
-const FORGIVEN_MS: u64 = 600_000;
+/// Time since the last ejection after which the next one has the base duration again, in
+/// milliseconds.
+const EJECTION_BACKOFF_RESET_MS: u64 = 600_000;
 
-/// Upstreams that stand in for each other: those of one model version or service in one region.
+/// Group of interchangeable upstreams: those of one model version or service in one region.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UpstreamGroup {
-    /// The region.
+    /// Region of the upstreams.
     pub region: RegionId,
     /// Model and version, or service, as text.
     pub serves: String,
 }
 
-/// A change that the router has to be told.
+/// Ejection or readmission of an upstream, to be applied to the router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EjectionChange {
-    /// The upstream is out.
+    /// The upstream has been ejected.
     Ejected {
-        /// The upstream.
+        /// Ejected upstream.
         upstream: UpstreamId,
-        /// When it comes back.
+        /// Time at which it is readmitted.
         until: Millis,
     },
-    /// The upstream is back.
+    /// The upstream has been readmitted.
     Readmitted(UpstreamId),
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Record {
+pub(super) struct UpstreamHealth {
     group: UpstreamGroup,
     consecutive_errors: u32,
     answers: f64,
     errors: f64,
     ejections: u32,
     last_ejected_at: Millis,
-    pub(super) out_until: Option<Millis>,
+    pub(super) ejected_until: Option<Millis>,
 }
 
-impl Record {
+impl UpstreamHealth {
     fn new(group: UpstreamGroup) -> Self {
         Self {
             group,
@@ -64,13 +65,13 @@
             errors: 0.0,
             ejections: 0,
             last_ejected_at: Millis(0),
-            out_until: None,
+            ejected_until: None,
         }
     }
 
     fn count(&mut self, is_error: bool) {
-        self.answers = self.answers * DECAY + 1.0;
-        self.errors = self.errors * DECAY + f64::from(u8::from(is_error));
+        self.answers = self.answers * COUNT_DECAY + 1.0;
+        self.errors = self.errors * COUNT_DECAY + f64::from(u8::from(is_error));
         self.consecutive_errors = if is_error {
             self.consecutive_errors + 1
         } else {
@@ -79,143 +80,146 @@
     }
 
     fn is_outlier(&self) -> bool {
-        let is_share_high = self.errors >= self.answers * ERROR_SHARE;
-        let is_share_known = self.answers >= MIN_ANSWERS;
-        self.consecutive_errors >= CONSECUTIVE_ERRORS || (is_share_known && is_share_high)
+        let is_error_share_high = self.errors >= self.answers * EJECTING_ERROR_SHARE;
+        let has_enough_answers = self.answers >= MIN_COUNTED_ANSWERS;
+        self.consecutive_errors >= EJECTING_CONSECUTIVE_ERRORS
+            || (has_enough_answers && is_error_share_high)
     }
 
     fn eject(&mut self, now: Millis) -> Millis {
-        if now.since(self.last_ejected_at) >= FORGIVEN_MS {
+        if now.since(self.last_ejected_at) >= EJECTION_BACKOFF_RESET_MS {
             self.ejections = 0;
         }
         let ejection_ms = BASE_EJECTION_MS << self.ejections.min(16);
         let until = now.plus(ejection_ms.min(MAX_EJECTION_MS));
         self.ejections += 1;
         self.last_ejected_at = now;
-        self.out_until = Some(until);
+        self.ejected_until = Some(until);
         until
     }
 
-    fn bring_back(&mut self) {
-        self.out_until = None;
+    fn readmit(&mut self) {
+        self.ejected_until = None;
         self.consecutive_errors = 0;
         self.answers = 0.0;
         self.errors = 0.0;
     }
 }
 
-/// Errors of all upstreams as one instance sees them.
+/// Error counts and ejections of all upstreams as observed by one instance.
 #[derive(Clone, Debug, Default)]
 pub struct OutlierDetector {
-    pub(super) records: BTreeMap<UpstreamId, Record>,
+    pub(super) health: BTreeMap<UpstreamId, UpstreamHealth>,
 }
 
 impl OutlierDetector {
-    /// Sets the upstreams and their groups; what is known of those that stay is kept.
+    /// Sets the upstreams and their groups, keeping the state of those that remain in
+    /// their group.
     ///
-    /// A group that shrinks may have too many of its members out: those that come back soonest are
-    /// brought back at once, and returned.
+    /// If a group has shrunk so that too many of its members are ejected, those whose ejection ends
+    /// first are readmitted immediately and returned.
     pub fn set_upstreams(
         &mut self,
         upstreams: impl IntoIterator<Item = (UpstreamId, UpstreamGroup)>,
     ) -> Vec<EjectionChange> {
-        let mut former = std::mem::take(&mut self.records);
+        let mut previous = std::mem::take(&mut self.health);
         for (id, group) in upstreams {
-            let record = match former.remove(&id) {
-                Some(record) if record.group == group => record,
-                _ => Record::new(group),
+            let health = match previous.remove(&id) {
+                Some(health) if health.group == group => health,
+                _ => UpstreamHealth::new(group),
             };
-            self.records.insert(id, record);
+            self.health.insert(id, health);
         }
-        self.restore_floor()
+        self.readmit_above_limit()
     }
 
-    /// Counts the outcome of an attempt; returns an ejection if it leads to one.
+    /// Counts the outcome of an attempt. Returns the ejection if it causes one.
     ///
     /// # Panics
     ///
-    /// Panics if more of a group were out than the floor allows, which is a fault of the program.
+    /// Panics if more members of a group are ejected than the limit allows, which is a bug.
     pub fn record(
         &mut self,
         upstream: &UpstreamId,
         is_error: bool,
         now: Millis,
     ) -> Option<EjectionChange> {
-        let record = self.records.get_mut(upstream)?;
-        record.count(is_error);
-        if record.out_until.is_some() || !record.is_outlier() {
+        let health = self.health.get_mut(upstream)?;
+        health.count(is_error);
+        if health.ejected_until.is_some() || !health.is_outlier() {
             return None;
         }
-        let group = record.group.clone();
-        let (members, out) = self.count_group(&group);
-        if out + 1 > most_out(members) {
+        let group = health.group.clone();
+        let (members, ejected) = self.count_group(&group);
+        if ejected + 1 > max_ejected(members) {
             return None;
         }
-        let until = self.records.get_mut(upstream)?.eject(now);
-        self.assert_floor(&group);
+        let until = self.health.get_mut(upstream)?.eject(now);
+        self.assert_ejection_limit(&group);
         Some(EjectionChange::Ejected {
             upstream: upstream.clone(),
             until,
         })
     }
 
-    /// Brings back the upstreams whose ejection has ended. To be called about once a second.
+    /// Readmits the upstreams whose ejection has ended. Has to be called about once per second.
     pub fn expire(&mut self, now: Millis) -> Vec<EjectionChange> {
-        let mut back = Vec::new();
-        for (id, record) in &mut self.records {
-            if record.out_until.is_some_and(|until| until <= now) {
-                record.bring_back();
-                back.push(EjectionChange::Readmitted(id.clone()));
+        let mut readmitted = Vec::new();
+        for (id, health) in &mut self.health {
+            if health.ejected_until.is_some_and(|until| until <= now) {
+                health.readmit();
+                readmitted.push(EjectionChange::Readmitted(id.clone()));
             }
         }
-        back
+        readmitted
     }
 
-    /// Whether the upstream is out.
+    /// Whether the upstream is ejected.
     pub fn is_ejected(&self, upstream: &UpstreamId) -> bool {
-        let record = self.records.get(upstream);
-        record.is_some_and(|record| record.out_until.is_some())
+        let health = self.health.get(upstream);
+        health.is_some_and(|health| health.ejected_until.is_some())
     }
 
     fn count_group(&self, group: &UpstreamGroup) -> (usize, usize) {
-        let members = || self.records.values().filter(|r| r.group == *group);
-        let out = members().filter(|r| r.out_until.is_some()).count();
-        (members().count(), out)
+        let members = || self.health.values().filter(|r| r.group == *group);
+        let ejected = members().filter(|r| r.ejected_until.is_some()).count();
+        (members().count(), ejected)
     }
 
-    fn restore_floor(&mut self) -> Vec<EjectionChange> {
-        let mut back = Vec::new();
-        let out = |record: &Record| record.out_until;
-        let mut by_end: Vec<_> = self
-            .records
+    fn readmit_above_limit(&mut self) -> Vec<EjectionChange> {
+        let mut readmitted = Vec::new();
+        let ejected = |health: &UpstreamHealth| health.ejected_until;
+        let mut by_ejection_end: Vec<_> = self
+            .health
             .iter()
-            .filter_map(|(id, record)| Some((out(record)?, id.clone())))
+            .filter_map(|(id, health)| Some((ejected(health)?, id.clone())))
             .collect();
-        by_end.sort();
-        for (_, id) in by_end {
-            let Some(group) = self.records.get(&id).map(|record| record.group.clone()) else {
+        by_ejection_end.sort();
+        for (_, id) in by_ejection_end {
+            let Some(group) = self.health.get(&id).map(|health| health.group.clone()) else {
                 continue;
             };
-            let (members, out) = self.count_group(&group);
-            if out <= most_out(members) {
+            let (members, ejected) = self.count_group(&group);
+            if ejected <= max_ejected(members) {
                 continue;
             }
-            if let Some(record) = self.records.get_mut(&id) {
-                record.bring_back();
-                back.push(EjectionChange::Readmitted(id));
+            if let Some(health) = self.health.get_mut(&id) {
+                health.readmit();
+                readmitted.push(EjectionChange::Readmitted(id));
             }
         }
-        back
+        readmitted
     }
 
-    pub(super) fn assert_floor(&self, group: &UpstreamGroup) {
-        let (members, out) = self.count_group(group);
-        let most = (members as f64 * MAX_EJECTED_SHARE).floor() as usize;
-        assert!(out <= most, "{out} of {members} upstreams ejected");
+    pub(super) fn assert_ejection_limit(&self, group: &UpstreamGroup) {
+        let (members, ejected) = self.count_group(group);
+        let limit = (members as f64 * MAX_EJECTED_SHARE).floor() as usize;
+        assert!(ejected <= limit, "{ejected} of {members} upstreams ejected");
     }
 }
 
-/// Members of a group of `members` that may be out; a group of one is never without its member.
-fn most_out(members: usize) -> usize {
+/// Maximum number of ejected upstreams in a group of `members`. The only member of a group is never
+/// ejected.
+fn max_ejected(members: usize) -> usize {
     (members as f64 * MAX_EJECTED_SHARE).floor() as usize
 }
--- a/crates/core/src/retry/policy.rs
+++ b/crates/core/src/retry/policy.rs
@@ -1,22 +1,22 @@
-//! Whether a failed attempt is tried again.
+//! Retry policy for failed attempts.
 
 use super::RetryBudget;
 use rand::Rng;
 
-/// How an attempt failed.
+/// Failure of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection came about: no byte of the request has left.
+    /// No connection was established; no byte of the request was sent.
     ConnectFailed,
-    /// The upstream itself has refused the request as not run.
+    /// The upstream itself refused the request and reported that it has not run.
     RefusedNotRun,
-    /// The connection was lost, or the answer was cut short, after the request may have arrived.
+    /// The connection was lost or the answer was truncated after the request may have arrived.
     ConnectionLost,
-    /// No answer came in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// The upstream has answered with an error of its own.
+    /// The upstream answered with an error of its own.
     UpstreamError,
-    /// The answer belongs to another request or is not well formed.
+    /// The answer belongs to another request or is malformed.
     WrongAnswer,
 }
 
@@ -26,28 +26,28 @@
         matches!(self, Self::ConnectFailed | Self::RefusedNotRun)
     }
 
-    /// Whether the failure counts against the upstream in outlier ejection. A refusal shows a full
-    /// upstream, not a faulty one.
+    /// Whether the failure counts as an error of the upstream in outlier detection. A refusal
+    /// indicates a full upstream, not a faulty one.
     pub const fn is_fault_of_upstream(self) -> bool {
         !matches!(self, Self::RefusedNotRun)
     }
 }
 
-/// Settings of retries.
+/// Settings of a [`Retrier`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetrySettings {
-    /// Retries and hedges as a share of requests, in percent.
+    /// Maximum retries and hedges as a share of requests, in percent.
     pub budget_pct: u32,
-    /// Attempts of one request at most, the first included.
+    /// Maximum number of attempts per request, including the first.
     pub max_attempts: u32,
-    /// Longest wait before the first retry, in milliseconds; doubles with each further one.
+    /// Maximum wait before the first retry, in milliseconds; it doubles with each further one.
     pub base_backoff_ms: u64,
-    /// Longest wait before any retry, in milliseconds.
+    /// Maximum wait before any retry, in milliseconds.
     pub max_backoff_ms: u64,
 }
 
 impl RetrySettings {
-    /// The settings for a document's `retry_budget_pct`.
+    /// Returns the default settings with the `retry_budget_pct` of a document.
     pub const fn with_budget_pct(budget_pct: u32) -> Self {
         Self {
             budget_pct,
@@ -58,32 +58,32 @@
     }
 }
 
-/// Why a request is not tried again.
+/// Reason why a request is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
     /// The request is not idempotent and may have run.
     MayHaveRun,
-    /// All attempts of the request are used up.
+    /// The request has reached the maximum number of attempts.
     Attempts,
-    /// The budget of the instance is used up.
+    /// The retry budget of the instance is exhausted.
     Budget,
-    /// The deadline comes before the retry.
+    /// The deadline of the request is before the retry.
     Deadline,
 }
 
-/// What to do after a failed attempt.
+/// Decision after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Try again after a wait, on another upstream and a new connection.
+    /// Retry after a wait, on another upstream over a new connection.
     Retry {
-        /// The wait, in milliseconds.
+        /// Wait before the retry, in milliseconds.
         after_ms: u64,
     },
     /// Report the failure to the caller.
     GiveUp(GiveUpReason),
 }
 
-/// Decides on retries and hedges of one instance.
+/// Retry policy and retry budget of one instance.
 #[derive(Clone, Debug)]
 pub struct Retrier {
     settings: RetrySettings,
@@ -91,7 +91,7 @@
 }
 
 impl Retrier {
-    /// A retrier with an empty budget.
+    /// Creates a retrier with an empty budget.
     pub fn new(settings: RetrySettings) -> Self {
         Self {
             settings,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Takes over newer settings; the budget saved up is kept.
+    /// Applies new settings, keeping the accumulated budget.
     pub fn set_settings(&mut self, settings: RetrySettings) {
         self.settings = settings;
         self.budget.set_share_pct(settings.budget_pct);
@@ -110,8 +110,8 @@
         self.budget.on_request();
     }
 
-    /// Decides after the failure of attempt number `attempts` (1 for the first), with
-    /// `remaining_ms` left until the deadline.
+    /// Decides whether to retry after the failure of attempt number `attempts` (1 for the first),
+    /// with `remaining_ms` left until the deadline. Consumes budget if the request is retried.
     pub fn decide(
         &mut self,
         is_idempotent: bool,
@@ -136,20 +136,20 @@
         Decision::Retry { after_ms }
     }
 
-    /// Whether a second attempt may start beside the first; takes it from the budget if so.
+    /// Whether a concurrent second attempt may start. Consumes budget if so.
     ///
-    /// `waited_ms` is the time since the first attempt, `usual_ms` the time within which nearly all
-    /// attempts have their first token.
-    pub fn try_hedge(&mut self, is_idempotent: bool, waited_ms: u64, usual_ms: u64) -> bool {
-        is_idempotent && waited_ms >= usual_ms && self.budget.try_take()
+    /// `waited_ms` is the time since the first attempt started, `hedge_delay_ms` the time within
+    /// which nearly all attempts get their first token.
+    pub fn try_hedge(&mut self, is_idempotent: bool, waited_ms: u64, hedge_delay_ms: u64) -> bool {
+        is_idempotent && waited_ms >= hedge_delay_ms && self.budget.try_take()
     }
 
-    /// Retries and hedges so far.
+    /// Returns the number of retries and hedges so far.
     pub fn retries(&self) -> u64 {
         self.budget.retries()
     }
 
-    /// A random wait up to a bound that doubles with each attempt, in milliseconds.
+    /// Returns a random wait (exponential backoff with full jitter), in milliseconds.
     fn backoff_ms(&self, attempts: u32, rng: &mut impl Rng) -> u64 {
         let doublings = attempts.saturating_sub(1).min(16);
         let bound_ms = self.settings.base_backoff_ms << doublings;
--- a/crates/core/src/retry/resume.rs
+++ b/crates/core/src/retry/resume.rs
@@ -1,34 +1,34 @@
-//! Continuing a broken stream on another engine.
+//! Resumption of a broken stream on another engine.
 
 use std::fmt;
 
-/// What to relay of a piece of a stream.
+/// Action for a received piece of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayAction {
-    /// Relay the piece without its first `skip_tokens` tokens, which the caller has.
+    /// Relay the piece without its first `skip_tokens` tokens, which were already relayed.
     Pass {
-        /// Tokens at the start of the piece to leave out.
+        /// Number of tokens to skip at the start of the piece.
         skip_tokens: u64,
     },
-    /// The caller has all of it.
+    /// Drop the piece; all of it was already relayed.
     Drop,
 }
 
-/// A stream that does not fit what was relayed before.
+/// Inconsistency of a stream with what was relayed before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamError {
     /// Tokens are missing before the piece.
     Gap {
-        /// Tokens relayed so far.
+        /// Number of tokens relayed so far.
         relayed_tokens: u64,
         /// Position of the piece's first token.
         position_tokens: u64,
     },
-    /// More tokens than the request allows.
+    /// The stream has more tokens than the request allows.
     TooLong,
-    /// The stream ended before its end was announced.
+    /// The stream ended without its final event.
     CutShort,
-    /// A piece came after the end.
+    /// A piece arrived after the final event.
     AfterEnd,
 }
 
@@ -40,51 +40,51 @@
                 position_tokens,
             } => write!(
                 f,
-                "the stream goes on at token {position_tokens}, but only {relayed_tokens} came before"
+                "the stream continues at token {position_tokens}, but only {relayed_tokens} were relayed"
             ),
-            Self::TooLong => f.write_str("the stream has more tokens than were asked for"),
+            Self::TooLong => f.write_str("the stream has more tokens than requested"),
             Self::CutShort => f.write_str("the stream ended without its final event"),
-            Self::AfterEnd => f.write_str("the stream goes on after its final event"),
+            Self::AfterEnd => f.write_str("the stream continues after its final event"),
         }
     }
 }
 
 impl std::error::Error for StreamError {}
 
-/// What to ask of the next engine.
+/// Continuation of a stream to request from another engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Continuation {
-    /// Generated tokens that the caller has; the next engine goes on behind them.
+    /// Number of generated tokens already relayed, after which the next engine continues.
     pub from_tokens: u64,
-    /// Most tokens that may still be generated.
+    /// Maximum number of further output tokens.
     pub remaining_output_tokens: u64,
 }
 
-/// What becomes of a stream that broke.
+/// Action for a broken stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokenStream {
-    /// It can go on from another engine.
+    /// Continue the stream on another engine.
     Continue(Continuation),
-    /// Every token has been relayed; only the final event is missing.
+    /// Complete the stream: every token was relayed and at most the final event is missing.
     Complete,
-    /// The request is not idempotent: the caller gets an error event.
+    /// Fail with an error event to the caller, since the request is not idempotent.
     Fail,
 }
 
-/// How far a stream has been relayed to its caller.
+/// Position up to which a stream has been relayed to its caller.
 #[derive(Clone, Debug)]
 pub struct ResumePoint {
     is_idempotent: bool,
     max_output_tokens: u64,
-    /// End of what the caller has, as a position in the whole answer.
+    /// Position in the whole answer up to which it has been relayed.
     relayed_tokens: u64,
-    /// Tokens passed on, counted one piece at a time.
+    /// Number of relayed tokens, summed over the pieces as a cross-check of `relayed_tokens`.
     pub(super) passed_tokens: u64,
     is_ended: bool,
 }
 
 impl ResumePoint {
-    /// The start of a stream of at most `max_output_tokens`.
+    /// Creates the resume point at the start of a stream of at most `max_output_tokens`.
     pub fn new(is_idempotent: bool, max_output_tokens: u64) -> Self {
         Self {
             is_idempotent,
@@ -95,12 +95,17 @@
         }
     }
 
-    /// Takes in a piece of `tokens` tokens whose first one stands at `position_tokens` in the whole
-    /// answer, counted from 0.
+    /// Handles a piece of `tokens` tokens whose first token is at the zero-based position
+    /// `position_tokens` in the whole answer.
     ///
     /// # Errors
     ///
-    /// Reports tokens that are missing or too many; nothing of the piece may be relayed then.
+    /// Returns an error for missing tokens, too many tokens, and tokens after the final event. The
+    /// piece must not be relayed then.
+    ///
+    /// # Panics
+    ///
+    /// Panics if a token was duplicated or lost, which is a bug.
     pub fn on_piece(
         &mut self,
         position_tokens: u64,
@@ -127,21 +132,21 @@
         self.passed_tokens += tokens - skip_tokens;
         assert_eq!(
             self.passed_tokens, self.relayed_tokens,
-            "a token was doubled or lost"
+            "a token was duplicated or lost"
         );
         Ok(RelayAction::Pass { skip_tokens })
     }
 
-    /// The final event has arrived.
+    /// Records the final event of the stream.
     pub fn on_end(&mut self) {
         self.is_ended = true;
     }
 
-    /// The connection ended.
+    /// Checks that the final event had arrived when the connection closed.
     ///
     /// # Errors
     ///
-    /// Reports an end without the final event.
+    /// Returns an error if the stream ended without its final event.
     pub fn on_close(&self) -> Result<(), StreamError> {
         if self.is_ended {
             return Ok(());
@@ -149,7 +154,7 @@
         Err(StreamError::CutShort)
     }
 
-    /// What to do after the stream broke.
+    /// Returns the action after the stream broke.
     pub fn on_break(&self) -> BrokenStream {
         let remaining_output_tokens = self.max_output_tokens - self.relayed_tokens;
         if self.is_ended || remaining_output_tokens == 0 {
@@ -164,7 +169,7 @@
         })
     }
 
-    /// Tokens that the caller has.
+    /// Returns the number of tokens relayed to the caller.
     pub fn relayed_tokens(&self) -> u64 {
         self.relayed_tokens
     }
--- a/crates/core/tests/retry_random.rs
+++ b/crates/core/tests/retry_random.rs
@@ -1,4 +1,4 @@
-//! Retries, ejection and resumption: tables and seeded runs.
+//! Table-driven and seeded random tests of retries, outlier ejection and stream resumption.
 
 use carobwheel_core::id::UpstreamId;
 use carobwheel_core::retry::{
@@ -13,7 +13,7 @@
 
 const RETRY: &str = "retry";
 
-fn rich_retrier() -> Retrier {
+fn funded_retrier() -> Retrier {
     let mut retrier = Retrier::new(RetrySettings::with_budget_pct(100));
     (0..100).for_each(|_| retrier.on_request());
     retrier
@@ -37,7 +37,7 @@
     expected: &str,
 ) {
     let mut rng = StdRng::seed_from_u64(1);
-    let decision = rich_retrier().decide(is_idempotent, failure, 1, 10_000, &mut rng);
+    let decision = funded_retrier().decide(is_idempotent, failure, 1, 10_000, &mut rng);
     match decision {
         Decision::Retry { after_ms } => {
             assert_eq!(expected, RETRY);
@@ -51,10 +51,10 @@
 }
 
 #[test]
-fn a_request_is_given_up_for_want_of_attempts_time_or_budget() {
+fn a_request_is_given_up_without_attempts_time_or_budget() {
     let mut rng = StdRng::seed_from_u64(1);
-    let mut rich = rich_retrier();
-    let mut poor = Retrier::new(RetrySettings::with_budget_pct(10));
+    let mut funded = funded_retrier();
+    let mut unfunded = Retrier::new(RetrySettings::with_budget_pct(10));
     let mut decide = |retrier: &mut Retrier, attempts, remaining_ms| {
         retrier.decide(
             true,
@@ -66,27 +66,30 @@
     };
     let give_up = Decision::GiveUp;
     assert_eq!(
-        decide(&mut rich, 3, 10_000),
+        decide(&mut funded, 3, 10_000),
         give_up(GiveUpReason::Attempts)
     );
-    assert_eq!(decide(&mut rich, 1, 0), give_up(GiveUpReason::Deadline));
-    assert_eq!(decide(&mut poor, 1, 10_000), give_up(GiveUpReason::Budget));
-    assert_eq!(rich.retries(), 0);
-    assert!(!rich.try_hedge(false, 1_000, 500), "not idempotent");
-    assert!(!rich.try_hedge(true, 499, 500), "not yet slow");
-    assert!(rich.try_hedge(true, 500, 500));
-    assert_eq!(rich.retries(), 1);
+    assert_eq!(decide(&mut funded, 1, 0), give_up(GiveUpReason::Deadline));
+    assert_eq!(
+        decide(&mut unfunded, 1, 10_000),
+        give_up(GiveUpReason::Budget)
+    );
+    assert_eq!(funded.retries(), 0);
+    assert!(!funded.try_hedge(false, 1_000, 500), "not idempotent");
+    assert!(!funded.try_hedge(true, 499, 500), "not yet slow");
+    assert!(funded.try_hedge(true, 500, 500));
+    assert_eq!(funded.retries(), 1);
 }
 
-/// However many attempts fail, retries and hedges together stay within the budget.
+/// Retries and hedges together stay within the budget, however many attempts fail.
 #[test_case(0)]
 #[test_case(10)]
 #[test_case(100)]
-fn a_retry_storm_does_not_grow(budget_pct: u32) {
+fn retries_stay_within_the_budget(budget_pct: u32) {
     for seed in 0..10 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut retrier = Retrier::new(RetrySettings::with_budget_pct(budget_pct));
-        let (mut requests, mut more) = (0_u64, 0_u64);
+        let (mut requests, mut extra) = (0_u64, 0_u64);
         for _ in 0..5_000 {
             requests += 1;
             retrier.on_request();
@@ -98,56 +101,58 @@
                     break;
                 }
                 attempts += 1;
-                more += 1;
+                extra += 1;
             }
-            more += u64::from(retrier.try_hedge(true, rng.random_range(0..1_000), 900));
+            extra += u64::from(retrier.try_hedge(true, rng.random_range(0..1_000), 900));
             assert!(
-                more * 100 <= requests * u64::from(budget_pct),
+                extra * 100 <= requests * u64::from(budget_pct),
                 "seed {seed}"
             );
         }
-        assert!(budget_pct == 0 || more > 0);
+        assert!(budget_pct == 0 || extra > 0);
     }
 }
 
 fn group(region: usize) -> UpstreamGroup {
     UpstreamGroup {
-        region: format!("region-{region}").parse().expect("a name"),
+        region: format!("region-{region}").parse().expect("a valid name"),
         serves: "m/v1".to_owned(),
     }
 }
 
 fn upstream(region: usize, index: usize) -> UpstreamId {
-    format!("region-{region}-{index}").parse().expect("a name")
+    format!("region-{region}-{index}")
+        .parse()
+        .expect("a valid name")
 }
 
 #[test]
-fn a_failing_upstream_is_out_for_longer_each_time_and_alone_it_stays() {
+fn ejections_double_and_the_only_upstream_is_never_ejected() {
     let mut outliers = OutlierDetector::default();
     let pair = [(upstream(0, 0), group(0)), (upstream(0, 1), group(0))];
     outliers.set_upstreams(pair.into_iter().chain([(upstream(1, 0), group(1))]));
     let mut now = Millis(1_000_000);
-    let mut outs = Vec::new();
+    let mut ejection_ms = Vec::new();
     for _ in 0..3 {
         let ejections = (0..5).filter_map(|_| outliers.record(&upstream(0, 0), true, now));
         for ejection in ejections.collect::<Vec<_>>() {
             let EjectionChange::Ejected { until, .. } = ejection else {
                 panic!("{ejection:?}");
             };
-            outs.push(until.since(now));
+            ejection_ms.push(until.since(now));
             now = until;
         }
         let back = vec![EjectionChange::Readmitted(upstream(0, 0))];
         assert_eq!(outliers.expire(now), back);
     }
-    assert_eq!(outs, [5_000, 10_000, 20_000]);
+    assert_eq!(ejection_ms, [5_000, 10_000, 20_000]);
     let alone = (0..100).find_map(|_| outliers.record(&upstream(1, 0), true, now));
     assert_eq!(alone, None, "the only upstream of its group");
 }
 
-/// Random outcomes and changes of the fleet never leave less than half of a group.
+/// Random outcomes and changes of the upstreams never leave more than half of a group ejected.
 #[test]
-fn ejection_keeps_to_its_floor() {
+fn ejections_stay_within_the_limit() {
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut outliers = OutlierDetector::default();
@@ -190,10 +195,10 @@
     }
 }
 
-/// Streams break at random places and go on from other engines that repeat some tokens; the caller
-/// gets every token once and in order.
+/// Streams break at random positions and are continued by engines that repeat some tokens. The
+/// caller gets every token exactly once and in order.
 #[test]
-fn a_resumed_stream_doubles_and_loses_nothing() {
+fn a_resumed_stream_has_every_token_once() {
     for seed in 0..200 {
         let mut rng = StdRng::seed_from_u64(seed);
         let length = rng.random_range(1..200);
