--- a/crates/core/src/evidence/counts.rs
+++ b/crates/core/src/evidence/counts.rs
@@ -1,46 +1,46 @@
-//! Counters of requests.
+//! Request counters of both versions.
 
 use serde::{Deserialize, Serialize};
 
-/// The version that a request goes to.
+/// Version of a rollout to which a request goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Side {
-    /// The version that traffic leaves.
+    /// Old version, from which traffic moves away.
     Old,
-    /// The version that traffic moves to.
+    /// New version, to which traffic moves.
     New,
 }
 
-/// What a version can do worse than another.
+/// Kind of regression of a version compared with another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RegressionKind {
-    /// Requests fail.
+    /// Requests fail more often.
     Failure,
-    /// First tokens come late.
+    /// The time to first token is longer.
     SlowFirstToken,
-    /// Tokens follow each other slowly.
+    /// The inter-token latency is longer.
     SlowTokens,
 }
 
-/// All kinds.
+/// All kinds of regression.
 pub const REGRESSION_KINDS: [RegressionKind; 3] = [
     RegressionKind::Failure,
     RegressionKind::SlowFirstToken,
     RegressionKind::SlowTokens,
 ];
 
-/// What became of one request.
+/// Outcome of one request.
 ///
-/// Only failures that a version can be blamed for belong here: an answer with a status of 500 or
-/// more, a broken or incomplete stream, no answer in time. A refused connection says something
-/// about the upstream, not about the version.
+/// Only failures attributable to the version count as failed: an answer with a status of 500 or
+/// more, a broken or incomplete stream, no answer in time. A refused connection is attributable to
+/// the upstream, not to the version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sample {
-    /// The request failed.
+    /// Whether the request failed.
     pub failed: bool,
-    /// Time from dispatch to the first token, in milliseconds, if there was one.
+    /// Time from dispatch to the first token, in milliseconds, if a token arrived.
     pub first_token_ms: Option<u64>,
-    /// Mean time between two tokens, in milliseconds, if there were several.
+    /// Mean inter-token latency, in milliseconds, if several tokens arrived.
     pub between_tokens_ms: Option<u64>,
 }
 
@@ -51,13 +51,13 @@
     pub requests: u64,
     /// Requests that failed.
     pub failures: u64,
-    /// Requests whose first token was compared with the reference.
+    /// Requests whose time to first token was compared with the reference.
     pub timed_first: u64,
-    /// Requests whose first token was slower than the reference.
+    /// Requests whose time to first token exceeded the reference.
     pub slow_first: u64,
-    /// Requests whose time between tokens was compared with the reference.
+    /// Requests whose inter-token latency was compared with the reference.
     pub timed_between: u64,
-    /// Requests whose tokens followed slower than the reference.
+    /// Requests whose inter-token latency exceeded the reference.
     pub slow_between: u64,
 }
 
@@ -80,7 +80,7 @@
         self.zip(earlier, u64::saturating_sub)
     }
 
-    /// TrialCounts of `kind`.
+    /// Returns the number of requests evaluated for `kind`.
     pub fn trials(&self, kind: RegressionKind) -> u64 {
         match kind {
             RegressionKind::Failure => self.requests,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// TrialCounts of `kind` that went badly.
+    /// Returns the number of bad requests for `kind`.
     pub fn faults(&self, kind: RegressionKind) -> u64 {
         match kind {
             RegressionKind::Failure => self.failures,
@@ -113,9 +113,9 @@
 /// Counters of both versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VersionCounts {
-    /// The old version.
+    /// Counters of the old version.
     pub old: Counts,
-    /// The new version.
+    /// Counters of the new version.
     pub new: Counts,
 }
 
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The counters of `side`, for counting.
+    /// Returns the counters of `side` for modification.
     pub fn side_mut(&mut self, side: Side) -> &mut Counts {
         match side {
             Side::Old => &mut self.old,
--- a/crates/core/src/evidence/digest.rs
+++ b/crates/core/src/evidence/digest.rs
@@ -1,11 +1,11 @@
-//! Evidence as sent to other instances.
+//! Digests of evidence exchanged between instances.
 
 use super::{OriginTag, RegressionKind, RolloutTag, RouteTag, VersionCounts};
 use crate::id::RegionId;
 use crate::rollout::Verdict;
 use serde::{Deserialize, Serialize};
 
-/// Counters of one route.
+/// Counters of one route of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteCounts {
     /// Rollout that the counters belong to.
@@ -16,46 +16,46 @@
     pub counts: VersionCounts,
 }
 
-/// Counters of one process, gossiped inside its region.
+/// Counters of one process, gossiped within its region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OriginCounts {
-    /// Process that counted.
+    /// Process that counted the requests.
     pub origin: OriginTag,
-    /// Its counters.
+    /// Counters per route.
     pub routes: Vec<RouteCounts>,
 }
 
-/// Sums over one region, gossiped between regions.
+/// Counters summed over one region, gossiped between regions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionCounts {
-    /// Region that was summed over.
+    /// Region whose counters are summed.
     pub region: RegionId,
-    /// The sums.
+    /// Sums per route.
     pub routes: Vec<RouteCounts>,
 }
 
-/// A new version is suspected of a fault.
+/// Suspicion of a regression of a new version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Suspicion {
     /// Rollout of the new version.
     pub rollout: RolloutTag,
-    /// Route on which the fault showed.
+    /// Route on which the regression was detected.
     pub route: RouteTag,
-    /// Kind of the fault.
+    /// Kind of regression.
     pub kind: RegressionKind,
-    /// Process that found it.
+    /// Process that detected the regression.
     pub origin: OriginTag,
 }
 
-/// What one instance tells another about rollouts.
+/// Evidence about rollouts sent from one instance to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvidenceDigest {
-    /// Suspicions; every message repeats them all.
+    /// All known suspicions, repeated in every message.
     pub suspicions: Vec<Suspicion>,
-    /// Verdicts read from the store; every message repeats them all.
+    /// All known verdicts in the store, repeated in every message.
     pub verdicts: Vec<(RolloutTag, Verdict)>,
-    /// Counters of processes of the region.
+    /// Counters of the region's processes.
     pub origins: Vec<OriginCounts>,
-    /// Sums over regions.
+    /// Counters summed per region.
     pub regions: Vec<RegionCounts>,
 }
--- a/crates/core/src/evidence/pending.rs
+++ b/crates/core/src/evidence/pending.rs
@@ -1,15 +1,15 @@
-//! Counting requests in the order in which they began.
+//! Pending requests, which are counted in the order in which they began.
 //!
-//! Fast requests end before slow ones that began earlier. Were they counted as they end, then a
-//! version whose share has just fallen would seem slow, since only its slow requests are left, and
-//! one whose share has just grown would seem fast. So a request is counted once all earlier ones
-//! of its route are, or are overdue.
+//! Fast requests end before slow ones that began earlier. If requests were counted when they end, a
+//! version whose share has just decreased would seem slow, since only its slow requests are left,
+//! and one whose share has just increased would seem fast. Therefore a request is counted only
+//! after all earlier requests of its route were counted, if necessary as overdue.
 
 use super::{RolloutTag, RouteTag, Sample, Side};
 use crate::time::Millis;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A request that has begun, at the instance that sent it.
+/// Handle of a request in progress, at the instance that sent it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestTicket {
     pub(super) rollout: RolloutTag,
@@ -17,34 +17,34 @@
     number: u64,
 }
 
-/// A request whose turn to be counted has come.
+/// Request that is next to be counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Turn {
+pub(super) struct CountableRequest {
     pub(super) side: Side,
-    /// What became of the request; none if it is overdue.
+    /// Outcome of the request, or `None` if it is overdue.
     pub(super) sample: Option<Sample>,
     /// Time since the request began, in milliseconds.
     pub(super) age_ms: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Pending {
+struct PendingRequest {
     side: Side,
     began_at: Millis,
     sample: Option<Sample>,
     is_abandoned: bool,
 }
 
-/// The requests of one route that are not counted yet.
+/// Requests of one route that have not been counted yet.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Cohort {
-    pending: VecDeque<Pending>,
-    // Number of the request at the front.
-    front: u64,
+pub(super) struct PendingRequests {
+    pending: VecDeque<PendingRequest>,
+    // Number of the first pending request.
+    first_number: u64,
     overdue: BTreeMap<u64, Side>,
 }
 
-impl Cohort {
+impl PendingRequests {
     pub(super) fn begin(
         &mut self,
         rollout: RolloutTag,
@@ -52,7 +52,7 @@
         side: Side,
         now: Millis,
     ) -> RequestTicket {
-        self.pending.push_back(Pending {
+        self.pending.push_back(PendingRequest {
             side,
             began_at: now,
             sample: None,
@@ -61,14 +61,14 @@
         RequestTicket {
             rollout,
             route,
-            number: self.front + self.pending.len() as u64 - 1,
+            number: self.first_number + self.pending.len() as u64 - 1,
         }
     }
 
-    /// Takes what became of a request, and returns its version and whether it was counted as
-    /// overdue before; none if it ended before.
+    /// Records the outcome of a request. Returns its version and whether it was already counted as
+    /// overdue, or `None` if it had already ended.
     pub(super) fn end(&mut self, ticket: RequestTicket, sample: Sample) -> Option<(Side, bool)> {
-        let Some(index) = ticket.number.checked_sub(self.front) else {
+        let Some(index) = ticket.number.checked_sub(self.first_number) else {
             return self.overdue.remove(&ticket.number).map(|side| (side, true));
         };
         let pending = self.pending.get_mut(usize::try_from(index).ok()?)?;
@@ -79,9 +79,9 @@
         Some((pending.side, false))
     }
 
-    /// Leaves out a request that says nothing about its version.
+    /// Excludes a request whose outcome is not evidence about its version.
     pub(super) fn abandon(&mut self, ticket: RequestTicket) {
-        let Some(index) = ticket.number.checked_sub(self.front) else {
+        let Some(index) = ticket.number.checked_sub(self.first_number) else {
             self.overdue.remove(&ticket.number);
             return;
         };
@@ -91,23 +91,27 @@
         }
     }
 
-    /// The next request to be counted, if its turn has come.
-    pub(super) fn next_turn(&mut self, hold_ms: u64, now: Millis) -> Option<Turn> {
+    /// Removes and returns the next request to be counted, if it has ended or is overdue.
+    pub(super) fn next_countable(
+        &mut self,
+        overdue_after_ms: u64,
+        now: Millis,
+    ) -> Option<CountableRequest> {
         while self.pending.front().is_some_and(|it| it.is_abandoned) {
             self.pending.pop_front();
-            self.front += 1;
+            self.first_number += 1;
         }
         let front = self.pending.front()?;
         let age_ms = now.since(front.began_at);
-        if front.sample.is_none() && age_ms < hold_ms {
+        if front.sample.is_none() && age_ms < overdue_after_ms {
             return None;
         }
         let pending = self.pending.pop_front()?;
         if pending.sample.is_none() {
-            self.overdue.insert(self.front, pending.side);
+            self.overdue.insert(self.first_number, pending.side);
         }
-        self.front += 1;
-        Some(Turn {
+        self.first_number += 1;
+        Some(CountableRequest {
             side: pending.side,
             sample: pending.sample,
             age_ms,
--- a/crates/core/src/evidence/state.rs
+++ b/crates/core/src/evidence/state.rs
@@ -1,7 +1,7 @@
-//! All evidence that an instance has.
+//! Evidence known to one instance.
 
-use super::pending::{Cohort, RequestTicket};
-use super::reference::References;
+use super::pending::{PendingRequests, RequestTicket};
+use super::reference::LatencyReferences;
 use super::{
     EvidenceDigest, OriginCounts, OriginTag, RegionCounts, RolloutTag, RouteCounts, RouteTag,
     Sample, Side, Suspicion, VersionCounts,
@@ -11,69 +11,69 @@
 use crate::time::Millis;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often a change is sent on before it counts as spread.
+/// Number of times that a change is sent before it counts as disseminated.
 pub const SENDS_PER_CHANGE: u8 = 4;
 
-/// A source of counters whose requests may be compared with each other.
+/// Source of counters whose requests are comparable with each other.
 ///
-/// Versions are compared inside a stratum only: instances and regions differ in latency, and
-/// their shares of the new version differ for a while.
+/// Versions are compared only within a stratum, since instances and regions differ in latency and,
+/// for a while, in their shares of the new version.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Stratum {
-    /// A process of the own region.
+    /// Process of this region.
     Origin(OriginTag),
-    /// Another region.
+    /// Other region.
     Region(RegionId),
 }
 
-/// Counters that have grown.
+/// Counters that have increased.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EvidenceChange {
-    /// Rollout that they belong to.
+    /// Rollout that the counters belong to.
     pub rollout: RolloutTag,
-    /// Route that they belong to.
+    /// Route that the counters belong to.
     pub route: RouteTag,
-    /// Source that they come from.
+    /// Source of the counters.
     pub stratum: Stratum,
-    /// Counters now.
+    /// New values of the counters.
     pub counts: VersionCounts,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Cell {
+struct GossipedCounts {
     counts: VersionCounts,
     sends_left: u8,
 }
 
-type CellKey = (RolloutTag, RouteTag);
+type RouteKey = (RolloutTag, RouteTag);
 
-/// The evidence of one instance: its own counters and what it heard.
+/// Evidence of one instance: its own counters and those received from others.
 #[derive(Clone, Debug)]
 pub struct Evidence {
     origin: OriginTag,
     region: RegionId,
-    cohorts: BTreeMap<CellKey, Cohort>,
-    references: BTreeMap<CellKey, References>,
-    cells: BTreeMap<(Stratum, CellKey), Cell>,
+    pending: BTreeMap<RouteKey, PendingRequests>,
+    references: BTreeMap<RouteKey, LatencyReferences>,
+    counters: BTreeMap<(Stratum, RouteKey), GossipedCounts>,
     suspicions: BTreeMap<RolloutTag, Suspicion>,
     verdicts: BTreeMap<RolloutTag, Verdict>,
 }
 
 impl Evidence {
-    /// No evidence yet, at the process `origin` in `region`.
+    /// Creates empty evidence for the process `origin` in `region`.
     pub fn new(origin: OriginTag, region: RegionId) -> Self {
         Self {
             origin,
             region,
-            cohorts: BTreeMap::new(),
+            pending: BTreeMap::new(),
             references: BTreeMap::new(),
-            cells: BTreeMap::new(),
+            counters: BTreeMap::new(),
             suspicions: BTreeMap::new(),
             verdicts: BTreeMap::new(),
         }
     }
 
-    /// Takes note that a request of the own process was sent to a version.
+    /// Records that this process has sent a request to a version.
     pub fn begin(
         &mut self,
         rollout: RolloutTag,
@@ -81,20 +81,20 @@
         side: Side,
         now: Millis,
     ) -> RequestTicket {
-        let cohort = self.cohorts.entry((rollout, route)).or_default();
-        cohort.begin(rollout, route, side, now)
+        let pending = self.pending.entry((rollout, route)).or_default();
+        pending.begin(rollout, route, side, now)
     }
 
-    /// Takes what became of a request: at its failure, or else once some tokens have arrived.
+    /// Records the outcome of a request: at its failure, or else after some tokens have arrived.
     ///
-    /// A request that fails later is reported a second time by [`Self::fail_late`]. Nothing is
-    /// counted before [`Self::count`], but for failures of overdue requests.
+    /// A failure after that is reported separately with [`Self::fail_late`]. Requests are counted
+    /// only by [`Self::count`], except that failures of overdue requests are counted immediately.
     pub fn end(&mut self, ticket: RequestTicket, sample: Sample) {
         let key = (ticket.rollout, ticket.route);
-        let Some(cohort) = self.cohorts.get_mut(&key) else {
+        let Some(pending) = self.pending.get_mut(&key) else {
             return;
         };
-        let Some((side, was_overdue)) = cohort.end(ticket, sample) else {
+        let Some((side, was_overdue)) = pending.end(ticket, sample) else {
             return;
         };
         if side == Side::Old {
@@ -105,54 +105,55 @@
         }
     }
 
-    /// Leaves out a request that says nothing about its version, such as one whose caller has gone
-    /// before its first token.
+    /// Excludes a request whose outcome is not evidence about its version, such as one whose caller
+    /// disconnected before the first token.
     pub fn abandon(&mut self, ticket: RequestTicket) {
         let key = (ticket.rollout, ticket.route);
-        if let Some(cohort) = self.cohorts.get_mut(&key) {
-            cohort.abandon(ticket);
+        if let Some(pending) = self.pending.get_mut(&key) {
+            pending.abandon(ticket);
         }
     }
 
-    /// Counts a failure of a request that has ended well before, such as a stream that broke.
+    /// Counts the failure of a request that was recorded as successful before, such as a stream
+    /// that broke.
     pub fn fail_late(&mut self, rollout: RolloutTag, route: RouteTag, side: Side) {
         let key = (Stratum::Origin(self.origin), (rollout, route));
-        let cell = self.cells.entry(key).or_default();
-        cell.counts.side_mut(side).failures += 1;
-        cell.sends_left = SENDS_PER_CHANGE;
+        let entry = self.counters.entry(key).or_default();
+        entry.counts.side_mut(side).failures += 1;
+        entry.sends_left = SENDS_PER_CHANGE;
     }
 
-    /// Counts the requests whose turn has come and returns the own counters that grew. Called
-    /// after [`Self::end`] and several times a second.
+    /// Counts the requests that are due and returns this process's counters that increased. Has to
+    /// be called after [`Self::end`] and several times per second.
     pub fn count(&mut self, now: Millis) -> Vec<EvidenceChange> {
         let mut changes = Vec::new();
         let stratum = Stratum::Origin(self.origin);
-        for (key, cohort) in &mut self.cohorts {
+        for (key, pending) in &mut self.pending {
             let references = self.references.entry(*key).or_default();
             let mut growth = VersionCounts::default();
-            while let Some(turn) = cohort.next_turn(references.hold_ms(), now) {
-                references.judge(&turn, growth.side_mut(turn.side));
+            while let Some(request) = pending.next_countable(references.overdue_after_ms(), now) {
+                references.count(&request, growth.side_mut(request.side));
             }
             if growth == VersionCounts::default() {
                 continue;
             }
-            let cell = self.cells.entry((stratum.clone(), *key)).or_default();
-            cell.counts = cell.counts.plus(&growth);
-            cell.sends_left = SENDS_PER_CHANGE;
+            let entry = self.counters.entry((stratum.clone(), *key)).or_default();
+            entry.counts = entry.counts.plus(&growth);
+            entry.sends_left = SENDS_PER_CHANGE;
             changes.push(EvidenceChange {
                 rollout: key.0,
                 route: key.1,
                 stratum: stratum.clone(),
-                counts: cell.counts,
+                counts: entry.counts,
             });
         }
         changes
     }
 
-    /// Merges what another instance sent and returns the counters that grew.
+    /// Merges a digest from another instance and returns the counters that increased.
     ///
-    /// Merging is idempotent and commutative. The process's own counters and the sums of its own
-    /// region are not taken from others.
+    /// Merging is idempotent and commutative. Counters of this process and sums of its region are
+    /// ignored in digests.
     pub fn merge(&mut self, digest: &EvidenceDigest) -> Vec<EvidenceChange> {
         for suspicion in &digest.suspicions {
             self.suspect(*suspicion);
@@ -164,134 +165,135 @@
         let own_origin = self.origin;
         for origin in digest.origins.iter().filter(|o| o.origin != own_origin) {
             let stratum = Stratum::Origin(origin.origin);
-            self.merge_cells(&stratum, &origin.routes, &mut changes);
+            self.merge_counters(&stratum, &origin.routes, &mut changes);
         }
         let own_region = self.region.clone();
         for region in digest.regions.iter().filter(|r| r.region != own_region) {
             let stratum = Stratum::Region(region.region.clone());
-            self.merge_cells(&stratum, &region.routes, &mut changes);
+            self.merge_counters(&stratum, &region.routes, &mut changes);
         }
         changes
     }
 
-    fn merge_cells(
+    fn merge_counters(
         &mut self,
         stratum: &Stratum,
-        cells: &[RouteCounts],
+        counters: &[RouteCounts],
         changes: &mut Vec<EvidenceChange>,
     ) {
-        for heard in cells {
-            let key = (stratum.clone(), (heard.rollout, heard.route));
-            let cell = self.cells.entry(key).or_default();
-            let merged = cell.counts.max(&heard.counts);
-            if merged == cell.counts {
+        for received in counters {
+            let key = (stratum.clone(), (received.rollout, received.route));
+            let entry = self.counters.entry(key).or_default();
+            let merged = entry.counts.max(&received.counts);
+            if merged == entry.counts {
                 continue;
             }
-            cell.counts = merged;
-            cell.sends_left = SENDS_PER_CHANGE;
+            entry.counts = merged;
+            entry.sends_left = SENDS_PER_CHANGE;
             changes.push(EvidenceChange {
-                rollout: heard.rollout,
-                route: heard.route,
+                rollout: received.rollout,
+                route: received.route,
                 stratum: stratum.clone(),
                 counts: merged,
             });
         }
     }
 
-    /// Raises a suspicion. The first one of a rollout stays, and none is ever taken back.
+    /// Records a suspicion. The first suspicion of a rollout is kept and never withdrawn.
     pub fn suspect(&mut self, suspicion: Suspicion) {
         self.suspicions
             .entry(suspicion.rollout)
             .or_insert(suspicion);
     }
 
-    /// The suspicion against the new version of `rollout`, if there is one.
+    /// Returns the suspicion against the new version of `rollout`, if there is one.
     pub fn suspicion(&self, rollout: RolloutTag) -> Option<&Suspicion> {
         self.suspicions.get(&rollout)
     }
 
-    /// Takes note of a verdict that stands in the store.
+    /// Records a verdict that is in the store.
     pub fn record_verdict(&mut self, rollout: RolloutTag, verdict: Verdict) {
-        let noted = *self.verdicts.entry(rollout).or_insert(verdict);
-        assert_eq!(noted, verdict, "a verdict is never left");
+        let recorded = *self.verdicts.entry(rollout).or_insert(verdict);
+        assert_eq!(recorded, verdict, "a verdict cannot change");
     }
 
-    /// The verdict on `rollout` that stands in the store, as far as it was heard of.
+    /// Returns the verdict on `rollout` in the store, if it is known.
     pub fn verdict(&self, rollout: RolloutTag) -> Option<Verdict> {
         self.verdicts.get(&rollout).copied()
     }
 
-    /// News for a peer of the region: changed counters, at most `max_entries` of them, those sent
-    /// least often first.
+    /// Returns a digest for a peer of this region: up to `max_entries` changed counters, those sent
+    /// the fewest times first.
     pub fn digest_for_region(&mut self, max_entries: usize) -> EvidenceDigest {
         let mut changed: Vec<_> = self
-            .cells
+            .counters
             .iter_mut()
-            .filter(|(_, cell)| cell.sends_left > 0)
+            .filter(|(_, entry)| entry.sends_left > 0)
             .collect();
-        changed.sort_by_key(|(_, cell)| u8::MAX - cell.sends_left);
+        changed.sort_by_key(|(_, entry)| u8::MAX - entry.sends_left);
         changed.truncate(max_entries);
         let mut digest = EvidenceDigest::default();
-        for ((stratum, key), cell) in changed {
-            cell.sends_left -= 1;
-            push(&mut digest, stratum, *key, cell.counts);
+        for ((stratum, key), entry) in changed {
+            entry.sends_left -= 1;
+            push_counts(&mut digest, stratum, *key, entry.counts);
         }
-        self.with_flags(digest)
+        self.with_suspicions_and_verdicts(digest)
     }
 
-    /// The own counters, for a peer of another region, which spreads them there.
+    /// Returns a digest of this process's counters for a peer of another region, which disseminates
+    /// them there.
     ///
-    /// A fleet uses either these or [`Self::sums_for_other_region`] between its regions, never
-    /// both, or requests would count twice.
+    /// A fleet has to use either this or [`Self::sums_for_other_region`] between its regions, since
+    /// requests would be counted twice with both.
     pub fn digest_for_other_region(&self) -> EvidenceDigest {
         let own = Stratum::Origin(self.origin);
         let mut digest = EvidenceDigest::default();
-        for ((stratum, key), cell) in &self.cells {
+        for ((stratum, key), entry) in &self.counters {
             if *stratum == own {
-                push(&mut digest, stratum, *key, cell.counts);
+                push_counts(&mut digest, stratum, *key, entry.counts);
             }
         }
-        self.with_flags(digest)
+        self.with_suspicions_and_verdicts(digest)
     }
 
-    /// Sums over the own region, for a peer of another region, in a fleet in which the counters of
-    /// single instances would be too many.
+    /// Returns a digest of the counters summed over this region for a peer of another region. For
+    /// fleets with too many instances to exchange the counters of each.
     pub fn sums_for_other_region(&self) -> EvidenceDigest {
-        let mut sums: BTreeMap<CellKey, VersionCounts> = BTreeMap::new();
-        for ((stratum, key), cell) in &self.cells {
+        let mut sums: BTreeMap<RouteKey, VersionCounts> = BTreeMap::new();
+        for ((stratum, key), entry) in &self.counters {
             if matches!(stratum, Stratum::Origin(_)) {
                 let sum = sums.entry(*key).or_default();
-                *sum = sum.plus(&cell.counts);
+                *sum = sum.plus(&entry.counts);
             }
         }
         let mut digest = EvidenceDigest::default();
         let own = Stratum::Region(self.region.clone());
         for (key, counts) in sums {
-            push(&mut digest, &own, key, counts);
+            push_counts(&mut digest, &own, key, counts);
         }
-        self.with_flags(digest)
+        self.with_suspicions_and_verdicts(digest)
     }
 
-    /// Everything, for a peer of the region that has just started.
+    /// Returns a digest of all evidence, for a peer of this region that has just started.
     pub fn snapshot(&self) -> EvidenceDigest {
         let mut digest = EvidenceDigest::default();
-        for ((stratum, key), cell) in &self.cells {
-            push(&mut digest, stratum, *key, cell.counts);
+        for ((stratum, key), entry) in &self.counters {
+            push_counts(&mut digest, stratum, *key, entry.counts);
         }
-        self.with_flags(digest)
+        self.with_suspicions_and_verdicts(digest)
     }
 
-    /// Drops the evidence of all rollouts but `current`. Suspicions and verdicts stay as long as
-    /// their rollout does.
+    /// Drops the evidence, suspicions and verdicts of all rollouts except `current`.
     pub fn retain(&mut self, current: &BTreeSet<RolloutTag>) {
-        self.cohorts.retain(|(tag, _), _| current.contains(tag));
+        self.pending.retain(|(tag, _), _| current.contains(tag));
         self.references.retain(|(tag, _), _| current.contains(tag));
-        self.cells.retain(|(_, (tag, _)), _| current.contains(tag));
+        self.counters
+            .retain(|(_, (tag, _)), _| current.contains(tag));
         self.suspicions.retain(|tag, _| current.contains(tag));
         self.verdicts.retain(|tag, _| current.contains(tag));
     }
 
-    fn with_flags(&self, digest: EvidenceDigest) -> EvidenceDigest {
+    fn with_suspicions_and_verdicts(&self, digest: EvidenceDigest) -> EvidenceDigest {
         EvidenceDigest {
             suspicions: self.suspicions.values().copied().collect(),
             verdicts: self.verdicts.iter().map(|(t, v)| (*t, *v)).collect(),
@@ -300,30 +302,30 @@
     }
 }
 
-fn push(
+fn push_counts(
     digest: &mut EvidenceDigest,
     stratum: &Stratum,
-    (rollout, route): CellKey,
+    (rollout, route): RouteKey,
     counts: VersionCounts,
 ) {
-    let cell = RouteCounts {
+    let entry = RouteCounts {
         rollout,
         route,
         counts,
     };
     match stratum {
         Stratum::Origin(origin) => match digest.origins.last_mut() {
-            Some(last) if last.origin == *origin => last.routes.push(cell),
+            Some(last) if last.origin == *origin => last.routes.push(entry),
             _ => digest.origins.push(OriginCounts {
                 origin: *origin,
-                routes: vec![cell],
+                routes: vec![entry],
             }),
         },
         Stratum::Region(region) => match digest.regions.last_mut() {
-            Some(last) if last.region == *region => last.routes.push(cell),
+            Some(last) if last.region == *region => last.routes.push(entry),
             _ => digest.regions.push(RegionCounts {
                 region: region.clone(),
-                routes: vec![cell],
+                routes: vec![entry],
             }),
         },
     }
--- a/crates/core/src/rollout/comparison.rs
+++ b/crates/core/src/rollout/comparison.rs
@@ -1,52 +1,56 @@
-//! Sequential comparison of both versions, on one route or on all, for one kind of fault.
+//! Sequential comparison of both versions, on one route or on all, for one kind of regression.
 //!
-//! Two scores run side by side. The *block score* compares requests to both versions made at the
-//! same time at the same source, and so is not misled by load swings or by trouble that strikes
-//! both; it decides. The *alarm score* compares the new version with the recent ratio of the old
-//! one, which needs no concurrent requests to the old version and so answers within few requests
-//! at any share; it only lowers the share to a probe. Both are cumulative sums that stop at zero,
-//! so a fault that begins late is found as fast as an early one.
+//! Two scores are computed in parallel. The *block score* compares requests to both versions made
+//! at the same time at the same source, so it is insensitive to load swings and to faults that
+//! affect both versions. It decides whether the new version is worse. The *alarm score* compares
+//! the new version with the recent ratio of the old one. It needs no concurrent requests to the old
+//! version, so it reacts within few requests at any share, but it only lowers the share to that of
+//! probes. Both scores are cumulative sums with a floor of zero (CUSUM), so a fault that begins
+//! late is detected as fast as an early one.
 //!
-//! A fault that shows under load only vanishes while probing, and the new version gets its share
-//! back. What the block score had reached before is carried over, so that evidence from several
-//! bursts adds up.
+//! A fault that occurs only under load disappears while probing, and the new version gets its share
+//! back. The block score reached before is carried over, so that evidence from several bursts
+//! accumulates.
 
 use super::baseline::Baseline;
-use super::score::{block_score, log_likelihood_ratio, with_odds_times};
+use super::score::{block_score, log_likelihood_ratio, scale_odds};
 use crate::evidence::{Counts, RegressionKind, RouteTag, Stratum, VersionCounts};
 use crate::time::Millis;
 use std::collections::BTreeMap;
 
 const ALTERNATIVES: usize = 3;
-// Factors on the odds of a bad request, from the smallest fault that matters to a total one.
-const FAILURE_FACTORS: [f64; ALTERNATIVES] = [4.0, 20.0, 200.0];
-const SLOWNESS_FACTORS: [f64; ALTERNATIVES] = [2.5, 6.0, 20.0];
-// Ratios below this are alike.
-const LEAST_RATIO: f64 = 0.001;
-/// Score at which the new version is surely worse.
+// Alternative hypotheses: factors on the odds of a bad request, from the smallest regression that
+// matters to a total failure.
+const FAILURE_ODDS_FACTORS: [f64; ALTERNATIVES] = [4.0, 20.0, 200.0];
+const SLOWNESS_ODDS_FACTORS: [f64; ALTERNATIVES] = [2.5, 6.0, 20.0];
+// Minimum ratio of bad requests; smaller ratios are not distinguished.
+const MIN_RATIO: f64 = 0.001;
+/// Block score, including the carried score, at which the new version is confirmed to be worse.
 const DECISION_SCORE: f64 = 16.0;
-/// Scores at which the new version falls back to the probe share.
+/// Block score at which the new version falls back to the probe share.
 const CAUTION_SCORE: f64 = 8.0;
+/// Alarm score at which the new version falls back to the probe share, if a block score supports
+/// it.
 const ALARM_SCORE: f64 = 12.0;
-/// Block scores that have to support an alarm, since trouble that strikes both versions and load
-/// swings raise alarms too.
+/// Minimum block scores to support an alarm, since load swings and faults that affect both versions
+/// raise alarms too.
 const FAILURE_SUPPORT_SCORE: f64 = 1.5;
 const SLOWNESS_SUPPORT_SCORE: f64 = 4.0;
-/// Score gathered while probing at which the versions count as alike.
+/// Score accumulated while probing at which the versions count as alike again.
 const CLEAR_SCORE: f64 = -2.0;
-/// Parts of a block score that are not carried over when the versions count as alike. Load swings
-/// raise many alarms about latency, and the highest of many scores is high by chance.
-const FORGOTTEN_FAILURE_SCORE: f64 = 2.0;
-const FORGOTTEN_SLOWNESS_SCORE: f64 = 7.0;
-/// Requests to the new version while probing before it may be cleared.
-const MIN_PROBES: u64 = 10;
-
-/// Requests, and those among them that went badly.
+/// Deductions from the block score that is carried over when the versions count as alike again.
+/// Load swings raise many latency alarms, and the highest of many scores is high by chance.
+const FAILURE_CARRY_DISCOUNT_SCORE: f64 = 2.0;
+const SLOWNESS_CARRY_DISCOUNT_SCORE: f64 = 7.0;
+/// Minimum number of requests to the new version while probing before the caution is cleared.
+const MIN_PROBES_TO_CLEAR: u64 = 10;
+
+/// Number of requests and of bad requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrialCounts {
-    /// Requests.
+    /// Number of requests.
     pub trials: u64,
-    /// Bad ones among them.
+    /// Number of bad requests among them.
     pub faults: u64,
 }
 
@@ -55,7 +59,7 @@
         let trials = counts.trials(kind);
         Self {
             trials,
-            // Counters of a region are merged one by one and may be out of step for a moment.
+            // Counters of a region are merged separately and may be briefly inconsistent.
             faults: counts.faults(kind).min(trials),
         }
     }
@@ -66,65 +70,65 @@
     }
 }
 
-/// What a comparison comes to.
+/// Result of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finding {
-    /// The new version is not known to be worse.
+    /// No evidence that the new version is worse.
     Alike,
-    /// The new version looks worse; it gets the probe share only.
+    /// The new version is suspected to be worse and gets only the probe share.
     Caution,
-    /// The new version is surely worse.
+    /// The new version is confirmed to be worse.
     Worse,
 }
 
 #[derive(Clone, Debug)]
-struct Caution {
-    // Index of the fault that is feared.
+struct CautionState {
+    // Index of the suspected alternative.
     alternative: usize,
     score: f64,
     probes: u64,
-    // Highest block score since the caution began.
-    peak: f64,
+    // Highest block score since the suspicion arose.
+    peak_score: f64,
 }
 
-/// Comparison of both versions, on one route or on all, for one kind of fault.
+/// Comparison of both versions, on one route or on all, for one kind of regression.
 #[derive(Clone, Debug)]
 pub struct Comparison {
     kind: RegressionKind,
-    factors: [f64; ALTERNATIVES],
+    odds_factors: [f64; ALTERNATIVES],
     expected: Baseline,
     recent: Baseline,
     pending: BTreeMap<(RouteTag, Stratum), (TrialCounts, TrialCounts)>,
     block_scores: [f64; ALTERNATIVES],
     alarm_scores: [f64; ALTERNATIVES],
-    caution: Option<Caution>,
-    // Block scores of earlier cautions.
-    carried: f64,
+    caution: Option<CautionState>,
+    // Block score carried over from earlier cautions.
+    carried_score: f64,
     is_worse: bool,
 }
 
 impl Comparison {
-    /// A comparison without any evidence.
+    /// Creates a comparison without any evidence.
     pub fn new(kind: RegressionKind, now: Millis) -> Self {
-        let factors = match kind {
-            RegressionKind::Failure => FAILURE_FACTORS,
-            RegressionKind::SlowFirstToken | RegressionKind::SlowTokens => SLOWNESS_FACTORS,
+        let odds_factors = match kind {
+            RegressionKind::Failure => FAILURE_ODDS_FACTORS,
+            RegressionKind::SlowFirstToken | RegressionKind::SlowTokens => SLOWNESS_ODDS_FACTORS,
         };
         Self {
             kind,
-            factors,
+            odds_factors,
             expected: Baseline::expected(kind, now),
             recent: Baseline::recent(kind, now),
             pending: BTreeMap::new(),
             block_scores: [0.0; ALTERNATIVES],
             alarm_scores: [0.0; ALTERNATIVES],
             caution: None,
-            carried: 0.0,
+            carried_score: 0.0,
             is_worse: false,
         }
     }
 
-    /// Takes requests that ended at `source` since the last call for it.
+    /// Adds the requests counted at `source` since the last call for it.
     pub fn add(
         &mut self,
         source: &(RouteTag, Stratum),
@@ -140,7 +144,7 @@
         self.conclude()
     }
 
-    /// What the evidence comes to.
+    /// Returns the current finding.
     pub fn finding(&self) -> Finding {
         match (self.is_worse, &self.caution) {
             (true, _) => Finding::Worse,
@@ -151,16 +155,16 @@
 
     fn score_alarm(&mut self, new: TrialCounts) {
         let recent = self.recent.upper_ratio();
-        let reference = self.expected.upper_ratio().max(recent).max(LEAST_RATIO);
+        let reference = self.expected.upper_ratio().max(recent).max(MIN_RATIO);
         for index in 0..ALTERNATIVES {
-            let ratio = with_odds_times(reference, self.factors[index]);
+            let ratio = scale_odds(reference, self.odds_factors[index]);
             let score = &mut self.alarm_scores[index];
             *score = (*score + log_likelihood_ratio(new, ratio, reference)).max(0.0);
         }
     }
 
-    // A block is complete once it holds requests to both versions; its size does not depend on
-    // how they went.
+    // Adds to the pending block of `source` and scores it once it contains requests to both
+    // versions. The size of a block does not depend on the outcomes of its requests.
     fn score_block(&mut self, source: &(RouteTag, Stratum), new: TrialCounts, old: TrialCounts) {
         let pending = self.pending.entry(source.clone()).or_default();
         pending.0.add(new);
@@ -170,9 +174,9 @@
             return;
         }
         *pending = (TrialCounts::default(), TrialCounts::default());
-        let old_ratio = self.recent.ratio().max(LEAST_RATIO);
+        let old_ratio = self.recent.ratio().max(MIN_RATIO);
         for index in 0..ALTERNATIVES {
-            let new_ratio = with_odds_times(old_ratio, self.factors[index]);
+            let new_ratio = scale_odds(old_ratio, self.odds_factors[index]);
             let growth = block_score(new, old, new_ratio, old_ratio);
             let score = &mut self.block_scores[index];
             *score = (*score + growth).max(0.0);
@@ -198,30 +202,33 @@
         is_alarm || block_score >= CAUTION_SCORE
     }
 
-    // How well a fault of this size fits what was seen of late.
-    fn fit(&self, alternative: usize) -> f64 {
+    // Score of recent evidence for this alternative.
+    fn alternative_score(&self, alternative: usize) -> f64 {
         self.block_scores[alternative].max(self.alarm_scores[alternative])
     }
 
     fn conclude(&mut self) -> Finding {
         let block_score = self.block_scores.iter().copied().fold(0.0, f64::max);
-        if self.carried + block_score >= DECISION_SCORE {
+        if self.carried_score + block_score >= DECISION_SCORE {
             self.is_worse = true;
         }
-        let feared = (0..ALTERNATIVES)
+        let suspected = (0..ALTERNATIVES)
             .filter(|index| self.is_alarming(*index))
-            .max_by(|a, b| self.fit(*a).total_cmp(&self.fit(*b)));
-        match (feared, &mut self.caution) {
+            .max_by(|a, b| {
+                self.alternative_score(*a)
+                    .total_cmp(&self.alternative_score(*b))
+            });
+        match (suspected, &mut self.caution) {
             (Some(alternative), None) => {
-                self.caution = Some(Caution {
+                self.caution = Some(CautionState {
                     alternative,
                     score: 0.0,
                     probes: 0,
-                    peak: block_score,
+                    peak_score: block_score,
                 });
             }
             (_, Some(caution)) => {
-                caution.peak = caution.peak.max(block_score);
+                caution.peak_score = caution.peak_score.max(block_score);
                 if caution.is_clear() {
                     self.clear();
                 }
@@ -232,19 +239,24 @@
     }
 
     fn clear(&mut self) {
-        let peak = self.caution.take().map_or(0.0, |caution| caution.peak);
-        let forgotten = match self.kind {
-            RegressionKind::Failure => FORGOTTEN_FAILURE_SCORE,
-            RegressionKind::SlowFirstToken | RegressionKind::SlowTokens => FORGOTTEN_SLOWNESS_SCORE,
+        let peak_score = self
+            .caution
+            .take()
+            .map_or(0.0, |caution| caution.peak_score);
+        let discount = match self.kind {
+            RegressionKind::Failure => FAILURE_CARRY_DISCOUNT_SCORE,
+            RegressionKind::SlowFirstToken | RegressionKind::SlowTokens => {
+                SLOWNESS_CARRY_DISCOUNT_SCORE
+            }
         };
-        self.carried += (peak - forgotten).max(0.0);
+        self.carried_score += (peak_score - discount).max(0.0);
         self.alarm_scores = [0.0; ALTERNATIVES];
         self.block_scores = [0.0; ALTERNATIVES];
     }
 }
 
-impl Caution {
+impl CautionState {
     fn is_clear(&self) -> bool {
-        self.probes >= MIN_PROBES && self.score <= CLEAR_SCORE
+        self.probes >= MIN_PROBES_TO_CLEAR && self.score <= CLEAR_SCORE
     }
 }
--- a/crates/core/src/rollout/mod.rs
+++ b/crates/core/src/rollout/mod.rs
@@ -1,10 +1,11 @@
-//! Traffic that moves from an old version of a model to a new one.
+//! Rollouts, which move the traffic of a model from an old version to a new one.
 //!
-//! Every instance follows the steps of the rollout by its clock, without a leader and without the
-//! store. It compares the versions on each route by the evidence that it has ([`Comparison`]),
-//! falls back to a probe share when the new version looks worse, and raises a suspicion when it is
-//! surely worse. A suspicion stops the new version at every instance that hears of it. The verdict
-//! is written once to the store by a create ([`VerdictWriter`]) and followed by all from then on.
+//! Every instance follows the steps of the rollout by its own clock, without a leader and without
+//! the store. It compares the versions on each route on the evidence it has ([`Comparison`]), falls
+//! back to a probe share when the new version may be worse, and raises a suspicion when this is
+//! confirmed. A suspicion stops the new version at every instance that receives it. The verdict is
+//! written to the store once, by a create-if-absent operation ([`VerdictWriter`]), and applied by
+//! all instances from then on.
 
 mod assessment;
 mod baseline;
--- a/crates/core/src/rollout/share.rs
+++ b/crates/core/src/rollout/share.rs
@@ -1,12 +1,14 @@
-//! Shares of traffic by the clock.
+//! Traffic shares by the schedule of a rollout, and the choice of a version for each request.
 
 use crate::document::{Rollout, WHOLE_PPM};
 use crate::evidence::{fnv1a, Side};
 use crate::time::UnixMillis;
 
-/// Share of requests that the steps of `rollout` give to the new version, out of 1,000,000.
+/// Returns the share of requests that the steps of `rollout` assign to the new version, in parts
+/// per million.
 ///
-/// It is 0 before the first step. After the last step it stays, past the deadline too.
+/// The share is 0 before the first step. The share of the last step applies without end, including
+/// after the deadline.
 pub fn scheduled_share_ppm(rollout: &Rollout, unix_now: UnixMillis) -> u32 {
     let begun = rollout
         .steps
@@ -15,13 +17,13 @@
     begun.map(|step| step.share_ppm).max().unwrap_or(0)
 }
 
-/// The version that a request goes to when the new version gets `share_ppm`.
+/// Chooses the version for a request when the new version gets `share_ppm`.
 ///
-/// The choice depends on the ids alone: every instance chooses alike, and a request that went to
-/// the new version at some share still goes there at a higher one.
+/// The choice depends only on the identifiers and the share: all instances make the same choice,
+/// and a request that goes to the new version at some share also does at any higher share.
 pub fn side_of_request(rollout: &Rollout, request_id: &str, share_ppm: u32) -> Side {
     let rollout_id = rollout.id.as_str().bytes();
-    let hash = spread(fnv1a(rollout_id.chain([0]).chain(request_id.bytes())));
+    let hash = mix(fnv1a(rollout_id.chain([0]).chain(request_id.bytes())));
     if hash % u64::from(WHOLE_PPM) < u64::from(share_ppm) {
         Side::New
     } else {
@@ -29,8 +31,8 @@
     }
 }
 
-// Spreads the entropy of a hash over all its bits.
-fn spread(hash: u64) -> u64 {
+// Mixes the bits of a hash so that each input bit affects the whole word.
+fn mix(hash: u64) -> u64 {
     let hash = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     let hash = (hash ^ (hash >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
     hash ^ (hash >> 33)
--- a/crates/core/src/rollout/state.rs
+++ b/crates/core/src/rollout/state.rs
@@ -1,27 +1,26 @@
-//! One rollout at one instance.
+//! State of one rollout at one instance.
 
 use super::{scheduled_share_ppm, side_of_request, Assessment, Verdict};
 use crate::document::{Rollout, WHOLE_PPM};
 use crate::evidence::{EvidenceChange, OriginTag, RolloutTag, RouteTag, Side, Suspicion};
 use crate::time::{Millis, UnixMillis};
 
-/// Share of all requests that go to a new version on the routes where it looks worse, out of
-/// 1,000,000.
+/// Share of all requests that probe a new version suspected to be worse, in parts per million.
 pub const PROBE_SHARE_PPM: u32 = 10_000;
-/// Share that the old version keeps until the verdict, out of 1,000,000. It keeps the old version
-/// warm and both versions comparable.
+/// Share that the old version keeps until the verdict, in parts per million. It keeps the caches of
+/// the old version warm and both versions comparable.
 pub const CONTROL_SHARE_PPM: u32 = 50_000;
-/// Time after the deadline before a rollout is declared done, in milliseconds, in which
-/// suspicions of others arrive.
+/// Delay after the deadline before a rollout is declared done, in milliseconds. It allows
+/// suspicions from other instances to arrive.
 pub const DONE_SETTLE_MS: u64 = 5_000;
-/// Time after the deadline before a rollout without enough evidence is rolled back, in
-/// milliseconds, in which an instance that has more evidence may declare it done.
+/// Delay after the deadline before a rollout without enough evidence is rolled back, in
+/// milliseconds. It allows an instance with more evidence to declare the rollout done.
 pub const EVIDENCE_GRACE_MS: u64 = 30_000;
-/// Time after the deadline before a rollout that still looks worse is rolled back, in
-/// milliseconds.
+/// Delay after the deadline before a rollout whose new version is still suspected to be worse is
+/// rolled back, in milliseconds.
 pub const CAUTION_GRACE_MS: u64 = 120_000;
 
-/// One rollout at one instance.
+/// State of one rollout at one instance.
 #[derive(Clone, Debug)]
 pub struct RolloutState {
     rollout: Rollout,
@@ -33,7 +32,7 @@
 }
 
 impl RolloutState {
-    /// The state of `rollout` at the process `origin`.
+    /// Creates the state of `rollout` at the process `origin`.
     pub fn new(rollout: Rollout, origin: OriginTag) -> Self {
         let tag = RolloutTag::new(&rollout.id);
         Self {
@@ -46,38 +45,42 @@
         }
     }
 
-    /// The rollout as the document has it.
+    /// Returns the rollout as configured in the document.
     pub fn rollout(&self) -> &Rollout {
         &self.rollout
     }
 
-    /// The tag of the rollout.
+    /// Returns the tag of the rollout.
     pub fn tag(&self) -> RolloutTag {
         self.tag
     }
 
-    /// What the evidence comes to.
+    /// Returns the assessment of the evidence.
     pub fn assessment(&self) -> &Assessment {
         &self.assessment
     }
 
-    /// The suspicion against the new version, if there is one.
+    /// Returns the suspicion against the new version, if there is one.
     pub fn suspicion(&self) -> Option<&Suspicion> {
         self.suspicion.as_ref()
     }
 
-    /// The verdict, if it stands in the store.
+    /// Returns the verdict, if it is known to be in the store.
     pub fn verdict(&self) -> Option<Verdict> {
         self.verdict
     }
 
-    /// Takes over steps and deadline of a newer document.
+    /// Applies the steps and the deadline of a newer document.
     pub fn replace(&mut self, rollout: Rollout) {
-        assert_eq!(rollout.id, self.rollout.id, "a rollout keeps its name");
+        assert_eq!(
+            rollout.id, self.rollout.id,
+            "the identifier of a rollout cannot change"
+        );
         self.rollout = rollout;
     }
 
-    /// Share of the requests of `route` that go to the new version now, out of 1,000,000.
+    /// Returns the share of the requests of `route` that go to the new version now, in parts per
+    /// million.
     pub fn share_ppm(&self, route: RouteTag, unix_now: UnixMillis) -> u32 {
         match self.verdict {
             Some(Verdict::Done) => return WHOLE_PPM,
@@ -85,17 +88,17 @@
             None if self.suspicion.is_some() => return 0,
             None => {}
         }
-        let most_ppm = WHOLE_PPM - CONTROL_SHARE_PPM;
-        let most_ppm = if self.assessment.is_cautious_on(route) {
+        let max_ppm = WHOLE_PPM - CONTROL_SHARE_PPM;
+        let max_ppm = if self.assessment.is_cautious_on(route) {
             let probe_ppm = self.assessment.probe_share_ppm(route, PROBE_SHARE_PPM);
-            probe_ppm.min(most_ppm)
+            probe_ppm.min(max_ppm)
         } else {
-            most_ppm
+            max_ppm
         };
-        scheduled_share_ppm(&self.rollout, unix_now).min(most_ppm)
+        scheduled_share_ppm(&self.rollout, unix_now).min(max_ppm)
     }
 
-    /// The version that a request of `route` goes to.
+    /// Chooses the version for a request of `route`.
     pub fn choose(&self, route: RouteTag, request_id: &str, unix_now: UnixMillis) -> Side {
         let share_ppm = self.share_ppm(route, unix_now);
         self.assert_share(share_ppm, unix_now);
@@ -106,14 +109,14 @@
         };
         assert!(
             side == Side::Old || !is_stopped,
-            "a stopped version gets no request"
+            "a request was sent to a stopped version"
         );
         side
     }
 
-    /// Takes counters that have grown, and returns a suspicion if they raise one.
+    /// Adds the growth of the counters in `change`. Returns a suspicion if it raises one.
     pub fn add_evidence(&mut self, change: &EvidenceChange, now: Millis) -> Option<Suspicion> {
-        assert_eq!(change.rollout, self.tag, "evidence belongs to its rollout");
+        assert_eq!(change.rollout, self.tag, "evidence of another rollout");
         if self.suspicion.is_some() || self.verdict.is_some() {
             return None;
         }
@@ -129,24 +132,22 @@
         Some(suspicion)
     }
 
-    /// Honours a suspicion that another instance raised.
+    /// Applies a suspicion raised by another instance.
     pub fn suspect(&mut self, suspicion: Suspicion) {
-        assert_eq!(
-            suspicion.rollout, self.tag,
-            "a suspicion belongs to its rollout"
-        );
+        assert_eq!(suspicion.rollout, self.tag, "suspicion of another rollout");
         self.suspicion.get_or_insert(suspicion);
     }
 
-    /// Follows the verdict that stands in the store.
+    /// Applies the verdict in the store.
     pub fn adopt(&mut self, verdict: Verdict) {
         let adopted = *self.verdict.get_or_insert(verdict);
-        assert_eq!(adopted, verdict, "a verdict is never left");
+        assert_eq!(adopted, verdict, "a verdict cannot change");
     }
 
-    /// The verdict that this instance would write now.
+    /// Returns the verdict that this instance proposes now.
     ///
-    /// A suspicion is written at once; after the deadline every rollout gets a verdict.
+    /// A suspicion leads to a rollback immediately. After the deadline every rollout gets a
+    /// verdict.
     pub fn proposal(&self, unix_now: UnixMillis) -> Option<Verdict> {
         if self.verdict.is_some() {
             return None;
@@ -154,14 +155,14 @@
         if self.suspicion.is_some() {
             return Some(Verdict::RolledBack);
         }
-        let late_ms = unix_now.0.checked_sub(self.rollout.deadline_unix_ms.0)?;
+        let overdue_ms = unix_now.0.checked_sub(self.rollout.deadline_unix_ms.0)?;
         if self.assessment.is_cautious() {
-            return (late_ms >= CAUTION_GRACE_MS).then_some(Verdict::RolledBack);
+            return (overdue_ms >= CAUTION_GRACE_MS).then_some(Verdict::RolledBack);
         }
         if self.assessment.is_sufficient() {
-            return (late_ms >= DONE_SETTLE_MS).then_some(Verdict::Done);
+            return (overdue_ms >= DONE_SETTLE_MS).then_some(Verdict::Done);
         }
-        (late_ms >= EVIDENCE_GRACE_MS).then_some(Verdict::RolledBack)
+        (overdue_ms >= EVIDENCE_GRACE_MS).then_some(Verdict::RolledBack)
     }
 
     fn assert_share(&self, share_ppm: u32, unix_now: UnixMillis) {
@@ -169,7 +170,7 @@
         let is_done = self.verdict == Some(Verdict::Done);
         assert!(
             is_done || share_ppm <= step_ppm,
-            "the new version gets no more than the step allows"
+            "the share of the new version exceeds the current step"
         );
     }
 }
--- a/crates/core/src/rollout/verdict.rs
+++ b/crates/core/src/rollout/verdict.rs
@@ -1,13 +1,13 @@
-//! The verdict on a rollout, written once to the store.
+//! Verdict on a rollout, written to the store once.
 
 use crate::id::{InstanceId, RolloutId};
 use crate::time::Millis;
 use serde::{Deserialize, Serialize};
 
-const RETRY_FIRST_MS: u64 = 500;
-const RETRY_LONGEST_MS: u64 = 30_000;
+const FIRST_RETRY_MAX_DELAY_MS: u64 = 500;
+const MAX_RETRY_DELAY_MS: u64 = 30_000;
 
-/// How a rollout ended.
+/// Final result of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
@@ -17,71 +17,71 @@
     RolledBack,
 }
 
-/// Value of the store under [`verdict_key`].
+/// Value stored under [`verdict_key`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VerdictRecord {
-    /// The verdict.
+    /// Verdict on the rollout.
     pub verdict: Verdict,
-    /// Instance that wrote it.
+    /// Instance that wrote the verdict.
     pub written_by: InstanceId,
 }
 
-/// Key of the store that holds the verdict on `rollout`.
+/// Returns the store key of the verdict on `rollout`.
 pub fn verdict_key(rollout: &RolloutId) -> String {
     format!("rollout/{rollout}/verdict")
 }
 
-/// Answer of the store to a create or a read of the verdict.
+/// Result of a create or a read of the verdict in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VerdictAnswer {
     /// The create took effect.
     Written,
-    /// This verdict is present; the create, if it was one, had no effect.
+    /// This verdict is present. If the call was a create, it had no effect.
     Found(Verdict),
     /// No verdict is present.
     Absent,
-    /// The call may or may not have taken effect.
+    /// The answer was lost; the call may or may not have taken effect.
     Lost,
-    /// The call surely had no effect.
+    /// The call was not sent and had no effect.
     NotSent,
 }
 
-/// What a writer asks for.
+/// Action requested by a [`VerdictWriter`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VerdictEffect {
-    /// Create the key unless it is present; return the present verdict if it is.
+    /// Create the key if it is absent, or else return the present verdict.
     Create {
         /// Number of the call.
         call: u32,
         /// Verdict to write.
         verdict: Verdict,
-        /// Time before which the call has to wait.
+        /// Earliest time of the call.
         not_before: Millis,
     },
-    /// Read the key on a fresh connection.
+    /// Read the key over a new connection.
     Read {
         /// Number of the call.
         call: u32,
-        /// Time before which the call has to wait.
+        /// Earliest time of the call.
         not_before: Millis,
     },
-    /// Follow this verdict: it stands in the store.
+    /// Apply this verdict, which is in the store.
     Adopt(Verdict),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum WriterState {
     Idle,
     Creating(Verdict),
     Reading,
     Settled(Verdict),
 }
 
-/// The state machine that brings one instance's proposal to the store, or learns that another
-/// one's came first.
+/// State machine that writes one instance's proposal to the store, or learns that another instance
+/// has written a verdict first.
 #[derive(Clone, Debug)]
 pub struct VerdictWriter {
-    state: State,
+    state: WriterState,
     proposal: Option<Verdict>,
     call: u32,
     failures: u32,
@@ -89,10 +89,11 @@
 }
 
 impl VerdictWriter {
-    /// A writer; `jitter_permille`, 0 to 1,000, spreads the calls of different instances.
+    /// Creates a writer. `jitter_permille` (0 to 1,000) spreads the calls of different instances
+    /// over time.
     pub fn new(jitter_permille: u64) -> Self {
         Self {
-            state: State::Idle,
+            state: WriterState::Idle,
             proposal: None,
             call: 0,
             failures: 0,
@@ -100,26 +101,26 @@
         }
     }
 
-    /// Starts to write `verdict`, or writes it instead of an earlier proposal from the next call
-    /// on. `spread_ms` is the time over which instances spread their first calls.
+    /// Starts to write `verdict`, or replaces an earlier proposal from the next call on.
+    /// `spread_ms` is the period over which the first calls of the instances are spread.
     pub fn propose(&mut self, verdict: Verdict, spread_ms: u64, now: Millis) -> Vec<VerdictEffect> {
-        if matches!(self.state, State::Settled(_)) {
+        if matches!(self.state, WriterState::Settled(_)) {
             return Vec::new();
         }
         self.proposal = Some(verdict);
-        if self.state != State::Idle {
+        if self.state != WriterState::Idle {
             return Vec::new();
         }
         self.create(verdict, now.plus(spread_ms * self.jitter_permille / 1_000))
     }
 
-    /// Whether call `call` is still wanted; asked right before it is sent.
+    /// Whether call `call` is still needed. Has to be checked immediately before it is sent.
     pub fn is_wanted(&self, call: u32) -> bool {
-        call == self.call && matches!(self.state, State::Creating(_) | State::Reading)
+        call == self.call && matches!(self.state, WriterState::Creating(_) | WriterState::Reading)
     }
 
-    /// Takes the answer to call `call`. Answers to earlier calls count only if they tell the
-    /// verdict.
+    /// Handles the answer to call `call`. Answers to earlier calls are ignored unless they contain
+    /// the verdict.
     pub fn step(&mut self, call: u32, answer: VerdictAnswer, now: Millis) -> Vec<VerdictEffect> {
         if let VerdictAnswer::Found(verdict) = answer {
             return self.settle(verdict);
@@ -128,48 +129,48 @@
             return Vec::new();
         }
         match (self.state, answer) {
-            (State::Creating(verdict), VerdictAnswer::Written) => self.settle(verdict),
-            (State::Creating(_), VerdictAnswer::Lost) => {
-                self.state = State::Reading;
+            (WriterState::Creating(verdict), VerdictAnswer::Written) => self.settle(verdict),
+            (WriterState::Creating(_), VerdictAnswer::Lost) => {
+                self.state = WriterState::Reading;
                 self.failures += 1;
                 vec![VerdictEffect::Read {
                     call: self.next_call(),
-                    not_before: self.next_try(now),
+                    not_before: self.retry_time(now),
                 }]
             }
-            (State::Reading, VerdictAnswer::Lost | VerdictAnswer::NotSent) => {
+            (WriterState::Reading, VerdictAnswer::Lost | VerdictAnswer::NotSent) => {
                 self.failures += 1;
                 vec![VerdictEffect::Read {
                     call: self.next_call(),
-                    not_before: self.next_try(now),
+                    not_before: self.retry_time(now),
                 }]
             }
-            (State::Creating(_), VerdictAnswer::NotSent) => {
+            (WriterState::Creating(_), VerdictAnswer::NotSent) => {
                 self.failures += 1;
-                self.create_proposal(self.next_try(now))
+                self.create_proposal(self.retry_time(now))
             }
-            (State::Creating(_) | State::Reading, _) => self.create_proposal(now),
-            (State::Idle | State::Settled(_), _) => Vec::new(),
+            (WriterState::Creating(_) | WriterState::Reading, _) => self.create_proposal(now),
+            (WriterState::Idle | WriterState::Settled(_), _) => Vec::new(),
         }
     }
 
-    /// Takes a verdict that stands in the store, heard by watch or from a peer.
+    /// Handles a verdict in the store that was learnt from a watch or from a peer.
     pub fn settle(&mut self, verdict: Verdict) -> Vec<VerdictEffect> {
-        if let State::Settled(settled) = self.state {
-            assert_eq!(settled, verdict, "a verdict is never left");
+        if let WriterState::Settled(settled) = self.state {
+            assert_eq!(settled, verdict, "a verdict cannot change");
             return Vec::new();
         }
-        self.state = State::Settled(verdict);
+        self.state = WriterState::Settled(verdict);
         vec![VerdictEffect::Adopt(verdict)]
     }
 
     fn create_proposal(&mut self, not_before: Millis) -> Vec<VerdictEffect> {
-        let verdict = self.proposal.expect("a call follows a proposal");
+        let verdict = self.proposal.expect("there is a proposal before any call");
         self.create(verdict, not_before)
     }
 
     fn create(&mut self, verdict: Verdict, not_before: Millis) -> Vec<VerdictEffect> {
-        self.state = State::Creating(verdict);
+        self.state = WriterState::Creating(verdict);
         vec![VerdictEffect::Create {
             call: self.next_call(),
             verdict,
@@ -182,10 +183,10 @@
         self.call
     }
 
-    fn next_try(&self, now: Millis) -> Millis {
+    fn retry_time(&self, now: Millis) -> Millis {
         let doublings = self.failures.saturating_sub(1).min(16);
-        let longest_ms = (RETRY_FIRST_MS << doublings).min(RETRY_LONGEST_MS);
-        let half_ms = longest_ms / 2;
-        now.plus(half_ms + half_ms * self.jitter_permille / 1_000)
+        let max_delay_ms = (FIRST_RETRY_MAX_DELAY_MS << doublings).min(MAX_RETRY_DELAY_MS);
+        let half_delay_ms = max_delay_ms / 2;
+        now.plus(half_delay_ms + half_delay_ms * self.jitter_permille / 1_000)
     }
 }
--- a/crates/core/tests/rollout_cases.rs
+++ b/crates/core/tests/rollout_cases.rs
@@ -1,4 +1,4 @@
-//! Rollouts: steps, choices, stops, verdicts, and the merging of evidence.
+//! Tests of rollouts: steps, version choice, suspicions, verdicts, and merging of evidence.
 
 use carobwheel_core::document::{Rollout, RolloutStep, WHOLE_PPM};
 use carobwheel_core::evidence::{
@@ -50,7 +50,8 @@
     }
 }
 
-/// Adds requests of both versions, one in `every` of the new ones failing.
+/// Adds requests to both versions until a suspicion is raised, and returns their number. One in
+/// `every` requests to the new version fails.
 fn feed(state: &mut RolloutState, counts: &mut VersionCounts, requests: u64, every: u64) -> u64 {
     for count in 1..=requests {
         counts.old.requests += 1;
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn a_suspicion_stops_the_new_version_at_once_and_for_ever() {
+fn a_suspicion_stops_the_new_version_immediately_and_permanently() {
     let mut state = state();
     state.suspect(suspicion());
     for n in 0..1_000 {
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn a_version_that_looks_worse_gets_the_probe_share_only() {
+fn a_suspected_version_gets_only_the_probe_share() {
     let (mut state, mut counts) = (state(), VersionCounts::default());
     feed(&mut state, &mut counts, 1_000, u64::MAX);
     let unix_now = UnixMillis(2_500);
@@ -146,15 +147,15 @@
 }
 
 #[test]
-#[should_panic(expected = "a verdict is never left")]
-fn another_verdict_is_a_broken_invariant() {
+#[should_panic(expected = "a verdict cannot change")]
+fn a_second_different_verdict_panics() {
     let mut state = state();
     state.adopt(Verdict::Done);
     state.adopt(Verdict::RolledBack);
 }
 
-/// Races writers with different proposals over a store that loses calls, and returns what each
-/// adopted.
+/// Runs concurrent writers with different proposals against a store that loses calls, and returns
+/// the verdict that each writer adopted.
 fn race(seed: u64, store_overwrites: bool) -> Vec<Option<Verdict>> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut stored = None;
@@ -195,7 +196,7 @@
         let (call, proposed) = match effect {
             VerdictEffect::Create { call, verdict, .. } => (call, Some(verdict)),
             VerdictEffect::Read { call, .. } => (call, None),
-            VerdictEffect::Adopt(_) => unreachable!("adopting is no call"),
+            VerdictEffect::Adopt(_) => unreachable!("Adopt is not a call"),
         };
         let is_down = now_ms < outage_ms || rng.random_bool(0.1);
         let answer = match (stored, proposed) {
@@ -219,8 +220,8 @@
     adopted
 }
 
-#[test_case(false => 0; "create that only one can win")]
-#[test_case(true => matches 1..; "planted fault, the store overwrites")]
+#[test_case(false => 0; "create succeeds once only")]
+#[test_case(true => matches 1..; "injected fault, the store overwrites")]
 fn races_without_one_verdict(store_overwrites: bool) -> usize {
     let is_split = |seed: &u64| {
         let adopted = race(*seed, store_overwrites);
@@ -315,7 +316,7 @@
 }
 
 #[test]
-fn a_request_without_news_counts_as_overdue_and_its_late_failure_too() {
+fn a_request_without_outcome_counts_as_overdue_and_its_late_failure_too() {
     let mut evidence = evidence(1, "north");
     let hanging = evidence.begin(RolloutTag(1), ROUTE, Side::New, Millis(0));
     let changes = evidence.count(Millis(2_000));
@@ -331,7 +332,7 @@
 }
 
 #[test]
-fn an_abandoned_request_holds_up_nobody_and_counts_nowhere() {
+fn an_abandoned_request_delays_no_other_and_is_not_counted() {
     let mut evidence = evidence(1, "north");
     let gone = evidence.begin(RolloutTag(1), ROUTE, Side::New, Millis(0));
     let ended = evidence.begin(RolloutTag(1), ROUTE, Side::Old, Millis(1));
@@ -350,7 +351,7 @@
     for n in 0..2_000 {
         feed(&mut state, &mut counts, 1, rng.random_range(1..500));
         let unix_now = UnixMillis(rng.random_range(0..4_000));
-        // The choice asserts the step and the stop.
+        // `choose` asserts that the share is within the step and that no stopped version is chosen.
         let side = state.choose(ROUTE, &format!("request-{n}"), unix_now);
         let is_early = unix_now < UnixMillis(1_000);
         assert!(side == Side::Old || !is_early, "before the first step");
