--- a/crates/core/src/document/fault.rs
+++ b/crates/core/src/document/fault.rs
@@ -1,18 +1,18 @@
-//! A fault in a document or in settings.
+//! Validation error in a configuration document or in settings.
 
 use std::fmt;
 
-/// One fault: where it stands and what is wrong with it.
+/// Validation error with the path of the faulty value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Path of the faulty value, such as `accounts[3].burst_tokens`; empty for the whole.
+    /// Path of the faulty value, such as `accounts[3].burst_tokens`; empty for the whole document.
     pub path: String,
-    /// What is wrong, with the unit and the allowed range.
+    /// Description of the error, with the unit and the allowed range.
     pub message: String,
 }
 
 impl Fault {
-    /// A fault at `path`.
+    /// Creates a fault at `path`.
     pub fn new(path: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
             path: path.into(),
--- a/crates/core/src/document/mod.rs
+++ b/crates/core/src/document/mod.rs
@@ -1,7 +1,8 @@
-//! The configuration document: the one validated document that operators publish.
+//! Configuration document, which operators publish to the whole fleet.
 //!
-//! The document is JSON under one key of the store. [`Document::parse`] reads and validates it
-//! whole: either every rule holds, or all faults are returned and nothing is applied.
+//! The document is JSON under one key of the store. [`Document::parse`] reads and validates the
+//! whole document: either it satisfies every rule, or all faults are returned and nothing is
+//! applied.
 
 mod fault;
 mod validate;
@@ -16,20 +17,20 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{hex::Hex, serde_as};
 
-/// Largest document, in bytes. The store holds values up to one megabyte.
+/// Maximum size of a document, in bytes. The store holds values of up to one megabyte.
 pub const MAX_DOCUMENT_BYTES: usize = 1_000_000;
-/// The document schema that this version reads.
+/// Schema version of the document that this build reads.
 pub const SCHEMA: u32 = 1;
-/// Parts of a whole: shares of traffic are integers out of this number.
+/// Parts per million that make up all traffic; traffic shares are integers out of this number.
 pub const WHOLE_PPM: u32 = 1_000_000;
 
-/// What the operators of a deployment weigh more.
+/// Optimization objective of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Objective {
-    /// Tail latency and the worst-served client account.
+    /// Minimize tail latency and improve the worst-served client account.
     TailLatency,
-    /// Cost and wrongful refusals.
+    /// Minimize cost and wrongful refusals.
     Cost,
 }
 
@@ -37,196 +38,199 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Policy {
-    /// What the deployment weighs more.
+    /// Optimization objective.
     pub objective: Objective,
-    /// Retries allowed as a share of requests, in percent (0 to 100).
+    /// Maximum retries as a share of requests, in percent (0 to 100).
     pub retry_budget_pct: u32,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
 }
 
-/// A region and its data centres.
+/// Region with its data centres.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Region {
     /// Name of the region.
     pub id: RegionId,
-    /// Data centres inside the region.
+    /// Data centres of the region.
     pub data_centres: Vec<DataCentreId>,
-    /// Relative weight with which unbound accounts' rates are split between regions (1 or more).
+    /// Relative weight of the region when the rates of unbound accounts are split between regions
+    /// (1 or more).
     pub rate_weight: u32,
 }
 
-/// A caller's key, stored as a digest only.
+/// API key of a client account, stored only as a digest.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApiKey {
-    /// Name by which operators withdraw the key.
+    /// Name of the key, by which operators revoke it.
     pub id: KeyId,
     /// SHA-256 digest of the key, as 64 hexadecimal digits.
     #[serde_as(as = "Hex")]
     pub sha256: [u8; 32],
 }
 
-/// A client account.
+/// Client account with its rate limit and keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
     /// Name of the account.
     pub id: AccountId,
-    /// Rate over all instances together, in tokens a second.
+    /// Rate limit over all instances combined, in tokens per second.
     pub rate_tokens_per_s: u64,
-    /// Burst over all instances together, in tokens.
+    /// Maximum burst over all instances combined, in tokens.
     pub burst_tokens: u64,
     /// Relative weight in the fair queue (1 or more).
     pub queue_weight: u32,
-    /// Region that every request of this account has to be served in; absent if any region may.
+    /// Region in which all requests of this account have to be served; absent if any region may
+    /// serve them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub bound_region: Option<RegionId>,
-    /// Keys that identify the account; may be empty.
+    /// API keys that identify the account; may be empty.
     pub keys: Vec<ApiKey>,
 }
 
-/// A latency class. A request belongs to the first class whose prompt bound it fits.
+/// Latency class. A request belongs to the first class whose prompt limit it fits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// Name of the class.
     pub id: ClassId,
-    /// Longest prompt of the class, in tokens.
+    /// Maximum prompt length of the class, in tokens.
     pub max_prompt_tokens: u64,
-    /// Target of the time to the first token, in milliseconds.
+    /// Target time to first token, in milliseconds.
     pub first_token_target_ms: u64,
-    /// Target of the time between two tokens, in milliseconds.
+    /// Target inter-token latency, in milliseconds.
     pub between_tokens_target_ms: u64,
-    /// Longest time from intake to the first byte of the answer, in milliseconds.
+    /// Maximum time from intake to the first byte of the answer, in milliseconds.
     pub deadline_ms: u64,
-    /// Priority passed on to engines; 0 is the most urgent.
+    /// Priority passed to engines; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// A model that callers name in their requests.
+/// Model that callers select by name in their requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
     /// Name of the model.
     pub id: ModelId,
-    /// The version in service when no rollout says otherwise.
+    /// Version that serves the model unless a rollout is in progress.
     pub version: VersionId,
-    /// Output tokens charged when a request names no bound of its own.
+    /// Maximum output tokens assumed and charged for a request that sets no limit.
     pub default_max_output_tokens: u64,
-    /// Most output tokens that a request may ask for.
+    /// Largest number of output tokens that a request may ask for.
     pub max_output_tokens: u64,
 }
 
-/// What an upstream serves.
+/// Model version or service that an upstream serves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Serves {
-    /// A model engine.
+    /// Inference engine with one model version.
     Engine {
-        /// Model that the engine has loaded.
+        /// Model loaded by the engine.
         model: ModelId,
-        /// Version that the engine has loaded.
+        /// Version loaded by the engine.
         version: VersionId,
-        /// Requests that the engine decodes together at most.
+        /// Maximum number of requests in a decode batch.
         batch_slots: u32,
-        /// Prompt tokens that the engine reads in a second.
+        /// Prefill speed of the engine, in prompt tokens per second.
         prefill_tokens_per_s: u64,
-        /// Accepts an order only with a current fencing number.
+        /// Whether the engine accepts an order only with a current fencing number.
         checks_fencing: bool,
     },
-    /// A copy of a plain service.
+    /// Replica of a plain HTTP service.
     Service {
-        /// Service that the upstream is a copy of.
+        /// Service of which the upstream is a replica.
         service: ServiceId,
-        /// Requests that the copy serves at the same time at most.
+        /// Maximum number of concurrent requests to the replica.
         request_slots: u32,
-        /// Drops a second action with the same idempotency key by itself.
+        /// Whether the service itself drops a repeated action with the same idempotency key.
         deduplicates: bool,
     },
 }
 
-/// A model engine or one copy of a plain service.
+/// Inference engine or replica of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Upstream {
-    /// Name of the upstream; its credential stands under this name in the settings.
+    /// Name of the upstream, under which its credential is found in the settings.
     pub id: UpstreamId,
-    /// Region that the upstream stands in.
+    /// Region of the upstream.
     pub region: RegionId,
-    /// Data centre that the upstream stands in.
+    /// Data centre of the upstream.
     pub data_centre: DataCentreId,
     /// Base URL without a path, such as `http://10.0.0.7:8000`.
     pub url: String,
-    /// What the upstream serves.
+    /// Model version or service that the upstream serves.
     pub serves: Serves,
-    /// Operators have marked the upstream as leaving: it gets no new work.
+    /// Whether operators have marked the upstream as leaving, so that it gets no new requests.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// A plain route by path prefix and methods.
+/// Route to a plain service, by path prefix and methods.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// Path prefix, beginning with `/`. The longest matching prefix wins.
+    /// Path prefix, starting with `/`. The longest matching prefix applies.
     pub path: String,
-    /// Methods in capital letters.
+    /// HTTP methods in upper case.
     pub methods: Vec<String>,
-    /// Service that the route leads to.
+    /// Service to which requests are routed.
     pub service: ServiceId,
-    /// Requests may be repeated without a further effect.
+    /// Whether requests may be repeated without a further effect.
     pub idempotent: bool,
-    /// Requests run without a key, charged to no account.
+    /// Whether requests are accepted without an API key and charged to no account.
     #[serde(default)]
     pub open: bool,
-    /// Region that requests of this route have to be served in; absent if the account decides.
+    /// Region in which requests of this route have to be served; absent if the account determines
+    /// it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub bound_region: Option<RegionId>,
-    /// Longest time from intake to the first byte of the answer, in milliseconds.
+    /// Maximum time from intake to the first byte of the answer, in milliseconds.
     pub deadline_ms: u64,
-    /// Tokens charged for one request.
+    /// Number of tokens charged per request.
     pub charge_tokens: u64,
-    /// Time for which the outcome of a non-idempotent action is kept, in seconds.
+    /// Retention period of the outcome of a non-idempotent action, in seconds.
     pub outcome_kept_s: u64,
 }
 
-/// One step of a rollout.
+/// Step of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutStep {
     /// Time at which the step begins, in milliseconds since the Unix epoch.
     pub at_unix_ms: UnixMillis,
-    /// Share of requests that go to the new version from then on, out of 1,000,000.
+    /// Share of requests that go to the new version from then on, in parts per million.
     pub share_ppm: u32,
 }
 
-/// Traffic of a model moving from an old version to a new one.
+/// Rollout, which moves the traffic of a model from an old version to a new one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rollout {
-    /// Name of the rollout; its verdict stands under this name for ever.
+    /// Name of the rollout, under which its verdict is stored permanently.
     pub id: RolloutId,
-    /// Model that moves.
+    /// Model whose traffic is moved.
     pub model: ModelId,
-    /// Version that traffic leaves.
+    /// Old version, from which traffic is moved.
     pub old_version: VersionId,
-    /// Version that traffic moves to.
+    /// New version, to which traffic is moved.
     pub new_version: VersionId,
-    /// Steps in order of time and share.
+    /// Steps in ascending order of time and share.
     pub steps: Vec<RolloutStep>,
-    /// Time by which the move is declared done or rolled back, in milliseconds since the Unix
-    /// epoch.
+    /// Deadline for the rollout to complete, in milliseconds since the Unix epoch. After it the
+    /// rollout is declared done or rolled back.
     pub deadline_unix_ms: UnixMillis,
 }
 
-/// The configuration document.
+/// Configuration document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// Schema of the document; has to be [`SCHEMA`].
+    /// Schema version of the document; has to be [`SCHEMA`].
     pub schema: u32,
     /// Fleet-wide policy.
     pub policy: Policy,
@@ -249,11 +253,11 @@
 }
 
 impl Document {
-    /// Reads and validates a document.
+    /// Parses and validates a document.
     ///
     /// # Errors
     ///
-    /// Returns every fault found; a syntax error is one fault at the root.
+    /// Returns all faults found; a syntax error is a single fault at the root.
     pub fn parse(bytes: &[u8]) -> Result<Self, Vec<Fault>> {
         if bytes.len() > MAX_DOCUMENT_BYTES {
             let message = format!(
@@ -263,7 +267,7 @@
             return Err(vec![Fault::new("", message)]);
         }
         let document: Self = serde_json::from_slice(bytes)
-            .map_err(|err| vec![Fault::new("", format!("not a document: {err}"))])?;
+            .map_err(|err| vec![Fault::new("", format!("invalid document: {err}"))])?;
         let faults = validate::faults(&document);
         if faults.is_empty() {
             return Ok(document);
@@ -271,17 +275,17 @@
         Err(faults)
     }
 
-    /// The account with the name `id`.
+    /// Returns the account named `id`.
     pub fn account(&self, id: &AccountId) -> Option<&Account> {
         self.accounts.iter().find(|account| account.id == *id)
     }
 
-    /// The model with the name `id`.
+    /// Returns the model named `id`.
     pub fn model(&self, id: &str) -> Option<&Model> {
         self.models.iter().find(|model| model.id.as_str() == id)
     }
 
-    /// The class of a prompt of `prompt_tokens`: the first that it fits, or none if it fits none.
+    /// Returns the class of a prompt of `prompt_tokens` tokens: the first one that it fits, if any.
     pub fn class_of_prompt(&self, prompt_tokens: u64) -> Option<&Class> {
         self.classes
             .iter()
--- a/crates/core/tests/document.rs
+++ b/crates/core/tests/document.rs
@@ -1,4 +1,5 @@
-//! The configuration document: the shipped examples are valid, and every fault is named.
+//! Tests of the configuration document: the shipped examples are valid, and every fault is reported
+//! with its path.
 
 use carobwheel_core::document::Document;
 use serde_json::{json, Value};
@@ -25,7 +26,7 @@
 #[test_case("{}" ; "missing_fields")]
 #[test_case("[]" ; "not_an_object")]
 fn an_unreadable_document_is_one_fault_at_the_root(text: &str) {
-    let faults = Document::parse(text.as_bytes()).expect_err("the text is no document");
+    let faults = Document::parse(text.as_bytes()).expect_err("the text is not a valid document");
     assert_eq!(faults.len(), 1);
     assert_eq!(faults[0].path, "");
 }
