--- a/crates/core/src/evidence/digest.rs
+++ b/crates/core/src/evidence/digest.rs
@@ -1,61 +1,61 @@
-//! Evidence as sent to other instances.
+//! Digests of evidence exchanged between instances.
 
-use super::{Kind, OriginTag, RolloutTag, RouteTag, Sides};
+use super::{OriginTag, RegressionKind, RolloutTag, RouteTag, VersionCounts};
 use crate::id::RegionId;
 use crate::rollout::Verdict;
 use serde::{Deserialize, Serialize};
 
-/// Counters of one route.
+/// Counters of one route of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RouteCell {
+pub struct RouteCounts {
     /// Rollout that the counters belong to.
     pub rollout: RolloutTag,
     /// Route that the counters belong to.
     pub route: RouteTag,
     /// Counters since the process started.
-    pub sides: Sides,
+    pub counts: VersionCounts,
 }
 
-/// Counters of one process, gossiped inside its region.
+/// Counters of one process, gossiped within its region.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OriginCells {
-    /// Process that counted.
+pub struct OriginCounts {
+    /// Process that counted the requests.
     pub origin: OriginTag,
-    /// Its counters.
-    pub cells: Vec<RouteCell>,
+    /// Counters per route.
+    pub routes: Vec<RouteCounts>,
 }
 
-/// Sums over one region, gossiped between regions.
+/// Counters summed over one region, gossiped between regions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RegionCells {
-    /// Region that was summed over.
+pub struct RegionCounts {
+    /// Region whose counters are summed.
     pub region: RegionId,
-    /// The sums.
-    pub cells: Vec<RouteCell>,
+    /// Sums per route.
+    pub routes: Vec<RouteCounts>,
 }
 
-/// A new version is suspected of a fault.
+/// Suspicion of a regression of a new version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Suspicion {
     /// Rollout of the new version.
     pub rollout: RolloutTag,
-    /// Route on which the fault showed.
+    /// Route on which the regression was detected.
     pub route: RouteTag,
-    /// Kind of the fault.
-    pub kind: Kind,
-    /// Process that found it.
+    /// Kind of regression.
+    pub kind: RegressionKind,
+    /// Process that detected the regression.
     pub origin: OriginTag,
 }
 
-/// What one instance tells another about rollouts.
+/// Evidence about rollouts sent from one instance to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Digest {
-    /// Suspicions; every message repeats them all.
+pub struct EvidenceDigest {
+    /// All known suspicions, repeated in every message.
     pub suspicions: Vec<Suspicion>,
-    /// Verdicts read from the store; every message repeats them all.
+    /// All known verdicts in the store, repeated in every message.
     pub verdicts: Vec<(RolloutTag, Verdict)>,
-    /// Counters of processes of the region.
-    pub origins: Vec<OriginCells>,
-    /// Sums over regions.
-    pub regions: Vec<RegionCells>,
+    /// Counters of the region's processes.
+    pub origins: Vec<OriginCounts>,
+    /// Counters summed per region.
+    pub regions: Vec<RegionCounts>,
 }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -1,38 +1,39 @@
 //! Placement of a request on an upstream.
 //!
-//! A [`Router`] holds one instance's view of every upstream: the work the instance itself has in
-//! flight, the work that peers report in a [`LoadDigest`], the upstream's own lagging report and
-//! measured speeds. [`Router::place`] predicts the time to the first token on each candidate and
-//! picks one. The caller then reports the life of the request by [`Router::start`],
-//! [`Router::first_token`], [`Router::progress`] and [`Router::finish`].
+//! A [`Router`] holds one instance's view of every upstream: the load that the instance itself has
+//! in flight, the load that peers report in a [`LoadDigest`], the upstream's own lagging
+//! [`UpstreamReport`], and measured speeds. [`Router::place`] predicts the time to first token on
+//! each candidate and selects one. The caller then reports the lifecycle of the request through
+//! [`Router::start`], [`Router::first_token`], [`Router::progress`], [`Router::finish`] and
+//! [`Router::cancel`].
 //!
-//! These promises are asserted inside the program: a bound request is placed in its region only, a
-//! request crosses regions at most once and visits no instance twice, and an upstream that leaves
-//! gets no new work.
+//! The following invariants are asserted at run time: a bound request is placed only in its region,
+//! a request crosses regions at most once and visits no instance twice, and an upstream that is
+//! leaving gets no new requests.
 
 mod affinity;
+mod attempt;
 mod choice;
 mod digest;
-mod flight;
 mod hops;
-mod knobs;
-mod life;
+mod lifecycle;
 mod load;
-mod news;
+mod objective;
 mod request;
 mod router;
 mod speed;
+mod updates;
 mod upstream;
 
 #[cfg(test)]
 mod tests;
 
 pub use affinity::{prefix_hashes, PREFIX_BLOCK_TOKENS};
+pub use attempt::AttemptId;
 pub use choice::Prediction;
-pub use digest::{DigestEntry, LeavingNotice, LoadDigest, DIGEST_LIFETIME_MS};
-pub use flight::FlightId;
-pub use hops::{Hop, HopFault, Hops};
-pub use load::{Load, Report};
-pub use request::{Placement, Refusal, Request, Target, Wanted};
-pub use router::{Delays, Router, Settings};
-pub use upstream::{LeavingSource, RAMP_MS};
+pub use digest::{LeavingNotice, LoadDigest, LoadDigestEntry, DIGEST_LIFETIME_MS};
+pub use hops::{Hop, HopError, Hops};
+pub use load::{Load, UpstreamReport};
+pub use request::{LatencyTarget, Placement, Refusal, Request, Requirement};
+pub use router::{NetworkDelays, Router, RouterSettings};
+pub use upstream::{LeavingSource, SLOW_START_MS};
--- a/crates/core/src/route/tests.rs
+++ b/crates/core/src/route/tests.rs
@@ -1,7 +1,10 @@
-//! Planted faults: each assertion of the module stops a program that breaks its promise.
+//! Fault injection: each assertion of the module panics when its invariant is violated.
 
 use super::choice::Candidate;
-use super::{Delays, Hop, Hops, LeavingSource, Load, Request, Router, Settings, Target, Wanted};
+use super::{
+    Hop, Hops, LatencyTarget, LeavingSource, Load, NetworkDelays, Request, Requirement, Router,
+    RouterSettings,
+};
 use crate::document::{Document, Objective};
 use crate::id::{ModelId, RegionId, RequestId, UpstreamId, VersionId};
 use crate::time::Millis;
@@ -23,20 +26,20 @@
 
 fn names() -> Names {
     Names {
-        id: "r1".parse().expect("a name"),
-        model: "m".parse().expect("a name"),
-        version: "v1".parse().expect("a name"),
-        bound: "north".parse().expect("a name"),
+        id: "r1".parse().expect("a valid name"),
+        model: "m".parse().expect("a valid name"),
+        version: "v1".parse().expect("a valid name"),
+        bound: "north".parse().expect("a valid name"),
     }
 }
 
 fn router() -> Router {
     let json = routing::document_json(2, "cost");
     let document = Document::parse(json.as_bytes()).expect("a valid document");
-    let settings = Settings {
-        region: "north".parse().expect("a name"),
-        data_centre: "north-0".parse().expect("a name"),
-        delays: Delays {
+    let settings = RouterSettings {
+        region: "north".parse().expect("a valid name"),
+        data_centre: "north-0".parse().expect("a valid name"),
+        delays: NetworkDelays {
             same_data_centre_us: 100,
             same_region_us: 1_000,
             other_region_us: 80_000,
@@ -48,14 +51,14 @@
 fn request<'a>(names: &'a Names, hops: &'a Hops, tried: &'a [UpstreamId]) -> Request<'a> {
     Request {
         id: &names.id,
-        wanted: Wanted::Model {
+        requirement: Requirement::Model {
             model: &names.model,
             version: &names.version,
         },
         prompt_tokens: 100,
         max_output_tokens: 100,
         prefix_hashes: &[],
-        target: Target {
+        target: LatencyTarget {
             first_token_ms: 480,
             between_tokens_ms: 30,
             remaining_ms: 10_000,
@@ -67,8 +70,8 @@
     }
 }
 
-/// Places a request on `upstream` without regard for the rules.
-fn plant(router: &Router, request: &Request<'_>, upstream: &str) {
+/// Places a request on `upstream` without checking eligibility.
+fn force_placement(router: &Router, request: &Request<'_>, upstream: &str) {
     let state = &router.upstreams[upstream];
     let objective = Objective::TailLatency;
     let candidate = Candidate::new(state, request, 10, 1.0, true, objective, NOW);
@@ -83,25 +86,27 @@
         bound_region: Some(&names.bound),
         ..request(&names, &hops, &[])
     };
-    plant(&router(), &bound, "south-engine-0");
+    force_placement(&router(), &bound, "south-engine-0");
 }
 
 #[test]
 #[should_panic(expected = "placed in another region without a hop left")]
 fn a_second_hop_across_regions_is_noticed() {
     let names = names();
-    let hops = Hops::default().used(Hop::Across).expect("a first hop");
+    let hops = Hops::default()
+        .used(Hop::AcrossRegions)
+        .expect("the first hop is allowed");
     let request = request(&names, &hops, &[]);
-    plant(&router(), &request, "south-engine-0");
+    force_placement(&router(), &request, "south-engine-0");
 }
 
 #[test]
 #[should_panic(expected = "placed on a tried upstream")]
 fn a_second_try_of_an_upstream_is_noticed() {
     let (names, hops) = (names(), Hops::default());
-    let tried = ["north-engine-0".parse().expect("a name")];
+    let tried = ["north-engine-0".parse().expect("a valid name")];
     let request = request(&names, &hops, &tried);
-    plant(&router(), &request, "north-engine-0");
+    force_placement(&router(), &request, "north-engine-0");
 }
 
 #[test]
@@ -109,9 +114,9 @@
 fn a_placement_on_an_ejected_upstream_is_noticed() {
     let (names, hops) = (names(), Hops::default());
     let mut router = router();
-    let upstream = "north-engine-0".parse().expect("a name");
+    let upstream = "north-engine-0".parse().expect("a valid name");
     router.set_ejected(&upstream, true, NOW);
-    plant(&router, &request(&names, &hops, &[]), "north-engine-0");
+    force_placement(&router, &request(&names, &hops, &[]), "north-engine-0");
 }
 
 #[test_case(LeavingSource::Document; "document")]
@@ -122,19 +127,19 @@
 fn a_placement_on_a_leaving_upstream_is_noticed(source: LeavingSource) {
     let (names, hops) = (names(), Hops::default());
     let mut router = router();
-    let upstream = "north-engine-0".parse().expect("a name");
+    let upstream = "north-engine-0".parse().expect("a valid name");
     router.mark_leaving(&upstream, source, None);
-    plant(&router, &request(&names, &hops, &[]), "north-engine-0");
+    force_placement(&router, &request(&names, &hops, &[]), "north-engine-0");
 }
 
 #[test]
-#[should_panic(expected = "started on a leaving upstream")]
+#[should_panic(expected = "attempt started on a leaving upstream")]
 fn a_stale_placement_is_noticed() {
     let (names, hops) = (names(), Hops::default());
     let mut router = router();
     let mut rng = StdRng::seed_from_u64(1);
     let placement = router.place(&request(&names, &hops, &[]), NOW, &mut rng);
-    let placement = placement.expect("a place");
+    let placement = placement.expect("the request is placed");
     router.mark_leaving(&placement.upstream, LeavingSource::LiveList, None);
     router.start(&placement, NOW);
 }
@@ -149,16 +154,16 @@
         across,
         visited: visited
             .iter()
-            .map(|id| id.parse().expect("a name"))
+            .map(|id| id.parse().expect("a valid name"))
             .collect(),
     };
     let panic = std::panic::catch_unwind(|| hops.assert_bounded());
-    let message = panic.expect_err("a panic");
+    let message = panic.expect_err("the assertion panics");
     assert_eq!(message.downcast_ref::<&str>(), Some(&expected));
 }
 
 #[test]
-#[should_panic(expected = "work in flight below zero")]
+#[should_panic(expected = "in-flight load below zero")]
 fn work_that_ends_twice_is_noticed() {
     let mut load = Load::default();
     load -= Load {
--- a/crates/gateway/src/decide/state.rs
+++ b/crates/gateway/src/decide/state.rs
@@ -17,8 +17,8 @@
     id::{AccountId, UpstreamId},
     identity::Caller,
     member::Members,
-    retry::{Outliers, Retrier, RetrySettings},
-    route::{FlightId, LoadDigest, Router},
+    retry::{OutlierDetector, Retrier, RetrySettings},
+    route::{AttemptId, LoadDigest, Router},
     slot::Peer,
     time::{Clock, Millis, UnixMillis},
 };
@@ -33,7 +33,7 @@
 
 /// A placement that has not been settled.
 pub(super) struct Open {
-    pub(super) flight: FlightId,
+    pub(super) flight: AttemptId,
     pub(super) upstream: UpstreamId,
     /// What the request says about a version, if a rollout decided it.
     pub(super) trial: Option<Trial>,
@@ -44,7 +44,7 @@
     pub(super) in_force: Arc<InForce>,
     pub(super) router: Router,
     pub(super) retrier: Retrier,
-    pub(super) outliers: Outliers,
+    pub(super) outliers: OutlierDetector,
 }
 
 /// The state behind every decision.
