--- a/crates/edge/src/dispatch/mod.rs
+++ b/crates/edge/src/dispatch/mod.rs
@@ -5,12 +5,12 @@
 //! connections are held here.
 
 mod connect;
+mod load_guard;
 mod pool;
 mod send;
-mod work;
 
 pub use connect::set_liveness;
+pub use load_guard::Work;
 pub use pool::{Connection, Pools};
 pub(crate) use send::is_hop_header;
 pub use send::{send, Keep, Reply, SendError, Target};
-pub use work::Work;
--- a/crates/edge/src/front/listen.rs
+++ b/crates/edge/src/front/listen.rs
@@ -1,6 +1,6 @@
 //! Accepting connections.
 
-use super::{conn::Tracked, handle, Connections, Interface, SideHandler};
+use super::{connections::Tracked, handle, Connections, Interface, SideHandler};
 use crate::node::Node;
 use hyper::{server::conn::http1, service::service_fn};
 use hyper_util::rt::TokioIo;
--- a/crates/edge/src/front/mod.rs
+++ b/crates/edge/src/front/mod.rs
@@ -1,13 +1,13 @@
 //! What callers connect to.
 
+mod aux_endpoint;
 mod body;
-mod conn;
+mod connections;
 mod handler;
 mod listen;
-mod side;
 
+pub use aux_endpoint::{Interface, Question, SideHandler};
 pub use body::read_body;
-pub use conn::Connections;
+pub use connections::Connections;
 pub use handler::handle;
 pub use listen::{bind, serve_callers, serve_side};
-pub use side::{Interface, Question, SideHandler};
--- a/crates/edge/src/pipeline/run.rs
+++ b/crates/edge/src/pipeline/run.rs
@@ -2,10 +2,10 @@
 
 use super::{
     answer::Answer,
+    attempts::{offered, take, Taken, TakenBody, Tries},
     forward,
     refusal::Refusal,
     stream::{self, Source},
-    take::{offered, take, Taken, TakenBody, Tries},
     Caller, Ticket,
 };
 use crate::{dispatch::is_hop_header, node::Node, place::Choice, relay::AnswerBody};
--- a/crates/edge/src/pipeline/send_once.rs
+++ b/crates/edge/src/pipeline/send_once.rs
@@ -1,8 +1,8 @@
 //! One send of a request to one upstream, and what its answer means.
 
 use super::{
+    attempts::{Taken, TakenBody},
     identify::text,
-    take::{Taken, TakenBody},
     Ticket,
 };
 use crate::{
--- a/crates/edge/src/pipeline/stream.rs
+++ b/crates/edge/src/pipeline/stream.rs
@@ -2,8 +2,8 @@
 
 use super::{
     answer::Answer,
+    attempts::{take, Taken, TakenBody, Tries},
     run::caller_headers,
-    take::{take, Taken, TakenBody, Tries},
     Ticket,
 };
 use crate::{
