--- a/crates/edge/src/daemon/mod.rs
+++ b/crates/edge/src/daemon/mod.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     dispatch::Pools,
-    front::{bind, serve_callers, serve_side, Connections, Interface, SideHandler},
+    front::{bind, serve_aux, serve_callers, AuxEndpoint, AuxInterface, Connections},
     log::{Event, Log},
     member::MemberEntry,
     metrics::Metrics,
@@ -31,19 +31,19 @@
 use tokio_util::sync::CancellationToken;
 
 /// Time between two looks at what changes with time alone.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Ticks between two sweeps of connections.
-const SWEEP_TICKS: u64 = 10;
+const TICKS_PER_SWEEP: u64 = 10;
 /// Time after a signal to stop in which callers learn that the instance leaves.
-const LEAVING: Duration = Duration::from_millis(1_500);
+const ANNOUNCE_LEAVING: Duration = Duration::from_millis(1_500);
 /// Shortest time from a signal to stop to the end, while no requests are left.
-const QUIET_END: Duration = Duration::from_millis(3_200);
+const MIN_STOP_TIME: Duration = Duration::from_millis(3_200);
 /// Time between two looks for requests that are left.
-const END_LOOK: Duration = Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time for the last bytes to reach another region, also if they are sent twice.
-const LAST_WAY: Duration = Duration::from_millis(500);
+const LINK_FLUSH_TIME: Duration = Duration::from_millis(500);
 /// Part of the time to stop after which requests that are left are cut.
-const GRACE_PART: f64 = 0.89;
+const GRACE_SHARE: f64 = 0.89;
 
 /// What a deployment's adapter supplies.
 #[derive(Clone, Debug)]
@@ -51,7 +51,7 @@
     /// Header names.
     pub names: HeaderNames,
     /// The directory's spelling.
-    pub interface: Interface,
+    pub interface: AuxInterface,
     /// Makes the store's operations.
     pub connect: fn(SocketAddr) -> StoreOps,
     /// Turns items of the store into news.
@@ -84,7 +84,7 @@
         .with_context(|| format!("cannot listen on {}", settings.listen.peers))?;
     let listeners = Listeners::bind(&settings)?;
     let stop_store = CancellationToken::new();
-    let asks = store::start(
+    let store_handle = store::start(
         StoreSettings {
             connect: deployment.connect,
             address: settings.store,
@@ -105,8 +105,8 @@
         metrics: Metrics::default(),
         pools: Pools::default(),
         links,
-        record: asks.record,
-        is_watcher: asks.is_watcher,
+        record: store_handle.record,
+        is_watcher: store_handle.is_watcher,
         in_flight: Cell::new(0),
         peer_exchanges: Cell::new(0),
         decoder: deployment.decoder,
@@ -122,7 +122,7 @@
     });
     let drain = CancellationToken::new();
     let connections = Rc::new(Connections::default());
-    tokio::task::spawn_local(apply_all(Rc::clone(&node), asks.events));
+    tokio::task::spawn_local(apply_all(Rc::clone(&node), store_handle.events));
     tokio::task::spawn_local(Links::dial_all(Rc::clone(&node), dialled));
     tokio::task::spawn_local(Links::accept_all(Rc::clone(&node)));
     tokio::task::spawn_local(tick_all(Rc::clone(&node), Rc::clone(&connections)));
@@ -149,7 +149,7 @@
 
 struct Listeners {
     callers: tokio::net::TcpListener,
-    sides: Vec<(tokio::net::TcpListener, SideHandler)>,
+    aux_listeners: Vec<(tokio::net::TcpListener, AuxEndpoint)>,
 }
 
 impl Listeners {
@@ -160,10 +160,10 @@
         };
         Ok(Self {
             callers: open(listen.callers)?,
-            sides: vec![
-                (open(listen.ready)?, SideHandler::Ready),
-                (open(listen.directory)?, SideHandler::Directory),
-                (open(listen.metrics)?, SideHandler::Metrics),
+            aux_listeners: vec![
+                (open(listen.ready)?, AuxEndpoint::Ready),
+                (open(listen.directory)?, AuxEndpoint::Directory),
+                (open(listen.metrics)?, AuxEndpoint::Metrics),
             ],
         })
     }
@@ -173,7 +173,7 @@
         node: &Rc<Node>,
         connections: &Rc<Connections>,
         drain: &CancellationToken,
-        interface: Interface,
+        interface: AuxInterface,
     ) {
         let callers = serve_callers(
             Rc::clone(node),
@@ -182,30 +182,30 @@
             drain.clone(),
         );
         tokio::task::spawn_local(callers);
-        for (listener, handler) in self.sides {
-            tokio::task::spawn_local(serve_side(Rc::clone(node), listener, interface, handler));
+        for (listener, handler) in self.aux_listeners {
+            tokio::task::spawn_local(serve_aux(Rc::clone(node), listener, interface, handler));
         }
     }
 }
 
 async fn apply_all(node: Rc<Node>, mut events: Receiver<StoreEvent>) {
     while let Some(event) = events.recv().await {
-        node.store_event(event);
+        node.apply_store_event(event);
     }
 }
 
 async fn tick_all(node: Rc<Node>, connections: Rc<Connections>) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut count: u64 = 0;
     loop {
         ticks.tick().await;
         node.tick();
-        for pull in node.pulls() {
+        for pull in node.due_pulls() {
             tokio::task::spawn_local(peers::pull(Rc::clone(&node), pull));
         }
         count += 1;
-        if count.is_multiple_of(SWEEP_TICKS) {
+        if count.is_multiple_of(TICKS_PER_SWEEP) {
             let now = node.now();
             let limits = node.config().unwrap_or_default().limits;
             connections.sweep(limits.head_timeout_ms, limits.idle_timeout_ms, now);
@@ -258,21 +258,21 @@
     });
     node.state.borrow_mut().leaving_at = Some(started_at);
     stop_store.cancel();
-    sleep(LEAVING).await;
+    sleep(ANNOUNCE_LEAVING).await;
     drain.cancel();
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    let grace_ms = (node.settings.bounds.stop_grace_s * GRACE_PART * 1_000.0) as u64;
+    let grace_ms = (node.settings.bounds.stop_grace_s * GRACE_SHARE * 1_000.0) as u64;
     loop {
         let passed_ms = node.now().since(started_at);
         let open = connections.count() + node.peer_exchanges.get();
-        let is_quiet = open == 0 && u128::from(passed_ms) >= QUIET_END.as_millis();
+        let is_quiet = open == 0 && u128::from(passed_ms) >= MIN_STOP_TIME.as_millis();
         if is_quiet || passed_ms >= grace_ms {
             break;
         }
-        sleep(END_LOOK).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
     // The end of the last answer may still be on its way over a link.
-    sleep(LAST_WAY).await;
+    sleep(LINK_FLUSH_TIME).await;
     let in_flight = connections.count() + node.peer_exchanges.get();
     node.log.event(Event::Stopped { in_flight });
     in_flight
--- a/crates/edge/src/dispatch/load_guard.rs
+++ b/crates/edge/src/dispatch/load_guard.rs
@@ -5,25 +5,25 @@
 use std::{rc::Rc, sync::Arc};
 
 /// Fewest prompt tokens whose reading tells of an upstream's speed.
-const MIN_TIMED_TOKENS: u32 = 1_000;
+const MIN_SPEED_SAMPLE_TOKENS: u32 = 1_000;
 
 /// Work at an upstream; dropping it takes the work away.
-pub struct Work {
+pub struct LoadGuard {
     node: Rc<Node>,
     upstream: Arc<str>,
-    left: Load,
+    remaining: Load,
     waiting_tokens: u32,
     sent_at: Millis,
 }
 
-impl Work {
+impl LoadGuard {
     /// Work of `load`, which was added to the upstream. `waiting_tokens` are the prompt tokens
     /// that it has to read before this request's end of reading.
     pub fn new(node: &Rc<Node>, upstream: &Arc<str>, load: Load, waiting_tokens: u32) -> Self {
         Self {
             node: Rc::clone(node),
             upstream: Arc::clone(upstream),
-            left: load,
+            remaining: load,
             waiting_tokens,
             sent_at: node.now(),
         }
@@ -35,27 +35,27 @@
     }
 
     /// Takes note that the prompt was read.
-    pub fn was_read(&mut self) {
-        if self.left.unread_tokens == 0 {
+    pub fn mark_prompt_read(&mut self) {
+        if self.remaining.unread_tokens == 0 {
             return;
         }
         let read = Load {
-            unread_tokens: self.left.unread_tokens,
+            unread_tokens: self.remaining.unread_tokens,
             ..Load::default()
         };
-        if self.waiting_tokens >= MIN_TIMED_TOKENS {
+        if self.waiting_tokens >= MIN_SPEED_SAMPLE_TOKENS {
             #[allow(clippy::cast_precision_loss)]
             let ms = self.node.now().since(self.sent_at) as f64;
             self.node
                 .note_speed(&self.upstream, f64::from(self.waiting_tokens), ms);
         }
-        self.left -= read;
-        self.node.note_done(&self.upstream, read);
+        self.remaining -= read;
+        self.node.remove_load(&self.upstream, read);
     }
 }
 
-impl Drop for Work {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
-        self.node.note_done(&self.upstream, self.left);
+        self.node.remove_load(&self.upstream, self.remaining);
     }
 }
--- a/crates/edge/src/dispatch/mod.rs
+++ b/crates/edge/src/dispatch/mod.rs
@@ -10,7 +10,7 @@
 mod send;
 
 pub use connect::set_liveness;
-pub use load_guard::Work;
+pub use load_guard::LoadGuard;
 pub use pool::{Connection, Pools};
 pub(crate) use send::is_hop_header;
-pub use send::{send, Keep, Reply, SendError, Target};
+pub use send::{send, ConnectionCheckout, Reply, SendError, Target};
--- a/crates/edge/src/dispatch/pool.rs
+++ b/crates/edge/src/dispatch/pool.rs
@@ -11,9 +11,9 @@
 };
 
 /// Connections to one upstream that are kept open without a request.
-const MAX_IDLE: usize = 24;
+const MAX_IDLE_CONNECTIONS: usize = 24;
 /// Time for which a connection is kept open without a request, in milliseconds.
-pub(super) const KEPT_IDLE_MS: u64 = 4_000;
+pub(super) const MAX_IDLE_MS: u64 = 4_000;
 
 /// A connection to an upstream.
 pub type Connection = SendRequest<Full<Bytes>>;
@@ -35,15 +35,15 @@
     /// Takes the connection that was used last, if it has been idle for at most `max_idle_ms`.
     pub(super) fn take(&self, upstream: &str, max_idle_ms: u64, now: Millis) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let waiting = idle.get_mut(upstream)?;
-        waiting.retain(|idle| now < idle.until && !idle.connection.is_closed());
-        let at = waiting
+        let connections = idle.get_mut(upstream)?;
+        connections.retain(|idle| now < idle.until && !idle.connection.is_closed());
+        let at = connections
             .iter()
             .rposition(|idle| idle.connection.is_ready())?;
-        if now.since(waiting[at].since) > max_idle_ms {
+        if now.since(connections[at].since) > max_idle_ms {
             return None;
         }
-        waiting.remove(at).map(|idle| idle.connection)
+        connections.remove(at).map(|idle| idle.connection)
     }
 
     /// Keeps a connection for the next request. `told_ms` is the time that the upstream keeps it
@@ -52,37 +52,39 @@
         &self,
         upstream: &Arc<str>,
         connection: Connection,
-        told_ms: Option<u64>,
+        advertised_ms: Option<u64>,
         now: Millis,
     ) {
         if connection.is_closed() {
             return;
         }
-        let kept_ms = told_ms.map_or(KEPT_IDLE_MS, |told_ms| (told_ms / 2).min(KEPT_IDLE_MS));
+        let idle_limit_ms = advertised_ms.map_or(MAX_IDLE_MS, |advertised_ms| {
+            (advertised_ms / 2).min(MAX_IDLE_MS)
+        });
         let mut idle = self.idle.borrow_mut();
-        let waiting = idle.entry(Arc::clone(upstream)).or_default();
-        if waiting.len() >= MAX_IDLE {
-            waiting.pop_front();
+        let connections = idle.entry(Arc::clone(upstream)).or_default();
+        if connections.len() >= MAX_IDLE_CONNECTIONS {
+            connections.pop_front();
         }
-        waiting.push_back(Idle {
+        connections.push_back(Idle {
             connection,
             since: now,
-            until: now.plus(kept_ms),
+            until: now.plus(idle_limit_ms),
         });
     }
 
     /// Closes connections that have been idle for too long.
     pub fn sweep(&self, now: Millis) {
         let mut idle = self.idle.borrow_mut();
-        for waiting in idle.values_mut() {
-            waiting.retain(|idle| now < idle.until && !idle.connection.is_closed());
+        for connections in idle.values_mut() {
+            connections.retain(|idle| now < idle.until && !idle.connection.is_closed());
         }
     }
 
     /// Closes the idle connections to an upstream.
     pub fn close_idle(&self, upstream: &str) {
-        if let Some(waiting) = self.idle.borrow_mut().get_mut(upstream) {
-            waiting.clear();
+        if let Some(connections) = self.idle.borrow_mut().get_mut(upstream) {
+            connections.clear();
         }
     }
 
--- a/crates/edge/src/dispatch/send.rs
+++ b/crates/edge/src/dispatch/send.rs
@@ -40,7 +40,7 @@
 pub struct Reply {
     response: Response<Incoming>,
     connection: Connection,
-    told_ms: Option<u64>,
+    advertised_ms: Option<u64>,
     upstream: Arc<str>,
 }
 
@@ -56,28 +56,32 @@
     }
 
     /// Splits off the answer from the connection that it comes on.
-    pub fn split(self) -> (Response<Incoming>, Keep) {
-        let keep = Keep {
+    pub fn split(self) -> (Response<Incoming>, ConnectionCheckout) {
+        let checkout = ConnectionCheckout {
             connection: self.connection,
-            told_ms: self.told_ms,
+            advertised_ms: self.advertised_ms,
             upstream: self.upstream,
         };
-        (self.response, keep)
+        (self.response, checkout)
     }
 }
 
 /// A connection that may be used again once the body of the answer on it was read.
-pub struct Keep {
+pub struct ConnectionCheckout {
     connection: Connection,
-    told_ms: Option<u64>,
+    advertised_ms: Option<u64>,
     upstream: Arc<str>,
 }
 
-impl Keep {
+impl ConnectionCheckout {
     /// Keeps the connection for the next request.
-    pub fn put_back(self, node: &Node) {
-        node.pools
-            .put(&self.upstream, self.connection, self.told_ms, node.now());
+    pub fn check_in(self, node: &Node) {
+        node.pools.put(
+            &self.upstream,
+            self.connection,
+            self.advertised_ms,
+            node.now(),
+        );
     }
 }
 
@@ -120,11 +124,11 @@
 }
 
 fn reply(target: &Target, response: Response<Incoming>, connection: Connection) -> Reply {
-    let told_ms = keep_alive_ms(&response);
+    let advertised_ms = keep_alive_ms(&response);
     Reply {
         response,
         connection,
-        told_ms,
+        advertised_ms,
         upstream: Arc::clone(&target.id),
     }
 }
--- a/crates/edge/src/front/aux_endpoint.rs
+++ b/crates/edge/src/front/aux_endpoint.rs
@@ -9,11 +9,11 @@
 /// Lifetime of a directory answer, in seconds.
 const DIRECTORY_TTL_S: f64 = 2.0;
 /// Addresses that a directory answer names at most.
-const MAX_NAMED: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 
 /// A question to the directory.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Question {
+pub struct DirectoryQuery {
     /// Host that the caller wants to reach.
     pub host: String,
     /// Region of the caller.
@@ -24,22 +24,22 @@
 
 /// How the deployment spells questions to the directory and its answers.
 #[derive(Clone, Copy, Debug)]
-pub struct Interface {
+pub struct AuxInterface {
     /// Path of readiness checks.
     pub ready_path: &'static str,
     /// Path of questions to the directory.
     pub directory_path: &'static str,
     /// Reads a question from the query.
-    pub decode_question: fn(&str) -> Question,
+    pub decode_query: fn(&str) -> DirectoryQuery,
     /// Writes an answer: addresses and lifetime in seconds.
     pub encode_answer: fn(&[SocketAddr], f64) -> Vec<u8>,
 }
 
-type SideAnswer = Response<Full<Bytes>>;
+type AuxAnswer = Response<Full<Bytes>>;
 
 /// What a side address answers.
 #[derive(Clone, Copy, Debug)]
-pub enum SideHandler {
+pub enum AuxEndpoint {
     /// Readiness checks.
     Ready,
     /// Questions to the directory.
@@ -48,14 +48,14 @@
     Metrics,
 }
 
-impl SideHandler {
+impl AuxEndpoint {
     /// Answers a request.
     pub fn answer<B>(
         self,
         node: &Rc<Node>,
-        interface: &Interface,
+        interface: &AuxInterface,
         request: &Request<B>,
-    ) -> SideAnswer {
+    ) -> AuxAnswer {
         let path = request.uri().path();
         match self {
             Self::Ready if path == interface.ready_path => {
@@ -68,7 +68,7 @@
             }
             Self::Directory if path == interface.directory_path => {
                 let query = request.uri().query().unwrap_or_default();
-                directory(node, interface, &(interface.decode_question)(query))
+                directory(node, interface, &(interface.decode_query)(query))
             }
             Self::Metrics => Response::new(Full::new(metrics(node).into())),
             Self::Ready | Self::Directory => status(StatusCode::NOT_FOUND),
@@ -76,14 +76,18 @@
     }
 }
 
-fn status(status: StatusCode) -> SideAnswer {
+fn status(status: StatusCode) -> AuxAnswer {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
 /// Names the ready instances of the caller's region, or those of all others if there is none.
-fn directory(node: &Rc<Node>, interface: &Interface, question: &Question) -> SideAnswer {
+fn directory(
+    node: &Rc<Node>,
+    interface: &AuxInterface,
+    directory_query: &DirectoryQuery,
+) -> AuxAnswer {
     let now = node.now();
     let mut by_region: BTreeMap<String, Vec<SocketAddr>> = BTreeMap::new();
     let state = node.state.borrow();
@@ -103,17 +107,19 @@
         let own = by_region.entry(node.region.to_string()).or_default();
         own.push(node.settings.listen.callers);
     }
-    let mut named = match by_region.remove(&question.region) {
+    let mut addresses = match by_region.remove(&directory_query.region) {
         Some(addresses) => addresses,
-        None => in_other_regions(node, by_region, &question.host),
+        None => in_other_regions(node, by_region, &directory_query.host),
     };
-    named.sort_unstable();
-    named.truncate(MAX_NAMED);
-    if named.is_empty() {
+    addresses.sort_unstable();
+    addresses.truncate(MAX_ADDRESSES);
+    if addresses.is_empty() {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
     let ttl_s = DIRECTORY_TTL_S.min(node.settings.bounds.directory_ttl_s);
-    let mut response = Response::new(Full::new((interface.encode_answer)(&named, ttl_s).into()));
+    let mut response = Response::new(Full::new(
+        (interface.encode_answer)(&addresses, ttl_s).into(),
+    ));
     let json = header::HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
     response
@@ -130,10 +136,10 @@
     let served = |region: &String| config.routes_at_home(region, host);
     let all = node.settings.regions.values();
     let most = all.map(served).max().unwrap_or_default();
-    let named = by_region
+    let addresses = by_region
         .into_iter()
         .filter(|(region, _)| served(region) == most);
-    named.flat_map(|(_, addresses)| addresses).collect()
+    addresses.flat_map(|(_, addresses)| addresses).collect()
 }
 
 fn metrics(node: &Rc<Node>) -> String {
--- a/crates/edge/src/front/body.rs
+++ b/crates/edge/src/front/body.rs
@@ -15,13 +15,13 @@
 ///
 /// Returns the answer for a body that is too large, too slow or broken.
 pub async fn read_body(node: &Node, body: Incoming, deadline: Millis) -> Result<Bytes, Refusal> {
-    let most = node.config().unwrap_or_default().limits.max_body_bytes;
-    if body.size_hint().lower() > most as u64 {
+    let max_bytes = node.config().unwrap_or_default().limits.max_body_bytes;
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(too_large());
     }
     let left = Duration::from_millis(deadline.since(node.now()).max(1));
-    match timeout(left, gather(body, most)).await {
-        Ok(gathered) => gathered,
+    match timeout(left, collect_body(body, max_bytes)).await {
+        Ok(body) => body,
         Err(_) => Err(Refusal::new(
             StatusCode::REQUEST_TIMEOUT,
             "the body did not arrive in time",
@@ -29,7 +29,7 @@
     }
 }
 
-async fn gather(mut body: Incoming, most: usize) -> Result<Bytes, Refusal> {
+async fn collect_body(mut body: Incoming, max_bytes: usize) -> Result<Bytes, Refusal> {
     let mut first = Bytes::new();
     let mut rest = BytesMut::new();
     while let Some(frame) = body.frame().await {
@@ -39,7 +39,7 @@
         let Ok(piece) = frame.into_data() else {
             continue;
         };
-        if first.len() + rest.len() + piece.len() > most {
+        if first.len() + rest.len() + piece.len() > max_bytes {
             return Err(too_large());
         }
         // Most bodies come in one piece, which needs no copy.
--- a/crates/edge/src/front/connections.rs
+++ b/crates/edge/src/front/connections.rs
@@ -28,21 +28,21 @@
 
 /// One connection as the sweep sees it.
 #[derive(Debug)]
-pub(super) struct Track {
+pub(super) struct ConnectionActivity {
     phase: Cell<Phase>,
     clock: Clock,
     /// Cancelled when the connection has to be closed.
     pub(super) close: CancellationToken,
 }
 
-impl Track {
+impl ConnectionActivity {
     /// Takes note that a head was read.
-    pub(super) fn busy(&self) {
+    pub(super) fn set_busy(&self) {
         self.phase.set(Phase::Busy);
     }
 
     /// Takes note that an answer's head was handed over.
-    pub(super) fn answered(&self) {
+    pub(super) fn set_idle(&self) {
         self.phase.set(Phase::Idle(self.clock.now()));
     }
 
@@ -62,22 +62,22 @@
 /// All open connections of callers.
 #[derive(Debug, Default)]
 pub struct Connections {
-    open: RefCell<HashMap<u64, Rc<Track>>>,
+    open: RefCell<HashMap<u64, Rc<ConnectionActivity>>>,
     opened: Cell<u64>,
 }
 
 impl Connections {
     /// Takes note of a new connection.
-    pub(super) fn open(&self, clock: Clock) -> (u64, Rc<Track>) {
+    pub(super) fn open(&self, clock: Clock) -> (u64, Rc<ConnectionActivity>) {
         let id = self.opened.get();
         self.opened.set(id + 1);
-        let track = Rc::new(Track {
+        let activity = Rc::new(ConnectionActivity {
             phase: Cell::new(Phase::Idle(clock.now())),
             clock,
             close: CancellationToken::new(),
         });
-        self.open.borrow_mut().insert(id, Rc::clone(&track));
-        (id, track)
+        self.open.borrow_mut().insert(id, Rc::clone(&activity));
+        (id, activity)
     }
 
     /// Takes note that a connection is closed.
@@ -92,26 +92,26 @@
 
     /// Closes connections that have been idle, or have taken time over a head, for too long.
     pub fn sweep(&self, head_timeout_ms: u64, idle_timeout_ms: u64, now: Millis) {
-        for track in self.open.borrow().values() {
-            let is_over = match track.phase.get() {
+        for activity in self.open.borrow().values() {
+            let is_over = match activity.phase.get() {
                 Phase::Idle(since) => now.since(since) > idle_timeout_ms,
                 Phase::Head(since) => now.since(since) > head_timeout_ms,
                 Phase::Busy => false,
             };
             if is_over {
-                track.close.cancel();
+                activity.close.cancel();
             }
         }
     }
 }
 
 /// A caller's stream that tells its track when bytes pass.
-pub(super) struct Tracked {
+pub(super) struct TrackedStream {
     pub(super) stream: TcpStream,
-    pub(super) track: Rc<Track>,
+    pub(super) activity: Rc<ConnectionActivity>,
 }
 
-impl AsyncRead for Tracked {
+impl AsyncRead for TrackedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -120,19 +120,19 @@
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.track.bytes_read();
+            self.activity.bytes_read();
         }
         polled
     }
 }
 
-impl AsyncWrite for Tracked {
+impl AsyncWrite for TrackedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.track.bytes_written();
+        self.activity.bytes_written();
         Pin::new(&mut self.stream).poll_write(cx, bytes)
     }
 
@@ -141,7 +141,7 @@
         cx: &mut Context<'_>,
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.track.bytes_written();
+        self.activity.bytes_written();
         Pin::new(&mut self.stream).poll_write_vectored(cx, slices)
     }
 
--- a/crates/edge/src/front/handler.rs
+++ b/crates/edge/src/front/handler.rs
@@ -4,13 +4,13 @@
 use crate::{
     log::Event,
     node::Node,
-    pipeline::{identify, run_anywhere, Answer, Caller, Identified, Refusal},
+    pipeline::{identify, run_in_allowed_region, Admission, Answer, Identified, Refusal},
 };
 use hyper::{body::Incoming, http::request::Parts, Request, StatusCode};
 use std::rc::Rc;
 
 /// Time after which a caller may ask another instance when this one is stopping, in milliseconds.
-const STOPPING_RETRY_MS: u64 = 50;
+const STOPPING_RETRY_AFTER_MS: u64 = 50;
 
 /// Counts a request for as long as it is under way.
 struct InFlight(Rc<Node>);
@@ -89,10 +89,10 @@
     labels: &mut Labels,
 ) -> Result<Answer, Refusal> {
     let started_at = node.now();
-    if node.is_closed() {
+    if node.is_refusing_requests() {
         return Err(Refusal::not_run(
             "the instance is stopping",
-            STOPPING_RETRY_MS,
+            STOPPING_RETRY_AFTER_MS,
         ));
     }
     let Identified {
@@ -106,11 +106,11 @@
         .map_or_else(String::new, |account| account.name.to_string());
     check_head(&head, config.limits.max_head_bytes)?;
     let body = read_body(node, body, started_at.plus(route.timeout_ms)).await?;
-    let caller = Caller::admit(node, &head, route, account)?;
-    let ticket = caller.ticket(node, &config, head, body, started_at)?;
-    let outcome = run_anywhere(node, ticket, &caller).await;
+    let admission = Admission::admit(node, &head, route, account)?;
+    let ctx = admission.context(node, &config, head, body, started_at)?;
+    let outcome = run_in_allowed_region(node, ctx, &admission).await;
     if outcome.as_ref().is_err_and(Refusal::is_not_run) {
-        caller.give_back(node);
+        admission.refund(node);
     }
     outcome
 }
--- a/crates/edge/src/front/listen.rs
+++ b/crates/edge/src/front/listen.rs
@@ -1,6 +1,6 @@
 //! Accepting connections.
 
-use super::{connections::Tracked, handle, Connections, Interface, SideHandler};
+use super::{connections::TrackedStream, handle, AuxEndpoint, AuxInterface, Connections};
 use crate::node::Node;
 use hyper::{server::conn::http1, service::service_fn};
 use hyper_util::rt::TokioIo;
@@ -60,19 +60,19 @@
 ) {
     // Without it small writes wait for acknowledgements; the connection works all the same.
     drop(stream.set_nodelay(true));
-    let (id, track) = connections.open(node.clock);
+    let (id, activity) = connections.open(node.clock);
     let limits = node.config().unwrap_or_default().limits;
-    let io = TokioIo::new(Tracked {
+    let io = TokioIo::new(TrackedStream {
         stream,
-        track: Rc::clone(&track),
+        activity: Rc::clone(&activity),
     });
-    let served = Rc::clone(&track);
+    let served = Rc::clone(&activity);
     let service = service_fn(move |request| {
-        let (node, track) = (Rc::clone(&node), Rc::clone(&served));
+        let (node, activity) = (Rc::clone(&node), Rc::clone(&served));
         async move {
-            track.busy();
+            activity.set_busy();
             let answer = handle(node, request).await;
-            track.answered();
+            activity.set_idle();
             Ok::<_, Infallible>(answer)
         }
     });
@@ -87,7 +87,7 @@
     tokio::select! {
         // The caller sees a broken connection itself.
         result = connection.as_mut() => drop(result),
-        () = track.close.cancelled() => {}
+        () = activity.close.cancelled() => {}
         () = drain.cancelled(), if !is_draining => {
             connection.as_mut().graceful_shutdown();
             drop(connection.await);
@@ -97,11 +97,11 @@
 }
 
 /// Serves a side address.
-pub async fn serve_side(
+pub async fn serve_aux(
     node: Rc<Node>,
     listener: TcpListener,
-    interface: Interface,
-    handler: SideHandler,
+    interface: AuxInterface,
+    handler: AuxEndpoint,
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/crates/edge/src/front/mod.rs
+++ b/crates/edge/src/front/mod.rs
@@ -6,8 +6,8 @@
 mod handler;
 mod listen;
 
-pub use aux_endpoint::{Interface, Question, SideHandler};
+pub use aux_endpoint::{AuxEndpoint, AuxInterface, DirectoryQuery};
 pub use body::read_body;
 pub use connections::Connections;
 pub use handler::handle;
-pub use listen::{bind, serve_callers, serve_side};
+pub use listen::{bind, serve_aux, serve_callers};
--- a/crates/edge/src/node/apply.rs
+++ b/crates/edge/src/node/apply.rs
@@ -12,7 +12,7 @@
 use std::{rc::Rc, sync::Arc};
 
 /// Time after an outage of the store in which missing entries may come back, in milliseconds.
-const AFTER_OUTAGE_MS: u64 = 2_500;
+const OUTAGE_GRACE_MS: u64 = 2_500;
 
 impl Node {
     /// Applies one piece of news.
@@ -48,7 +48,7 @@
     }
 
     /// Takes note of an event of the store.
-    pub fn store_event(&self, event: StoreEvent) {
+    pub fn apply_store_event(&self, event: StoreEvent) {
         match event {
             StoreEvent::Listed(prefix, listing) => {
                 let fresh = self.with_replica(&prefix, |replica, at| {
@@ -76,17 +76,17 @@
     fn with_replica(
         &self,
         prefix: &str,
-        learn: impl FnOnce(&mut Replica, usize) -> Vec<Fact>,
+        update: impl FnOnce(&mut Replica, usize) -> Vec<Fact>,
     ) -> Vec<Fact> {
         let mut state = self.state.borrow_mut();
         let Some(at) = state.replica.prefix(prefix) else {
             return Vec::new();
         };
-        learn(&mut state.replica, at)
+        update(&mut state.replica, at)
     }
 
     /// Takes facts that another instance has told.
-    pub fn learn(&self, prefix: usize, facts: Facts) {
+    pub fn apply_pulled_facts(&self, prefix: usize, facts: Facts) {
         let fresh = self.state.borrow_mut().replica.learn(prefix, facts);
         self.apply_facts(&fresh);
     }
@@ -250,7 +250,7 @@
         let is_after_outage = state.store_lost_at.is_some()
             || state
                 .store_back_at
-                .is_some_and(|at| now.since(at) < AFTER_OUTAGE_MS);
+                .is_some_and(|at| now.since(at) < OUTAGE_GRACE_MS);
         state.upstreams.missing(id, is_after_outage, now);
         self.log.event(Event::UpstreamMissing {
             upstream: id,
--- a/crates/edge/src/node/evidence.rs
+++ b/crates/edge/src/node/evidence.rs
@@ -11,7 +11,7 @@
 
 /// A send of one request to one upstream, as far as evidence is concerned.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent<'a> {
+pub struct SendIds<'a> {
     /// Request.
     pub request: &'a str,
     /// Route.
@@ -22,7 +22,7 @@
 
 impl Node {
     /// Takes note of how a send ended.
-    pub fn note_outcome(&self, sent: Sent<'_>, outcome: Outcome) {
+    pub fn note_outcome(&self, sent: SendIds<'_>, outcome: Outcome) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let Some(upstream) = state.upstreams.by_id.get_mut(sent.upstream) else {
@@ -79,7 +79,7 @@
     }
 
     /// Takes work from an upstream's load.
-    pub fn note_done(&self, id: &str, load: Load) {
+    pub fn remove_load(&self, id: &str, load: Load) {
         if let Some(upstream) = self.state.borrow_mut().upstreams.by_id.get_mut(id) {
             upstream.own -= load;
         }
--- a/crates/edge/src/node/gossip.rs
+++ b/crates/edge/src/node/gossip.rs
@@ -12,12 +12,12 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, sync::Arc};
 
-/// Largest figure of an outlook that is told.
-const MOST_TOLD: f64 = 1_000_000.0;
+/// Largest figure of an outlook that is report.
+const MAX_OUTLOOK_VALUE: f64 = 1_000_000.0;
 
 /// State of one move as an instance sees it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TrialNews {
+pub struct TrialReport {
     /// Hash of the service's name.
     pub service: u32,
     /// Hash of the target's name.
@@ -32,7 +32,7 @@
 
 /// What jobs of one kind have to expect of a service in a region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OutlookNews {
+pub struct OutlookReport {
     /// Hash of the service's name.
     pub service: u32,
     /// Kind of job.
@@ -43,10 +43,10 @@
     pub pace_us: u32,
 }
 
-impl OutlookNews {
+impl OutlookReport {
     fn new(service: &str, kind: Kind, outlook: Outlook) -> Self {
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let bounded = |value: f64| value.clamp(0.0, MOST_TOLD) as u32;
+        let bounded = |value: f64| value.clamp(0.0, MAX_OUTLOOK_VALUE) as u32;
         Self {
             service: short_hash(service),
             kind,
@@ -79,9 +79,9 @@
     /// Tokens that callers have asked of the sender, by hash of the account's name.
     pub asked: Vec<(u32, u64)>,
     /// What jobs have to expect in the sender's region; only to other regions.
-    pub outlooks: Vec<OutlookNews>,
+    pub outlooks: Vec<OutlookReport>,
     /// Moves.
-    pub trials: Vec<TrialNews>,
+    pub trials: Vec<TrialReport>,
 }
 
 impl Node {
@@ -105,7 +105,7 @@
         let outlooks = services.iter().flat_map(|service| {
             Kind::ALL.into_iter().filter_map(move |kind| {
                 let outlook = self.region_outlook(service, kind)?;
-                Some(OutlookNews::new(service, kind, outlook))
+                Some(OutlookReport::new(service, kind, outlook))
             })
         });
         let outlooks = if is_same_region {
@@ -118,7 +118,7 @@
         let loads = state.upstreams.by_id.iter();
         let loads = loads.map(|(_, up)| (up.hash, up.own_load(now)));
         let loads = loads.filter(|(_, load)| !load.is_idle());
-        let trials = state.trials.values().map(|trial| TrialNews {
+        let trials = state.trials.values().map(|trial| TrialReport {
             service: short_hash(&trial.order.service),
             target: short_hash(&trial.order.target),
             is_suspect: trial.is_suspect(),
@@ -156,18 +156,18 @@
     }
 
     /// Takes note of what the instance `name` tells.
-    pub fn hear(&self, name: &Arc<str>, gossip: Gossip) {
+    pub fn receive_gossip(&self, name: &Arc<str>, gossip: Gossip) {
         let now = self.now();
         let verdicts = {
             let mut state = self.state.borrow_mut();
             if !state.members.heard(name, gossip.life, gossip.is_ready, now) {
                 return;
             }
-            state.hear_loads(name, &gossip, now);
+            state.apply_loads(name, &gossip, now);
             if let Some(member) = state.members.by_name.get_mut(name) {
-                let told = gossip.outlooks.iter();
-                member.outlooks = told
-                    .map(|news| ((news.service, news.kind), news.outlook()))
+                let reports = gossip.outlooks.iter();
+                member.outlooks = reports
+                    .map(|report| ((report.service, report.kind), report.outlook()))
                     .collect();
                 member.revisions.clone_from(&gossip.revisions);
                 member.has_store = gossip.has_store;
@@ -179,7 +179,7 @@
                     bucket.hear(name, gossip.life, *asked, now);
                 }
             }
-            state.hear_trials(self, name, gossip.trials)
+            state.apply_trial_reports(self, name, gossip.trials)
         };
         for (service, target, verdict) in verdicts {
             self.apply_verdict(&service, &target, verdict, false);
@@ -188,7 +188,7 @@
 }
 
 impl super::State {
-    fn hear_loads(&mut self, name: &Arc<str>, gossip: &Gossip, now: Millis) {
+    fn apply_loads(&mut self, name: &Arc<str>, gossip: &Gossip, now: Millis) {
         let loads: HashMap<u32, Load> = gossip.loads.iter().copied().collect();
         for upstream in self.upstreams.by_id.values_mut() {
             match loads.get(&upstream.hash) {
@@ -202,24 +202,26 @@
         }
     }
 
-    fn hear_trials(
+    fn apply_trial_reports(
         &mut self,
         node: &Node,
         name: &Arc<str>,
-        news: Vec<TrialNews>,
+        reports: Vec<TrialReport>,
     ) -> Vec<(Arc<str>, Arc<str>, Verdict)> {
         let mut verdicts = Vec::new();
-        for told in news {
+        for report in reports {
             let is_it = |trial: &&mut crate::rollout::Trial| {
-                short_hash(&trial.order.service) == told.service
-                    && short_hash(&trial.order.target) == told.target
+                short_hash(&trial.order.service) == report.service
+                    && short_hash(&trial.order.target) == report.target
             };
             let Some(trial) = self.trials.values_mut().find(is_it) else {
                 continue;
             };
-            trial.evidence.hear(name, told.routes.into_iter().collect());
+            trial
+                .evidence
+                .hear(name, report.routes.into_iter().collect());
             let (service, target) = (&trial.order.service, &trial.order.target);
-            if told.is_suspect && !trial.is_suspect() {
+            if report.is_suspect && !trial.is_suspect() {
                 let ended = trial.evidence.new_ended();
                 node.log.event(Event::TrialSuspected {
                     service,
@@ -228,7 +230,7 @@
                 });
                 trial.suspect();
             }
-            if let Some(is_complete) = told.verdict {
+            if let Some(is_complete) = report.verdict {
                 let verdict = if is_complete {
                     Verdict::Complete
                 } else {
--- a/crates/edge/src/node/mod.rs
+++ b/crates/edge/src/node/mod.rs
@@ -6,7 +6,7 @@
 mod state;
 mod tick;
 
-pub use evidence::Sent;
+pub use evidence::SendIds;
 pub use gossip::Gossip;
-pub use state::{urgency, Node, Offered, State};
+pub use state::{urgency, Node, PlacementRequest, State};
 pub use tick::Pull;
--- a/crates/edge/src/node/state.rs
+++ b/crates/edge/src/node/state.rs
@@ -28,15 +28,15 @@
 use tokio::sync::mpsc::Sender;
 
 /// Time after a signal to stop in which requests are still taken, in milliseconds.
-const LEAVING_TAKES_MS: u64 = 2_700;
+const ACCEPT_WHILE_LEAVING_MS: u64 = 2_700;
 /// Other instances of a region below which each looks at all upstreams.
-const SMALL_REGION: usize = 6;
+const SMALL_REGION_INSTANCES: usize = 6;
 /// Upstreams that an instance of a larger region looks at by chance.
-const SAMPLED: usize = 3;
+const SAMPLED_UPSTREAMS: usize = 3;
 /// Part of the deployment's slack on limits that is used; the rest covers lateness.
-const SLACK_PART: f64 = 0.5;
+const LIMIT_SLACK_SHARE: f64 = 0.5;
 /// Time for which a version without an order is not used, in milliseconds.
-const UNORDERED_MS: u64 = 3_000;
+const UNORDERED_VERSION_HOLD_MS: u64 = 3_000;
 
 /// One instance.
 pub struct Node {
@@ -110,7 +110,7 @@
 }
 
 /// What is asked of the upstreams of a region.
-pub struct Offered<'a> {
+pub struct PlacementRequest<'a> {
     /// Service.
     pub service: &'a Arc<str>,
     /// Request.
@@ -139,9 +139,9 @@
     }
 
     /// Whether the instance was told to stop so long ago that a new request might be cut.
-    pub fn is_closed(&self) -> bool {
+    pub fn is_refusing_requests(&self) -> bool {
         let leaving_at = self.state.borrow().leaving_at;
-        leaving_at.is_some_and(|at| self.now().since(at) >= LEAVING_TAKES_MS)
+        leaving_at.is_some_and(|at| self.now().since(at) >= ACCEPT_WHILE_LEAVING_MS)
     }
 
     /// The configuration in force.
@@ -150,11 +150,11 @@
     }
 
     /// Chooses an upstream of the own region.
-    pub fn place(&self, offered: &Offered<'_>) -> Choice {
+    pub fn place(&self, placement_request: &PlacementRequest<'_>) -> Choice {
         let now = self.now();
         let state = self.state.borrow();
-        state.with_rules(self, offered, now, |rules| {
-            choose(&state.upstreams, offered.job, rules, now)
+        state.with_rules(self, placement_request, now, |rules| {
+            choose(&state.upstreams, placement_request.job, rules, now)
         })
     }
 
@@ -162,13 +162,13 @@
     pub fn region_outlook(&self, service: &Arc<str>, kind: Kind) -> Option<Outlook> {
         let now = self.now();
         let state = self.state.borrow();
-        let offered = Offered {
+        let placement_request = PlacementRequest {
             service,
             job: &Job::default(),
             tried: &[],
             draw: 1.0,
         };
-        state.with_rules(self, &offered, now, |rules| {
+        state.with_rules(self, &placement_request, now, |rules| {
             region_outlook(&state.upstreams, kind, rules, now)
         })
     }
@@ -188,7 +188,7 @@
         let limit = AccountLimit {
             tokens_per_s: account.tokens_per_s,
             burst_tokens: account.burst_tokens,
-            slack_tokens: SLACK_PART
+            slack_tokens: LIMIT_SLACK_SHARE
                 * self
                     .settings
                     .bounds
@@ -203,7 +203,7 @@
     }
 
     /// Gives back tokens of a request that did not run.
-    pub fn give_back(&self, account: &Account, tokens: u64) {
+    pub fn refund(&self, account: &Account, tokens: u64) {
         if let Some(bucket) = self.state.borrow_mut().buckets.get_mut(&account.name) {
             bucket.give_back(tokens);
         }
@@ -295,7 +295,7 @@
 
     /// Whether this instance is one of those that use the cold upstream `id`.
     fn is_cold_user(&self, node: &Node, id: &str, now: Millis) -> bool {
-        let weight = |name: &str| short_pair_hash(name, id);
+        let weight = |name: &str| name_pair_hash(name, id);
         let own = weight(&node.name);
         let ahead = self.region_members(node, now);
         ahead.iter().filter(|name| weight(name) > own).count() < COLD_USERS
@@ -304,31 +304,31 @@
     fn with_rules<T>(
         &self,
         node: &Node,
-        offered: &Offered<'_>,
+        placement_request: &PlacementRequest<'_>,
         now: Millis,
         decide: impl FnOnce(&Rules<'_>) -> T,
     ) -> T {
         let is_version_allowed =
-            |version: &str| self.is_version_allowed(node, offered, version, now);
+            |version: &str| self.is_version_allowed(node, placement_request, version, now);
         let is_cold_user = |id: &str| self.is_cold_user(node, id, now);
-        let service = self.service(offered.service);
+        let service = self.service(placement_request.service);
         let engine = service.as_ref().and_then(|service| service.engine);
         let rules = Rules {
-            service: offered.service,
+            service: placement_request.service,
             region: &node.region,
             evacuated: &self.evacuated,
             is_version_allowed: &is_version_allowed,
             is_cold_user: &is_cold_user,
             memory_tokens: engine.map_or(0, |engine| engine.memory_tokens),
-            tried: offered.tried,
+            tried: placement_request.tried,
             answering_part: self
                 .mixes
-                .get(offered.service)
+                .get(placement_request.service)
                 .and_then(Mix::answering_part),
-            sampled: if self.region_members(node, now).len() < SMALL_REGION {
+            sampled: if self.region_members(node, now).len() < SMALL_REGION_INSTANCES {
                 0
             } else {
-                SAMPLED
+                SAMPLED_UPSTREAMS
             },
         };
         decide(&rules)
@@ -337,18 +337,18 @@
     fn is_version_allowed(
         &self,
         node: &Node,
-        offered: &Offered<'_>,
+        placement_request: &PlacementRequest<'_>,
         version: &str,
         now: Millis,
     ) -> bool {
-        if let Some(trial) = self.trials.get(offered.service) {
+        if let Some(trial) = self.trials.get(placement_request.service) {
             let bounds = TrialBounds {
                 share: node.settings.bounds.trial_share,
             };
-            let is_new = offered.draw < trial.share(bounds);
+            let is_new = placement_request.draw < trial.share(bounds);
             return is_new == (*trial.order.target == *version);
         }
-        let key = (Arc::clone(offered.service), Arc::from(version));
+        let key = (Arc::clone(placement_request.service), Arc::from(version));
         if self.verdicts.get(&key) == Some(&Verdict::Reverted) {
             return false;
         }
@@ -356,19 +356,19 @@
         let is_only = self
             .versions
             .keys()
-            .filter(|(service, _)| service == offered.service)
+            .filter(|(service, _)| service == placement_request.service)
             .count()
             <= 1;
         is_only
             || self
                 .versions
                 .get(&key)
-                .is_none_or(|at| now.since(*at) >= UNORDERED_MS)
+                .is_none_or(|at| now.since(*at) >= UNORDERED_VERSION_HOLD_MS)
     }
 }
 
 /// Hash of a pair of names, alike on all instances.
-fn short_pair_hash(a: &str, b: &str) -> u32 {
+fn name_pair_hash(a: &str, b: &str) -> u32 {
     short_hash(&format!("{a}/{b}"))
 }
 
--- a/crates/edge/src/node/tick.rs
+++ b/crates/edge/src/node/tick.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 
 /// Time that an instance leaves to those before it to record a verdict, in milliseconds.
-const VERDICT_TURN_MS: u64 = 300;
+const VERDICT_STAGGER_MS: u64 = 300;
 
 /// Time for which another instance has to know more before it is asked, in milliseconds.
-const BEHIND_MS: u64 = 400;
+const PULL_DELAY_MS: u64 = 400;
 
 /// A question to another instance for a part of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,11 +43,11 @@
         };
         self.is_watcher
             .send_if_modified(|known| std::mem::replace(known, is_watcher) != is_watcher);
-        self.step_trials();
+        self.advance_trials();
     }
 
     /// Parts of the store of which another instance has known more for a while.
-    pub fn pulls(&self) -> Vec<Pull> {
+    pub fn due_pulls(&self) -> Vec<Pull> {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let own = state.replica.revisions();
@@ -57,7 +57,7 @@
                 .members
                 .by_name
                 .values()
-                .filter(|member| member.is_heard(BEHIND_MS, now));
+                .filter(|member| member.is_heard(PULL_DELAY_MS, now));
             let ahead = up.filter_map(|member| {
                 let revision = *member.revisions.get(prefix)?;
                 (revision > after).then(|| (revision, Arc::clone(&member.entry.name)))
@@ -67,7 +67,7 @@
                 continue;
             };
             let since = *state.behind.entry(prefix).or_insert(now);
-            if now.since(since) >= BEHIND_MS {
+            if now.since(since) >= PULL_DELAY_MS {
                 state.behind.insert(prefix, now);
                 pulls.push(Pull {
                     member,
@@ -79,9 +79,9 @@
         pulls
     }
 
-    fn step_trials(&self) {
+    fn advance_trials(&self) {
         let now = self.now();
-        let turn = self.verdict_turn();
+        let position = self.verdict_position();
         let mut state = self.state.borrow_mut();
         for trial in state.trials.values_mut() {
             let was_suspect = trial.is_suspect();
@@ -108,7 +108,7 @@
             let Some(verdict) = wanted else {
                 continue;
             };
-            if trial.try_record(verdict, VERDICT_TURN_MS * turn, now) {
+            if trial.try_record(verdict, VERDICT_STAGGER_MS * position, now) {
                 let recorded = Recorded {
                     service: Arc::clone(&service),
                     target,
@@ -126,7 +126,7 @@
     }
 
     /// How many ready instances come before this one in recording verdicts.
-    fn verdict_turn(&self) -> u64 {
+    fn verdict_position(&self) -> u64 {
         let now = self.now();
         let state = self.state.borrow();
         let up = state
--- a/crates/edge/src/peers/accept.rs
+++ b/crates/edge/src/peers/accept.rs
@@ -7,7 +7,7 @@
 use crate::{
     front::read_body,
     node::Node,
-    pipeline::{self, Answer, FarTicket, Refusal, Ticket},
+    pipeline::{self, Answer, Refusal, RequestContext, RequestMeta},
     relay::AnswerBody,
 };
 use hyper::{
@@ -19,12 +19,12 @@
 use tokio::time::sleep;
 
 /// Times that the entry of an instance that dials is looked for.
-const ENTRY_LOOKS: u32 = 20;
+const ENTRY_LOOKUPS: u32 = 20;
 /// Time between two such looks.
-const ENTRY_PAUSE: Duration = Duration::from_millis(100);
+const ENTRY_LOOKUP_PAUSE: Duration = Duration::from_millis(100);
 /// Time after which a request comes back that this instance refused because it is stopping, in
 /// milliseconds.
-const STOPPING_RETRY_MS: u64 = 100;
+const STOPPING_RETRY_AFTER_MS: u64 = 100;
 
 impl Links {
     /// Serves the links that other instances dial.
@@ -36,7 +36,7 @@
                 let Ok(connection) = incoming.await else {
                     return;
                 };
-                match known_name(&node, &connection).await {
+                match name_by_certificate(&node, &connection).await {
                     Some(name) => serve(node, name, connection).await,
                     None => connection.close(1u8.into(), b"unknown certificate"),
                 }
@@ -46,19 +46,19 @@
 }
 
 /// The name of the instance that has shown its certificate. Its entry may come a little later.
-async fn known_name(node: &Node, connection: &quinn::Connection) -> Option<Arc<str>> {
-    let shown = peer_digest(connection)?;
-    for _ in 0..ENTRY_LOOKS {
+async fn name_by_certificate(node: &Node, connection: &quinn::Connection) -> Option<Arc<str>> {
+    let digest = peer_digest(connection)?;
+    for _ in 0..ENTRY_LOOKUPS {
         let name = {
             let state = node.state.borrow();
             let mut members = state.members.by_name.values();
-            let member = members.find(|member| member.entry.certificate_digest == shown);
+            let member = members.find(|member| member.entry.certificate_digest == digest);
             member.map(|member| Arc::clone(&member.entry.name))
         };
         if name.is_some() {
             return name;
         }
-        sleep(ENTRY_PAUSE).await;
+        sleep(ENTRY_LOOKUP_PAUSE).await;
     }
     None
 }
@@ -67,7 +67,7 @@
     loop {
         tokio::select! {
             datagram = connection.read_datagram() => match datagram {
-                Ok(bytes) => hear(&node, &name, &bytes),
+                Ok(bytes) => receive_gossip(&node, &name, &bytes),
                 Err(_) => return,
             },
             stream = connection.accept_uni() => {
@@ -77,7 +77,7 @@
                 let (node, name) = (Rc::clone(&node), Arc::clone(&name));
                 tokio::task::spawn_local(async move {
                     if let Ok(bytes) = stream.read_to_end(MAX_GOSSIP_BYTES).await {
-                        hear(&node, &name, &bytes);
+                        receive_gossip(&node, &name, &bytes);
                     }
                 });
             }
@@ -92,9 +92,9 @@
     }
 }
 
-fn hear(node: &Node, name: &Arc<str>, bytes: &[u8]) {
+fn receive_gossip(node: &Node, name: &Arc<str>, bytes: &[u8]) {
     match decode(bytes) {
-        Ok(gossip) => node.hear(name, gossip),
+        Ok(gossip) => node.receive_gossip(name, gossip),
         Err(err) => {
             let reason = err.0.as_str();
             node.log
@@ -104,27 +104,27 @@
 }
 
 /// Counts an exchange for as long as it is under way.
-struct Counted(Rc<Node>);
+struct ExchangeGuard(Rc<Node>);
 
-impl Counted {
+impl ExchangeGuard {
     fn new(node: &Rc<Node>) -> Self {
         node.peer_exchanges.set(node.peer_exchanges.get() + 1);
         Self(Rc::clone(node))
     }
 }
 
-impl Drop for Counted {
+impl Drop for ExchangeGuard {
     fn drop(&mut self) {
         self.0.peer_exchanges.set(self.0.peer_exchanges.get() - 1);
     }
 }
 
 async fn serve_stream(node: Rc<Node>, send: quinn::SendStream, receive: quinn::RecvStream) {
-    let _counted = Counted::new(&node);
+    let _counted = ExchangeGuard::new(&node);
     let io = TokioIo::new(tokio::io::join(receive, send));
     let service = service_fn(move |request| {
         let node = Rc::clone(&node);
-        async move { Ok::<_, Infallible>(forwarded(&node, request).await) }
+        async move { Ok::<_, Infallible>(handle_request(&node, request).await) }
     });
     let mut builder = http1::Builder::new();
     builder
@@ -135,9 +135,9 @@
     drop(builder.serve_connection(io, service).await);
 }
 
-async fn forwarded(node: &Rc<Node>, request: Request<Incoming>) -> Answer {
-    if let Some(question) = request.headers().get(PULL_HEADER) {
-        return match pull::answer(node, question) {
+async fn handle_request(node: &Rc<Node>, request: Request<Incoming>) -> Answer {
+    if let Some(query) = request.headers().get(PULL_HEADER) {
+        return match pull::answer(node, query) {
             Some(facts) => Answer::new(AnswerBody::whole(facts)),
             None => Refusal::new(StatusCode::BAD_REQUEST, "not a question").into_answer(),
         };
@@ -146,10 +146,10 @@
         // A long stream that starts now would be cut at the end of the grace period, and the
         // instance that forwards may be stopping too.
         let reason = "the instance is stopping";
-        Err(Refusal::not_run(reason, STOPPING_RETRY_MS))
+        Err(Refusal::not_run(reason, STOPPING_RETRY_AFTER_MS))
     } else {
-        match far_ticket(node, request).await {
-            Ok(ticket) => pipeline::run_here(node, ticket).await,
+        match read_forwarded(node, request).await {
+            Ok(ctx) => pipeline::run_in_own_region(node, ctx).await,
             Err(refusal) => Err(refusal),
         }
     };
@@ -162,18 +162,23 @@
     })
 }
 
-async fn far_ticket(node: &Node, request: Request<Incoming>) -> Result<Ticket, Refusal> {
+async fn read_forwarded(
+    node: &Node,
+    request: Request<Incoming>,
+) -> Result<RequestContext, Refusal> {
     let started_at = node.now();
     let (mut head, body) = request.into_parts();
-    let far = head.headers.remove(TICKET_HEADER);
-    let far: FarTicket = far
-        .and_then(|far| serde_json::from_slice(far.as_bytes()).ok())
+    let meta = head.headers.remove(TICKET_HEADER);
+    let meta: RequestMeta = meta
+        .and_then(|meta| serde_json::from_slice(meta.as_bytes()).ok())
         .ok_or(Refusal::not_run(
             "a forwarded request without its ticket",
             500,
         ))?;
-    let deadline = started_at.plus(far.left_ms);
+    let deadline = started_at.plus(meta.left_ms);
     let body = read_body(node, body, deadline).await?;
     head.headers.remove(hyper::header::CONTENT_LENGTH);
-    Ok(Ticket::forwarded(node, far, head, body, started_at))
+    Ok(RequestContext::forwarded(
+        node, meta, head, body, started_at,
+    ))
 }
--- a/crates/edge/src/peers/congestion.rs
+++ b/crates/edge/src/peers/congestion.rs
@@ -9,21 +9,21 @@
 use std::{any::Any, sync::Arc, time::Instant};
 
 /// Smallest window, in bytes.
-const FLOOR_BYTES: u64 = 192 * 1024;
+const MIN_WINDOW_BYTES: u64 = 192 * 1024;
 
 /// Makes controllers with a floor.
 #[derive(Debug, Default)]
-pub(super) struct FlooredConfig(Arc<CubicConfig>);
+pub(super) struct WindowFloorConfig(Arc<CubicConfig>);
 
-impl ControllerFactory for FlooredConfig {
+impl ControllerFactory for WindowFloorConfig {
     fn build(self: Arc<Self>, now: Instant, current_mtu: u16) -> Box<dyn Controller> {
-        Box::new(Floored(Arc::clone(&self.0).build(now, current_mtu)))
+        Box::new(WindowFloor(Arc::clone(&self.0).build(now, current_mtu)))
     }
 }
 
-struct Floored(Box<dyn Controller>);
+struct WindowFloor(Box<dyn Controller>);
 
-impl Controller for Floored {
+impl Controller for WindowFloor {
     fn on_sent(&mut self, now: Instant, bytes: u64, last_packet_number: u64) {
         self.0.on_sent(now, bytes, last_packet_number);
     }
@@ -66,7 +66,7 @@
     }
 
     fn window(&self) -> u64 {
-        self.0.window().max(FLOOR_BYTES)
+        self.0.window().max(MIN_WINDOW_BYTES)
     }
 
     fn clone_box(&self) -> Box<dyn Controller> {
@@ -74,7 +74,7 @@
     }
 
     fn initial_window(&self) -> u64 {
-        self.0.initial_window().max(FLOOR_BYTES)
+        self.0.initial_window().max(MIN_WINDOW_BYTES)
     }
 
     fn into_any(self: Box<Self>) -> Box<dyn Any> {
--- a/crates/edge/src/peers/dial.rs
+++ b/crates/edge/src/peers/dial.rs
@@ -1,6 +1,6 @@
 //! Links that this instance dials.
 
-use super::{encode, tls::Identity, PeerError, LINK_IDLE};
+use super::{encode, tls::Identity, PeerError, LINK_IDLE_TIMEOUT};
 use crate::{log::Event, member::MemberEntry, node::Node};
 use bytes::Bytes;
 use carobwheel_core::time::Millis;
@@ -14,13 +14,13 @@
 use tokio_util::sync::CancellationToken;
 
 /// Age up to which a message serves for several instances, in milliseconds.
-const SAME_MESSAGE_MS: u64 = 40;
+const MESSAGE_REUSE_MS: u64 = 40;
 /// Pauses between attempts to dial: the first and the longest.
-const REDIAL: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(1_500)];
+const REDIAL_PAUSES: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(1_500)];
 /// Time for telling other ends that links are closed.
-const CLOSE: Duration = Duration::from_millis(100);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Members that may wait to be dialled.
-const DIAL_RING: usize = 1_024;
+const DIAL_QUEUE_ENTRIES: usize = 1_024;
 /// Name that certificates bear.
 const SERVER_NAME: &str = "carobwheel";
 
@@ -36,7 +36,7 @@
     /// The endpoint that other instances dial; new links start from it as well.
     pub(super) endpoint: quinn::Endpoint,
     by_name: RefCell<HashMap<Arc<str>, Link>>,
-    made: [RefCell<Option<(Millis, Bytes)>>; 2],
+    cached_messages: [RefCell<Option<(Millis, Bytes)>>; 2],
     to_dial: Sender<MemberEntry>,
 }
 
@@ -52,12 +52,12 @@
     ) -> Result<(Self, Receiver<MemberEntry>), PeerError> {
         let endpoint = quinn::Endpoint::server(identity.server()?, address)
             .map_err(|err| PeerError(err.to_string()))?;
-        let (to_dial, dialled) = mpsc::channel(DIAL_RING);
+        let (to_dial, dialled) = mpsc::channel(DIAL_QUEUE_ENTRIES);
         let links = Self {
             identity,
             endpoint,
             by_name: RefCell::default(),
-            made: Default::default(),
+            cached_messages: Default::default(),
             to_dial,
         };
         Ok((links, dialled))
@@ -75,7 +75,7 @@
     pub async fn close(&self) {
         self.endpoint.close(0u8.into(), b"stopping");
         // Other ends that do not answer notice by themselves.
-        drop(timeout(CLOSE, self.endpoint.wait_idle()).await);
+        drop(timeout(CLOSE_TIMEOUT, self.endpoint.wait_idle()).await);
     }
 
     /// Gives up the link to an instance.
@@ -112,7 +112,7 @@
             tokio::task::spawn_local(async move {
                 tokio::select! {
                     () = stop.cancelled() => {}
-                    () = keep(&node, &entry) => {}
+                    () = maintain_link(&node, &entry) => {}
                 }
             });
         }
@@ -126,19 +126,19 @@
 }
 
 /// Dials an instance again and again, and tells it what it should hear.
-async fn keep(node: &Node, entry: &MemberEntry) {
-    let [mut pause, longest] = REDIAL;
+async fn maintain_link(node: &Node, entry: &MemberEntry) {
+    let [mut pause, longest] = REDIAL_PAUSES;
     let mut is_first = true;
     loop {
         match connect(node, entry, is_first).await {
             Ok(connection) => {
-                pause = REDIAL[0];
+                pause = REDIAL_PAUSES[0];
                 node.log.event(Event::LinkUp {
                     member: &entry.name,
                 });
                 node.links
                     .set_connection(&entry.name, Some(connection.clone()));
-                let reason = tell(node, entry, &connection).await;
+                let reason = send_gossip(node, entry, &connection).await;
                 node.links.set_connection(&entry.name, None);
                 node.log.event(Event::LinkLost {
                     member: &entry.name,
@@ -178,17 +178,21 @@
     let connecting = endpoint
         .connect_with(config, entry.peers, SERVER_NAME)
         .map_err(|err| fault(&err))?;
-    let connected = timeout(LINK_IDLE, connecting).await;
+    let connected = timeout(LINK_IDLE_TIMEOUT, connecting).await;
     connected
         .map_err(|err| fault(&err))?
         .map_err(|err| fault(&err))
 }
 
 /// Sends gossip until the link is lost.
-async fn tell(node: &Node, entry: &MemberEntry, connection: &quinn::Connection) -> PeerError {
+async fn send_gossip(
+    node: &Node,
+    entry: &MemberEntry,
+    connection: &quinn::Connection,
+) -> PeerError {
     let is_near = entry.region == node.region;
     loop {
-        let message = match message(node, is_near) {
+        let message = match gossip_message(node, is_near) {
             Ok(message) => message,
             Err(err) => return err,
         };
@@ -215,16 +219,16 @@
 
 /// The message for all instances of the own region, or of other regions. It is made once for
 /// those who hear it at about the same time.
-fn message(node: &Node, is_near: bool) -> Result<Bytes, PeerError> {
+fn gossip_message(node: &Node, is_near: bool) -> Result<Bytes, PeerError> {
     let now = node.now();
-    let made = &node.links.made[usize::from(is_near)];
-    if let Some((at, message)) = &*made.borrow() {
-        if now.since(*at) < SAME_MESSAGE_MS {
+    let cached_messages = &node.links.cached_messages[usize::from(is_near)];
+    if let Some((at, message)) = &*cached_messages.borrow() {
+        if now.since(*at) < MESSAGE_REUSE_MS {
             return Ok(message.clone());
         }
     }
     let message = Bytes::from(encode(&node.gossip(is_near))?);
-    *made.borrow_mut() = Some((now, message.clone()));
+    *cached_messages.borrow_mut() = Some((now, message.clone()));
     Ok(message)
 }
 
--- a/crates/edge/src/peers/mod.rs
+++ b/crates/edge/src/peers/mod.rs
@@ -19,14 +19,14 @@
 use crate::node::Gossip;
 use std::time::Duration;
 
-/// Header with the [`FarTicket`](crate::pipeline::FarTicket) of a forwarded request.
+/// Header with the [`RequestMeta`](crate::pipeline::FarTicket) of a forwarded request.
 pub(crate) const TICKET_HEADER: &str = "cw-ticket";
 /// Header of an answer that the other instance itself gave.
 pub(crate) const REFUSED_HEADER: &str = "cw-refused";
 /// Header of a question for a part of the store.
 pub(crate) const PULL_HEADER: &str = "cw-pull";
 /// Silence after which a link counts as lost.
-const LINK_IDLE: Duration = Duration::from_millis(2_500);
+const LINK_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Longest gossip message, in bytes.
 const MAX_GOSSIP_BYTES: usize = 256 * 1024;
 
--- a/crates/edge/src/peers/pull.rs
+++ b/crates/edge/src/peers/pull.rs
@@ -14,20 +14,20 @@
 use tokio::time::timeout;
 
 /// Time that an answer may take.
-const ANSWER: Duration = Duration::from_millis(1_500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Largest answer, in bytes.
-const MAX_BYTES: usize = 8 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
 /// The question on the wire.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(super) struct Question {
+pub(super) struct PullQuery {
     prefix: usize,
     after: u64,
 }
 
 /// Asks, and applies what is new.
 pub async fn pull(node: Rc<Node>, pull: Pull) {
-    let result = match timeout(ANSWER, ask(&node, &pull)).await {
+    let result = match timeout(ANSWER_TIMEOUT, ask(&node, &pull)).await {
         Ok(result) => result,
         Err(_) => Err("no answer in time".to_owned()),
     };
@@ -40,7 +40,7 @@
                 revision: facts.revision,
                 facts: facts.facts.len(),
             });
-            node.learn(pull.prefix, facts);
+            node.apply_pulled_facts(pull.prefix, facts);
         }
         Err(reason) => node.log.event(Event::PullFailed {
             member: &pull.member,
@@ -50,20 +50,20 @@
 }
 
 async fn ask(node: &Node, pull: &Pull) -> Result<Facts, String> {
-    let question = Question {
+    let query = PullQuery {
         prefix: pull.prefix,
         after: pull.after,
     };
-    let question = serde_json::to_string(&question).map_err(|err| err.to_string())?;
+    let query = serde_json::to_string(&query).map_err(|err| err.to_string())?;
     let mut request = Request::new(Full::<Bytes>::default());
-    let value = HeaderValue::from_str(&question).map_err(|err| err.to_string())?;
+    let value = HeaderValue::from_str(&query).map_err(|err| err.to_string())?;
     request.headers_mut().insert(PULL_HEADER, value);
     let response = exchange(node, &pull.member, request).await;
     let response = response.map_err(|err| match err {
         ExchangeError::NotSent => "the link is lost".to_owned(),
         ExchangeError::Broken(reason) => reason,
     })?;
-    let body = Limited::new(response.into_body(), MAX_BYTES)
+    let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
         .collect()
         .await;
     let body = body.map_err(|err| err.to_string())?.to_bytes();
@@ -71,12 +71,8 @@
 }
 
 /// The answer to a question in a header.
-pub(super) fn answer(node: &Node, question: &HeaderValue) -> Option<Vec<u8>> {
-    let question: Question = serde_json::from_slice(question.as_bytes()).ok()?;
-    let facts = node
-        .state
-        .borrow()
-        .replica
-        .since(question.prefix, question.after);
+pub(super) fn answer(node: &Node, query: &HeaderValue) -> Option<Vec<u8>> {
+    let query: PullQuery = serde_json::from_slice(query.as_bytes()).ok()?;
+    let facts = node.state.borrow().replica.since(query.prefix, query.after);
     postcard::to_stdvec(&facts).ok()
 }
--- a/crates/edge/src/peers/tls.rs
+++ b/crates/edge/src/peers/tls.rs
@@ -1,6 +1,6 @@
 //! Certificates of instances: self-signed, and pinned by their digests.
 
-use super::{congestion::FlooredConfig, LINK_IDLE};
+use super::{congestion::WindowFloorConfig, LINK_IDLE_TIMEOUT};
 use quinn::crypto::rustls::{QuicClientConfig, QuicServerConfig};
 use rustls::{
     client::danger::{HandshakeSignatureValid, ServerCertVerified, ServerCertVerifier},
@@ -15,9 +15,9 @@
 /// Name in all certificates; digests tell the instances apart.
 const CERTIFICATE_NAME: &str = "carobwheel";
 /// Requests that a peer may have open on one link.
-const MAX_REQUESTS: u32 = 1_024;
+const MAX_REQUESTS_PER_LINK: u32 = 1_024;
 /// Round trip that is assumed before any is measured.
-const FIRST_ROUND_TRIP: Duration = Duration::from_millis(170);
+const INITIAL_RTT: Duration = Duration::from_millis(170);
 
 /// Why a link cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -122,11 +122,11 @@
 fn transport() -> quinn::TransportConfig {
     let mut transport = quinn::TransportConfig::default();
     transport
-        .max_idle_timeout(quinn::IdleTimeout::try_from(LINK_IDLE).ok())
+        .max_idle_timeout(quinn::IdleTimeout::try_from(LINK_IDLE_TIMEOUT).ok())
         .mtu_discovery_config(None)
-        .congestion_controller_factory(Arc::new(FlooredConfig::default()))
-        .initial_rtt(FIRST_ROUND_TRIP)
-        .max_concurrent_bidi_streams(MAX_REQUESTS.into())
+        .congestion_controller_factory(Arc::new(WindowFloorConfig::default()))
+        .initial_rtt(INITIAL_RTT)
+        .max_concurrent_bidi_streams(MAX_REQUESTS_PER_LINK.into())
         .datagram_receive_buffer_size(Some(32 * 1_024))
         .datagram_send_buffer_size(16 * 1_024);
     transport
--- a/crates/edge/src/pipeline/context.rs
+++ b/crates/edge/src/pipeline/context.rs
@@ -1,6 +1,6 @@
 //! A request after it was identified and admitted.
 
-use super::identify::{job, text};
+use super::identify::{header_text, job};
 use crate::{model::RouteKind, node::Node, place::Job};
 use bytes::Bytes;
 use carobwheel_core::time::Millis;
@@ -9,16 +9,16 @@
 use std::sync::Arc;
 
 /// Pause between events after which a caller gives a stream up, at least, in milliseconds.
-const PATIENCE_MS: u64 = 2_000;
+const MIN_FIRST_BYTE_LIMIT_MS: u64 = 2_000;
 
 /// Time for a way to another region and back, with the work there, in milliseconds.
-const FAR_WAY_MS: u64 = 220;
+const MIN_FORWARD_MS: u64 = 220;
 
 /// One request.
 #[derive(Clone, Debug)]
-pub struct Ticket {
+pub struct RequestContext {
     /// What also goes along to another instance.
-    pub far: FarTicket,
+    pub meta: RequestMeta,
     /// Method.
     pub method: Method,
     /// Path and query as the caller sent them.
@@ -39,7 +39,7 @@
 
 /// What another instance has to know of a request besides the request itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct FarTicket {
+pub struct RequestMeta {
     /// The caller's identifier of its attempt.
     pub request: String,
     /// Route.
@@ -68,26 +68,26 @@
     pub config: u64,
 }
 
-impl Ticket {
+impl RequestContext {
     /// A request that another instance has identified and admitted.
     pub fn forwarded(
         node: &Node,
-        far: FarTicket,
+        meta: RequestMeta,
         head: Parts,
         body: Bytes,
         started_at: Millis,
     ) -> Self {
-        let last_event = text(&head.headers, &node.names.last_event_id);
+        let last_event = header_text(&head.headers, &node.names.last_event_id);
         Self {
             method: head.method,
             uri: head.uri,
-            job: job(&node.names, &head.headers, far.is_yielding),
+            job: job(&node.names, &head.headers, meta.is_yielding),
             last_event: last_event.and_then(|text| text.trim().parse().ok()),
             headers: head.headers,
             body,
             started_at,
-            deadline: started_at.plus(far.left_ms),
-            far,
+            deadline: started_at.plus(meta.left_ms),
+            meta,
         }
     }
 
@@ -97,20 +97,20 @@
     }
 
     /// Whether the time that is left allows a way to another region and back.
-    pub fn is_in_time_far(&self, node: &Node) -> bool {
-        self.left_ms(node) > FAR_WAY_MS
+    pub fn has_time_to_forward(&self, node: &Node) -> bool {
+        self.left_ms(node) > MIN_FORWARD_MS
     }
 
     /// Longest time to the first byte that can still be of use, counted from the start, in
     /// milliseconds.
-    pub fn patience_ms(&self) -> u64 {
+    pub fn max_first_byte_ms(&self) -> u64 {
         let total_ms = self.deadline.since(self.started_at);
-        if !self.far.kind.is_stream() {
+        if !self.meta.kind.is_stream() {
             return total_ms;
         }
-        let gap_ms = PATIENCE_MS
-            .max(4 * self.far.aim_ms)
-            .max(8 * self.far.pause_aim_ms);
+        let gap_ms = MIN_FIRST_BYTE_LIMIT_MS
+            .max(4 * self.meta.aim_ms)
+            .max(8 * self.meta.pause_aim_ms);
         total_ms.min(gap_ms)
     }
 }
--- a/crates/edge/src/pipeline/forward.rs
+++ b/crates/edge/src/pipeline/forward.rs
@@ -1,6 +1,6 @@
 //! Handing a request to an instance of another region.
 
-use super::{answer::Answer, refusal::Refusal, run::caller_headers, Ticket};
+use super::{answer::Answer, refusal::Refusal, run::caller_headers, RequestContext};
 use crate::{
     hash::short_hash,
     log::Event,
@@ -16,54 +16,55 @@
 use tokio::time::timeout;
 
 /// Time that a request takes to another region and its answer back, in milliseconds.
-const FAR_MS: f64 = 170.0;
+const CROSS_REGION_MS: f64 = 170.0;
 /// Part of the aim that a request may wait in another region if its own one is crowded.
-const ROOMY_PART: f64 = 0.8;
+const REMOTE_WAIT_TARGET_SHARE: f64 = 0.8;
 /// Part of the aim that a request may cost in its own region before it is sent away.
-const STAY_PART: f64 = 0.4;
+const LOCAL_COST_TARGET_SHARE: f64 = 0.4;
 /// Part of its cost in the own region that the other region must stay below.
-const FAR_PART: f64 = 0.8;
+const MAX_REMOTE_COST_RATIO: f64 = 0.8;
 /// Time after which a caller may come back when a forwarded request was refused, in milliseconds.
-const REFUSED_RETRY_MS: u64 = 700;
+const REFUSED_RETRY_AFTER_MS: u64 = 700;
 
 /// An instance of another region that may take a request.
 #[derive(Clone, Debug)]
-pub(super) struct Far {
+pub(super) struct RemoteCandidate {
     pub(super) member: Arc<str>,
     region: Arc<str>,
     wait_ms: f64,
     cost_ms: f64,
 }
 
-impl Far {
+impl RemoteCandidate {
     /// Whether the request would be in time there.
-    pub(super) fn is_roomy(&self, ticket: &Ticket) -> bool {
+    pub(super) fn can_meet_target(&self, ctx: &RequestContext) -> bool {
         #[allow(clippy::cast_precision_loss)]
-        let aim_ms = ticket.far.aim_ms as f64;
-        self.wait_ms + FAR_MS < aim_ms * ROOMY_PART
+        let aim_ms = ctx.meta.aim_ms as f64;
+        self.wait_ms + CROSS_REGION_MS < aim_ms * REMOTE_WAIT_TARGET_SHARE
     }
 
     /// Whether the request should rather go there than to where it was placed in the own region.
-    pub(super) fn is_better(&self, ticket: &Ticket, local: &Placed) -> bool {
+    pub(super) fn is_preferable_to(&self, ctx: &RequestContext, local: &Placed) -> bool {
         #[allow(clippy::cast_precision_loss)]
-        let aim_ms = ticket.far.aim_ms as f64;
-        local.cost_ms > aim_ms * STAY_PART && self.cost_ms + FAR_MS < local.cost_ms * FAR_PART
+        let aim_ms = ctx.meta.aim_ms as f64;
+        local.cost_ms > aim_ms * LOCAL_COST_TARGET_SHARE
+            && self.cost_ms + CROSS_REGION_MS < local.cost_ms * MAX_REMOTE_COST_RATIO
     }
 }
 
 /// The instance of another allowed region whose region promises the shortest wait. `tried` have
 /// refused the request.
-pub(super) fn best_far(
+pub(super) fn best_remote(
     node: &Node,
-    ticket: &Ticket,
+    ctx: &RequestContext,
     regions: &[String],
     tried: &[Arc<str>],
-) -> Option<Far> {
+) -> Option<RemoteCandidate> {
     let now = node.now();
-    let service = short_hash(&ticket.far.service);
+    let service = short_hash(&ctx.meta.service);
     let state = node.state.borrow();
-    let kind = state.kind_of(&ticket.far.service, &ticket.job);
-    let mut best: Option<(f64, Far)> = None;
+    let kind = state.kind_of(&ctx.meta.service, &ctx.job);
+    let mut best: Option<(f64, RemoteCandidate)> = None;
     for region in regions.iter().filter(|region| ***region != *node.region) {
         for member in state.members.up_in(region, now) {
             let Some(outlook) = member.outlooks.get(&(service, kind)) else {
@@ -73,56 +74,56 @@
             if !is_linked || tried.contains(&member.entry.name) {
                 continue;
             }
-            let cost_ms = cost_ms(&ticket.job, outlook.wait_ms, outlook.pace_ms);
+            let cost_ms = cost_ms(&ctx.job, outlook.wait_ms, outlook.pace_ms);
             // Instances of a region report nearly the same; the draw spreads requests.
             let rank = cost_ms + rand::random::<f64>() * (10.0 + cost_ms / 4.0);
             if best.as_ref().is_none_or(|(known, _)| rank < *known) {
-                let far = Far {
+                let remote = RemoteCandidate {
                     member: Arc::clone(&member.entry.name),
                     region: Arc::clone(&member.entry.region),
                     wait_ms: outlook.wait_ms,
                     cost_ms,
                 };
-                best = Some((rank, far));
+                best = Some((rank, remote));
             }
         }
     }
-    best.map(|(_, far)| far)
+    best.map(|(_, remote)| remote)
 }
 
 /// Hands a request over and passes its answer on.
 pub(super) async fn forward(
     node: &Rc<Node>,
-    ticket: &Ticket,
-    far: &Far,
+    ctx: &RequestContext,
+    remote: &RemoteCandidate,
     local_wait_ms: Option<f64>,
 ) -> Result<Answer, Refusal> {
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let whole_ms = |ms: f64| ms.max(0.0) as u64;
     node.log.event(Event::Forwarded {
-        request: &ticket.far.request,
-        member: &far.member,
-        region: &far.region,
-        wait_ms: whole_ms(far.wait_ms),
+        request: &ctx.meta.request,
+        member: &remote.member,
+        region: &remote.region,
+        wait_ms: whole_ms(remote.wait_ms),
         local_wait_ms: local_wait_ms
             .map_or(-1, |ms| i64::try_from(whole_ms(ms)).unwrap_or(i64::MAX)),
     });
     node.metrics.forwarded.add(1);
-    let gone = Refusal::not_run("the link to another region is lost", REFUSED_RETRY_MS);
-    let Some(request) = far_request(node, ticket) else {
+    let gone = Refusal::not_run("the link to another region is lost", REFUSED_RETRY_AFTER_MS);
+    let Some(request) = forwarded_request(node, ctx) else {
         return Err(gone);
     };
-    let left = Duration::from_millis(ticket.left_ms(node).max(1));
-    let exchange = exchange(node, &far.member, request);
+    let left = Duration::from_millis(ctx.left_ms(node).max(1));
+    let exchange = exchange(node, &remote.member, request);
     let response = match timeout(left, exchange).await {
         Ok(Ok(response)) => response,
         Ok(Err(ExchangeError::NotSent)) => return Err(gone),
         Ok(Err(ExchangeError::Broken(reason))) => {
-            log_failure(node, ticket, &far.member, &reason);
+            log_failure(node, ctx, &remote.member, &reason);
             return Err(Refusal::may_have_run("the link to another region broke"));
         }
         Err(_) => {
-            log_failure(node, ticket, &far.member, "no answer in time");
+            log_failure(node, ctx, &remote.member, "no answer in time");
             return Err(Refusal::timed_out("no answer from another region in time"));
         }
     };
@@ -130,23 +131,23 @@
     if head.headers.contains_key(REFUSED_HEADER) {
         return Err(refusal_of(&head));
     }
-    let mut answer = Response::new(AnswerBody::Passed(body, Box::new(())));
+    let mut answer = Response::new(AnswerBody::Passthrough(body, Box::new(())));
     *answer.status_mut() = head.status;
     *answer.headers_mut() = caller_headers(&head.headers);
     Ok(answer)
 }
 
-fn far_request(node: &Node, ticket: &Ticket) -> Option<Request<Full<Bytes>>> {
-    let mut far = ticket.far.clone();
-    far.left_ms = ticket.left_ms(node);
-    let far = serde_json::to_string(&far).ok()?;
-    let mut request = Request::new(Full::new(ticket.body.clone()));
-    *request.method_mut() = ticket.method.clone();
-    *request.uri_mut() = ticket.uri.clone();
-    *request.headers_mut() = ticket.headers.clone();
+fn forwarded_request(node: &Node, ctx: &RequestContext) -> Option<Request<Full<Bytes>>> {
+    let mut meta = ctx.meta.clone();
+    meta.left_ms = ctx.left_ms(node);
+    let meta = serde_json::to_string(&meta).ok()?;
+    let mut request = Request::new(Full::new(ctx.body.clone()));
+    *request.method_mut() = ctx.method.clone();
+    *request.uri_mut() = ctx.uri.clone();
+    *request.headers_mut() = ctx.headers.clone();
     request
         .headers_mut()
-        .insert(TICKET_HEADER, HeaderValue::from_str(&far).ok()?);
+        .insert(TICKET_HEADER, HeaderValue::from_str(&meta).ok()?);
     Some(request)
 }
 
@@ -157,7 +158,7 @@
             let seconds = stated.and_then(|value| value.to_str().ok()?.parse::<f64>().ok());
             #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
             let retry_after_ms =
-                seconds.map_or(REFUSED_RETRY_MS, |s| (s.max(0.0) * 1_000.0) as u64);
+                seconds.map_or(REFUSED_RETRY_AFTER_MS, |s| (s.max(0.0) * 1_000.0) as u64);
             Refusal::not_run("another region refused", retry_after_ms)
         }
         StatusCode::GATEWAY_TIMEOUT => Refusal::timed_out("another region did not answer in time"),
@@ -165,14 +166,14 @@
     }
 }
 
-fn log_failure(node: &Node, ticket: &Ticket, member: &str, reason: &str) {
+fn log_failure(node: &Node, ctx: &RequestContext, member: &str, reason: &str) {
     node.log.event(Event::SendFailed {
-        request: &ticket.far.request,
+        request: &ctx.meta.request,
         upstream: member,
         attempt: 1,
         reason,
         may_have_run: true,
         will_retry: false,
-        after_ms: node.now().since(ticket.started_at),
+        after_ms: node.now().since(ctx.started_at),
     });
 }
--- a/crates/edge/src/pipeline/identify.rs
+++ b/crates/edge/src/pipeline/identify.rs
@@ -1,6 +1,6 @@
 //! Whose request it is, on which route, and whether it may run.
 
-use super::{FarTicket, Refusal, Ticket};
+use super::{Refusal, RequestContext, RequestMeta};
 use crate::{
     dispatch::is_hop_header,
     log::Event,
@@ -15,12 +15,12 @@
 use std::{rc::Rc, sync::Arc};
 
 /// Time for a request whose caller states none, in milliseconds.
-const DEFAULT_LEFT_MS: u64 = 30_000;
+const DEFAULT_DEADLINE_MS: u64 = 30_000;
 /// Time after which a caller may come back that was refused before any configuration is known, in
 /// milliseconds.
-const NO_CONFIG_RETRY_MS: u64 = 500;
+const NO_CONFIG_RETRY_AFTER_MS: u64 = 500;
 /// Longest time that a caller over its limit is told to wait, in milliseconds.
-const LONGEST_LIMIT_WAIT_MS: u64 = 4_000;
+const MAX_LIMIT_RETRY_AFTER_MS: u64 = 4_000;
 
 /// What a request's head says.
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
 
 /// Who sent a request and where it may be served.
 #[derive(Clone, Debug)]
-pub struct Caller {
+pub struct Admission {
     /// Route.
     pub route: Rc<Route>,
     /// Account, where the route needs a key.
@@ -55,11 +55,11 @@
     let Some(config) = node.config() else {
         return Err(Refusal::not_run(
             "no configuration is known yet",
-            NO_CONFIG_RETRY_MS,
+            NO_CONFIG_RETRY_AFTER_MS,
         ));
     };
-    let host = text(&head.headers, &hyper::header::HOST).unwrap_or_default();
-    let key = text(&head.headers, &node.names.key);
+    let host = header_text(&head.headers, &hyper::header::HOST).unwrap_or_default();
+    let key = header_text(&head.headers, &node.names.key);
     match config.find(host, head.uri.path(), key) {
         RouteMatch::Found(route, account) => Ok(Identified {
             config,
@@ -71,7 +71,7 @@
     }
 }
 
-impl Caller {
+impl Admission {
     /// Admits a request: charges its account.
     ///
     /// # Errors
@@ -92,7 +92,8 @@
         let regions = allowed_regions(all, &route, account.as_deref());
         let regions = regions.into_iter().map(str::to_owned).collect();
         let tokens = account.as_ref().map_or(0, |account| {
-            let stated = text(&head.headers, &node.names.token_use).and_then(parse_token_use);
+            let stated =
+                header_text(&head.headers, &node.names.token_use).and_then(parse_token_use);
             stated.map_or(account.plain_tokens, |(prompt, answer)| {
                 u64::from(prompt) + u64::from(answer)
             })
@@ -101,7 +102,7 @@
             node.charge(account, tokens).map_err(|wait_ms| Refusal {
                 status: StatusCode::TOO_MANY_REQUESTS,
                 reason: "over the account's limit",
-                retry_after_ms: Some(wait_ms.clamp(100, LONGEST_LIMIT_WAIT_MS)),
+                retry_after_ms: Some(wait_ms.clamp(100, MAX_LIMIT_RETRY_AFTER_MS)),
             })?;
         }
         Ok(Self {
@@ -113,9 +114,9 @@
     }
 
     /// Gives back what was charged for a request that did not run.
-    pub fn give_back(&self, node: &Node) {
+    pub fn refund(&self, node: &Node) {
         if let Some(account) = &self.account {
-            node.give_back(account, self.tokens);
+            node.refund(account, self.tokens);
         }
     }
 
@@ -131,36 +132,36 @@
     /// # Errors
     ///
     /// Returns the answer for a route without a service.
-    pub fn ticket(
+    pub fn context(
         &self,
         node: &Node,
         config: &Config,
         head: Parts,
         body: Bytes,
         started_at: Millis,
-    ) -> Result<Ticket, Refusal> {
+    ) -> Result<RequestContext, Refusal> {
         let Some(service) = split_service(&self.route, rand::random()) else {
             return Err(Refusal::not_run(
                 "the route has no service",
-                NO_CONFIG_RETRY_MS,
+                NO_CONFIG_RETRY_AFTER_MS,
             ));
         };
         let names = &node.names;
-        let stated_ms = text(&head.headers, &names.time_left_ms)
+        let stated_ms = header_text(&head.headers, &names.time_left_ms)
             .and_then(|text| text.trim().parse::<f64>().ok())
             .filter(|ms| *ms >= 0.0);
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let stated_ms = stated_ms.map_or(DEFAULT_LEFT_MS, |ms| ms as u64);
+        let stated_ms = stated_ms.map_or(DEFAULT_DEADLINE_MS, |ms| ms as u64);
         let total_ms = stated_ms.min(self.route.timeout_ms);
-        let request = text(&head.headers, &names.request_id)
+        let request = header_text(&head.headers, &names.request_id)
             .unwrap_or_default()
             .to_owned();
-        let last_event =
-            text(&head.headers, &names.last_event_id).and_then(|text| text.trim().parse().ok());
+        let last_event = header_text(&head.headers, &names.last_event_id)
+            .and_then(|text| text.trim().parse().ok());
         let first_rank = config.first_ranks.get(&service).copied();
         let is_yielding = first_rank.is_some_and(|first| self.route.rank > first);
         let job = job(names, &head.headers, is_yielding);
-        let far = FarTicket {
+        let meta = RequestMeta {
             request,
             route: Arc::clone(&self.route.name),
             service,
@@ -176,14 +177,14 @@
             config: config.version,
         };
         node.log.event(Event::Admitted {
-            request: &far.request,
-            route: &far.route,
-            account: &far.account,
+            request: &meta.request,
+            route: &meta.route,
+            account: &meta.account,
             config: config.version,
             tokens: self.tokens,
         });
-        Ok(Ticket {
-            far,
+        Ok(RequestContext {
+            meta,
             method: head.method,
             uri: head.uri,
             headers: upstream_headers(names, head.headers),
@@ -198,10 +199,10 @@
 
 /// The prompt that a request's headers describe.
 pub(super) fn job(names: &HeaderNames, headers: &HeaderMap, is_yielding: bool) -> Job {
-    let (prompt_tokens, answer_tokens) = text(headers, &names.token_use)
+    let (prompt_tokens, answer_tokens) = header_text(headers, &names.token_use)
         .and_then(parse_token_use)
         .unwrap_or_default();
-    let parts = text(headers, &names.prompt_parts)
+    let parts = header_text(headers, &names.prompt_parts)
         .map(parse_parts)
         .unwrap_or_default();
     Job {
@@ -214,7 +215,7 @@
 
 /// The caller's headers without those that concern its connection or that the gateway sets.
 fn upstream_headers(names: &HeaderNames, headers: HeaderMap) -> HeaderMap {
-    let listed: Vec<HeaderName> = headers
+    let connection_headers: Vec<HeaderName> = headers
         .get_all(hyper::header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -231,7 +232,7 @@
             || *name == names.urgency
             || *name == names.time_left_ms
             || names.gateway_only.contains(name)
-            || listed.contains(name)
+            || connection_headers.contains(name)
     };
     let mut kept = HeaderMap::with_capacity(headers.len() + 4);
     for (name, value) in &headers {
@@ -242,7 +243,7 @@
     kept
 }
 
-pub(super) fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+pub(super) fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
--- a/crates/edge/src/pipeline/mod.rs
+++ b/crates/edge/src/pipeline/mod.rs
@@ -11,7 +11,7 @@
 mod stream;
 
 pub use answer::Answer;
-pub use context::{FarTicket, Ticket};
-pub use identify::{identify, Caller, Identified};
+pub use context::{RequestContext, RequestMeta};
+pub use identify::{identify, Admission, Identified};
 pub use refusal::Refusal;
-pub use run::{run_anywhere, run_here};
+pub use run::{run_in_allowed_region, run_in_own_region};
--- a/crates/edge/src/pipeline/run.rs
+++ b/crates/edge/src/pipeline/run.rs
@@ -2,30 +2,33 @@
 
 use super::{
     answer::Answer,
-    attempts::{offered, take, Taken, TakenBody, Tries},
+    attempts::{placement_request, send_until_answered, Attempts, UpstreamAnswer, UpstreamBody},
     forward,
     refusal::Refusal,
-    stream::{self, Source},
-    Caller, Ticket,
+    stream::{self, StreamSource},
+    Admission, RequestContext,
 };
 use crate::{dispatch::is_hop_header, node::Node, place::Choice, relay::AnswerBody};
 use hyper::{http::response::Parts, HeaderMap, Response, StatusCode};
 use std::{rc::Rc, sync::Arc};
 
 /// Time after which callers come back when no upstream can be used, in milliseconds.
-pub(super) const NO_UPSTREAM_RETRY_MS: u64 = 700;
+pub(super) const NO_UPSTREAM_RETRY_AFTER_MS: u64 = 700;
 
 /// Runs a request in the own region or in another one.
-pub async fn run_anywhere(
+pub async fn run_in_allowed_region(
     node: &Rc<Node>,
-    ticket: Ticket,
-    caller: &Caller,
+    ctx: RequestContext,
+    admission: &Admission,
 ) -> Result<Answer, Refusal> {
-    let is_home = caller.regions.iter().any(|region| **region == *node.region);
-    let far = forward::best_far(node, &ticket, &caller.regions, &[]);
-    let local = if is_home {
-        node.place(&offered(&ticket, &[]))
-            .unless_queued(&ticket.job, ticket.far.aim_ms)
+    let is_own_region_allowed = admission
+        .regions
+        .iter()
+        .any(|region| **region == *node.region);
+    let remote = forward::best_remote(node, &ctx, &admission.regions, &[]);
+    let local = if is_own_region_allowed {
+        node.place(&placement_request(&ctx, &[]))
+            .unless_queued(&ctx.job, ctx.meta.aim_ms)
     } else {
         Choice::NoUpstream
     };
@@ -33,116 +36,121 @@
         Choice::Placed(placed) => Some(placed.wait_ms),
         Choice::Crowded | Choice::NoUpstream => None,
     };
-    let is_far_better = |far: &forward::Far| match &local {
-        Choice::Placed(placed) => far.is_better(&ticket, placed),
-        Choice::Crowded => far.is_roomy(&ticket),
+    let is_remote_preferred = |remote: &forward::RemoteCandidate| match &local {
+        Choice::Placed(placed) => remote.is_preferable_to(&ctx, placed),
+        Choice::Crowded => remote.can_meet_target(&ctx),
         Choice::NoUpstream => true,
     };
-    if let Some(far) = far.filter(is_far_better) {
-        let outcome = forward::forward(node, &ticket, &far, local_wait_ms).await;
+    if let Some(remote) = remote.filter(is_remote_preferred) {
+        let outcome = forward::forward(node, &ctx, &remote, local_wait_ms).await;
         if !outcome.as_ref().is_err_and(Refusal::is_not_run) {
             return outcome;
         }
-        if !is_home {
-            return forward_again(node, &ticket, caller, &far, outcome).await;
+        if !is_own_region_allowed {
+            return forward_to_another(node, &ctx, admission, &remote, outcome).await;
         }
     }
-    if is_home {
-        return run_here_first(node, ticket, caller).await;
+    if is_own_region_allowed {
+        return run_local_first(node, ctx, admission).await;
     }
-    if caller.regions.is_empty() {
+    if admission.regions.is_empty() {
         let status = StatusCode::SERVICE_UNAVAILABLE;
         return Err(Refusal::new(status, "no region may serve the request"));
     }
     let reason = "no instance of a home region is in reach";
-    Err(Refusal::not_run(reason, NO_UPSTREAM_RETRY_MS))
+    Err(Refusal::not_run(reason, NO_UPSTREAM_RETRY_AFTER_MS))
 }
 
 /// Hands a request that has not run at `refused_by` to one more instance, if there is another.
-async fn forward_again(
+async fn forward_to_another(
     node: &Rc<Node>,
-    ticket: &Ticket,
-    caller: &Caller,
-    refused_by: &forward::Far,
+    ctx: &RequestContext,
+    admission: &Admission,
+    refused_by: &forward::RemoteCandidate,
     outcome: Result<Answer, Refusal>,
 ) -> Result<Answer, Refusal> {
     let tried = [Arc::clone(&refused_by.member)];
-    let Some(far) = forward::best_far(node, ticket, &caller.regions, &tried) else {
+    let Some(remote) = forward::best_remote(node, ctx, &admission.regions, &tried) else {
         return outcome;
     };
-    forward::forward(node, ticket, &far, None).await
+    forward::forward(node, ctx, &remote, None).await
 }
 
 /// Runs a request in the own region, and in another one if it fails here and may be repeated.
-async fn run_here_first(
+async fn run_local_first(
     node: &Rc<Node>,
-    ticket: Ticket,
-    caller: &Caller,
+    ctx: RequestContext,
+    admission: &Admission,
 ) -> Result<Answer, Refusal> {
-    if !ticket.far.kind.is_repeatable() {
-        return run_here(node, ticket).await;
+    if !ctx.meta.kind.is_repeatable() {
+        return run_in_own_region(node, ctx).await;
     }
-    let mut tries = Tries::default();
-    let again = ticket.clone();
-    let outcome = run_counted(node, ticket, &mut tries).await;
+    let mut attempts = Attempts::default();
+    let retry_ctx = ctx.clone();
+    let outcome = run_with_attempts(node, ctx, &mut attempts).await;
     let has_failed = match &outcome {
         Ok(answer) => answer.status().is_server_error(),
         Err(refusal) => !refusal.is_not_run(),
     };
-    let runs_left = again.far.max_attempts.saturating_sub(tries.runs);
-    if !has_failed || runs_left == 0 || !again.is_in_time_far(node) {
+    let runs_left = retry_ctx.meta.max_attempts.saturating_sub(attempts.runs);
+    if !has_failed || runs_left == 0 || !retry_ctx.has_time_to_forward(node) {
         return outcome;
     }
-    let Some(far) = forward::best_far(node, &again, &caller.regions, &[]) else {
+    let Some(remote) = forward::best_remote(node, &retry_ctx, &admission.regions, &[]) else {
         return outcome;
     };
-    if !node.try_repeat(&again.far.service) {
+    if !node.try_repeat(&retry_ctx.meta.service) {
         return outcome;
     }
-    let mut again = again;
-    again.far.max_attempts = runs_left;
-    match forward::forward(node, &again, &far, None).await {
+    let mut retry_ctx = retry_ctx;
+    retry_ctx.meta.max_attempts = runs_left;
+    match forward::forward(node, &retry_ctx, &remote, None).await {
         Ok(answer) if !answer.status().is_server_error() => Ok(answer),
         Ok(_) | Err(_) => outcome,
     }
 }
 
 /// Runs a request at upstreams of the own region.
-pub async fn run_here(node: &Rc<Node>, ticket: Ticket) -> Result<Answer, Refusal> {
-    run_counted(node, ticket, &mut Tries::default()).await
+pub async fn run_in_own_region(node: &Rc<Node>, ctx: RequestContext) -> Result<Answer, Refusal> {
+    run_with_attempts(node, ctx, &mut Attempts::default()).await
 }
 
-async fn run_counted(
+async fn run_with_attempts(
     node: &Rc<Node>,
-    ticket: Ticket,
-    tries: &mut Tries,
+    ctx: RequestContext,
+    attempts: &mut Attempts,
 ) -> Result<Answer, Refusal> {
-    node.note_request(&ticket.far.service, &ticket.job);
-    let taken = take(node, &ticket, tries).await?;
-    let Taken {
+    node.note_request(&ctx.meta.service, &ctx.job);
+    let answer = send_until_answered(node, &ctx, attempts).await?;
+    let UpstreamAnswer {
         head,
         body,
-        work,
+        load_guard,
         upstream,
-    } = taken;
+    } = answer;
     match body {
-        TakenBody::Open(body, keep) if ticket.far.kind.is_stream() && head.status.is_success() => {
-            let source = Source {
+        UpstreamBody::Unread(body, checkout)
+            if ctx.meta.kind.is_stream() && head.status.is_success() =>
+        {
+            let source = StreamSource {
                 body,
-                keep,
-                work,
+                checkout,
+                load_guard,
                 upstream,
             };
             Ok(stream::relay(
                 node,
-                ticket,
-                std::mem::take(tries),
+                ctx,
+                std::mem::take(attempts),
                 &head,
                 source,
             ))
         }
-        TakenBody::Open(body, _) => Ok(pass(&head, AnswerBody::Passed(body, Box::new(work)))),
-        TakenBody::Whole(body) => Ok(pass(&head, AnswerBody::whole(body))),
+        UpstreamBody::Unread(body, _) => Ok(answer_with_body(
+            &head,
+            AnswerBody::Passthrough(body, Box::new(load_guard)),
+        )),
+        UpstreamBody::Buffered(body) => Ok(answer_with_body(&head, AnswerBody::whole(body))),
     }
 }
 
@@ -158,7 +166,7 @@
 }
 
 /// Passes on an answer that is not a stream.
-fn pass(head: &Parts, body: AnswerBody) -> Answer {
+fn answer_with_body(head: &Parts, body: AnswerBody) -> Answer {
     let mut answer = Response::new(body);
     *answer.status_mut() = head.status;
     *answer.headers_mut() = caller_headers(&head.headers);
--- a/crates/edge/src/pipeline/send_once.rs
+++ b/crates/edge/src/pipeline/send_once.rs
@@ -1,15 +1,15 @@
 //! One send of a request to one upstream, and what its answer means.
 
 use super::{
-    attempts::{Taken, TakenBody},
-    identify::text,
-    Ticket,
+    attempts::{UpstreamAnswer, UpstreamBody},
+    identify::header_text,
+    RequestContext,
 };
 use crate::{
-    dispatch::{send, Reply, SendError, Target, Work},
+    dispatch::{send, LoadGuard, Reply, SendError, Target},
     log::Event,
     model::RouteKind,
-    node::{Node, Sent},
+    node::{Node, SendIds},
     place::Placed,
     upstream::Outcome,
 };
@@ -20,44 +20,44 @@
 use tokio::time::timeout;
 
 /// Largest answer that is gathered before its head is sent on, in bytes.
-const GATHERED_BYTES: u64 = 128 * 1024;
+const MAX_BUFFERED_BYTES: u64 = 128 * 1024;
 /// Longest idle time of a connection for a request that may not be repeated, in milliseconds.
-const UNREPEATABLE_IDLE_MS: u64 = 1_000;
+const UNREPEATABLE_MAX_IDLE_MS: u64 = 1_000;
 /// Part of the aim after which a whole answer that may be repeated is asked for elsewhere.
-const SILENCE_AIM_PART: f64 = 0.75;
+const SILENCE_TARGET_SHARE: f64 = 0.75;
 /// Shortest such time, in milliseconds.
-const SILENCE_MIN_MS: u64 = 150;
+const MIN_SILENCE_MS: u64 = 150;
 
 /// How one send ended.
-pub(super) enum Sending {
+pub(super) enum SendResult {
     /// The answer is for the caller.
-    Answer(Taken),
+    Answer(UpstreamAnswer),
     /// The upstream says that it has not run the request.
     NotRun,
     /// Nothing was sent.
     Unreachable(String),
     /// It may have run. Holds an answer that may be passed on if there is no better one.
-    Failed(String, Option<Taken>),
+    Failed(String, Option<UpstreamAnswer>),
 }
 
 /// Sends a request to the upstream that was chosen.
 pub(super) async fn send_once(
     node: &Rc<Node>,
-    ticket: &Ticket,
+    ctx: &RequestContext,
     placed: &Placed,
     attempt: u32,
-) -> Sending {
+) -> SendResult {
     let (target, waiting_tokens, at_upstream, cold_per_s) = {
         let state = node.state.borrow();
         let Some(upstream) = state.upstreams.by_id.get(&placed.id) else {
-            return Sending::Unreachable("the upstream is gone".to_owned());
+            return SendResult::Unreachable("the upstream is gone".to_owned());
         };
-        let service = state.service(&ticket.far.service);
+        let service = state.service(&ctx.meta.service);
         let load = upstream.load(node.now());
         let target = Target {
             id: Arc::clone(&placed.id),
             address: upstream.seen.address,
-            max_idle_ms: max_idle_ms(ticket.far.kind),
+            max_idle_ms: max_idle_ms(ctx.meta.kind),
         };
         let waiting_tokens = load.unread_tokens + placed.load.unread_tokens;
         (
@@ -70,21 +70,21 @@
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let wait_ms = placed.wait_ms.max(0.0) as u64;
     node.log.event(Event::Placed {
-        request: &ticket.far.request,
+        request: &ctx.meta.request,
         upstream: &placed.id,
         attempt,
         wait_ms,
         unread_tokens: placed.load.unread_tokens,
         at_upstream,
-        config: ticket.far.config,
+        config: ctx.meta.config,
     });
-    node.note_sent(placed, &ticket.job, cold_per_s);
-    let work = Work::new(node, &placed.id, placed.load, waiting_tokens);
-    let limit_ms = silence_ms(node, ticket, wait_ms);
-    let request = upstream_request(node, ticket, &placed.id);
-    let sent = Sent {
-        request: &ticket.far.request,
-        route: &ticket.far.route,
+    node.note_sent(placed, &ctx.job, cold_per_s);
+    let load_guard = LoadGuard::new(node, &placed.id, placed.load, waiting_tokens);
+    let limit_ms = answer_timeout_ms(node, ctx, wait_ms);
+    let request = upstream_request(node, ctx, &placed.id);
+    let sent = SendIds {
+        request: &ctx.meta.request,
+        route: &ctx.meta.route,
         upstream: &placed.id,
     };
     let reply = timeout(
@@ -95,33 +95,33 @@
     match reply {
         Err(_) => {
             node.note_outcome(sent, Outcome::Failed);
-            Sending::Failed("no answer in time".to_owned(), None)
+            SendResult::Failed("no answer in time".to_owned(), None)
         }
         Ok(Err(SendError::Unreachable(reason))) => {
             node.note_outcome(sent, Outcome::Unreachable);
-            Sending::Unreachable(reason)
+            SendResult::Unreachable(reason)
         }
         Ok(Err(SendError::Broken(reason))) => {
             node.note_outcome(sent, Outcome::Failed);
-            Sending::Failed(reason, None)
+            SendResult::Failed(reason, None)
         }
-        Ok(Ok(reply)) => match judge(node, ticket, sent, &reply) {
-            Verdict::Pass => gather(node, ticket, sent, reply, work).await,
-            Verdict::Failed => match gather(node, ticket, sent, reply, work).await {
-                Sending::Answer(taken) => {
-                    let reason = format!("the upstream answered {}", taken.head.status);
-                    Sending::Failed(reason, Some(taken))
+        Ok(Ok(reply)) => match check_head(node, ctx, sent, &reply) {
+            HeadCheck::Pass => buffer_body(node, ctx, sent, reply, load_guard).await,
+            HeadCheck::Failed => match buffer_body(node, ctx, sent, reply, load_guard).await {
+                SendResult::Answer(answer) => {
+                    let reason = format!("the upstream answered {}", answer.head.status);
+                    SendResult::Failed(reason, Some(answer))
                 }
                 other => other,
             },
-            Verdict::NotRun => Sending::NotRun,
-            Verdict::Broken(reason) => Sending::Failed(reason.to_owned(), None),
+            HeadCheck::NotRun => SendResult::NotRun,
+            HeadCheck::Invalid(reason) => SendResult::Failed(reason.to_owned(), None),
         },
     }
 }
 
 /// What an answer's head says.
-enum Verdict {
+enum HeadCheck {
     /// The answer is for the caller.
     Pass,
     /// The upstream ran the request and failed.
@@ -129,81 +129,81 @@
     /// The upstream has not run the request.
     NotRun,
     /// It is no answer to this request.
-    Broken(&'static str),
+    Invalid(&'static str),
 }
 
 /// Judges an answer by its head.
-fn judge(node: &Node, ticket: &Ticket, sent: Sent<'_>, reply: &Reply) -> Verdict {
+fn check_head(node: &Node, ctx: &RequestContext, sent: SendIds<'_>, reply: &Reply) -> HeadCheck {
     let names = &node.names;
     let (status, headers) = (reply.head().status(), reply.head().headers());
     if status == StatusCode::MISDIRECTED_REQUEST {
         let mut state = node.state.borrow_mut();
         state.upstreams.missing(sent.upstream, false, node.now());
-        return Verdict::NotRun;
+        return HeadCheck::NotRun;
     }
     if headers.contains_key(&names.not_run) {
         node.note_outcome(sent, Outcome::Refused);
-        return Verdict::NotRun;
+        return HeadCheck::NotRun;
     }
-    let cold_ms = text(headers, &names.cold_ms).and_then(|text| text.parse::<u64>().ok());
+    let cold_ms = header_text(headers, &names.cold_ms).and_then(|text| text.parse::<u64>().ok());
     if let Some(cold_ms) = cold_ms.filter(|ms| *ms > 0) {
         node.note_cold(sent.upstream, cold_ms);
     }
-    let echoed = text(headers, &names.request_id);
-    if echoed.is_some_and(|echoed| echoed != ticket.far.request) {
+    let echoed = header_text(headers, &names.request_id);
+    if echoed.is_some_and(|echoed| echoed != ctx.meta.request) {
         node.note_outcome(sent, Outcome::Failed);
-        return Verdict::Broken("the answer belongs to another request");
+        return HeadCheck::Invalid("the answer belongs to another request");
     }
     let is_sealed = headers.contains_key(&names.seal);
     if !is_sealed && (status.is_success() || status.is_server_error()) {
         node.note_outcome(sent, Outcome::Failed);
-        return Verdict::Broken("the answer bears no seal");
+        return HeadCheck::Invalid("the answer bears no seal");
     }
     if status.is_server_error() {
         node.note_outcome(sent, Outcome::Failed);
-        return Verdict::Failed;
+        return HeadCheck::Failed;
     }
-    Verdict::Pass
+    HeadCheck::Pass
 }
 
 /// Reads the body of an answer that is not a stream, unless it is large.
-async fn gather(
+async fn buffer_body(
     node: &Rc<Node>,
-    ticket: &Ticket,
-    sent: Sent<'_>,
+    ctx: &RequestContext,
+    sent: SendIds<'_>,
     reply: Reply,
-    mut work: Work,
-) -> Sending {
+    mut load_guard: LoadGuard,
+) -> SendResult {
     let upstream = Arc::clone(reply.upstream());
-    let (response, keep) = reply.split();
+    let (response, checkout) = reply.split();
     let (head, body) = response.into_parts();
-    let is_stream = ticket.far.kind.is_stream() && head.status.is_success();
-    let is_large = body.size_hint().lower() > GATHERED_BYTES;
+    let is_stream = ctx.meta.kind.is_stream() && head.status.is_success();
+    let is_large = body.size_hint().lower() > MAX_BUFFERED_BYTES;
     if is_stream || is_large {
-        let body = TakenBody::Open(body, keep);
-        return Sending::Answer(Taken {
+        let body = UpstreamBody::Unread(body, checkout);
+        return SendResult::Answer(UpstreamAnswer {
             head,
             body,
-            work,
+            load_guard,
             upstream,
         });
     }
-    work.was_read();
-    let after_ms = node.now().since(work.sent_at());
-    let left = Duration::from_millis(ticket.left_ms(node).max(1));
+    load_guard.mark_prompt_read();
+    let after_ms = node.now().since(load_guard.sent_at());
+    let left = Duration::from_millis(ctx.left_ms(node).max(1));
     #[allow(clippy::cast_possible_truncation)]
-    let gathered = Limited::new(body, GATHERED_BYTES as usize).collect();
-    let reason = match timeout(left, gathered).await {
+    let buffered = Limited::new(body, MAX_BUFFERED_BYTES as usize).collect();
+    let reason = match timeout(left, buffered).await {
         Ok(Ok(body)) => {
-            keep.put_back(node);
+            checkout.check_in(node);
             if !head.status.is_server_error() {
-                answered(node, ticket, sent, head.status, after_ms);
+                record_answer(node, ctx, sent, head.status, after_ms);
             }
-            let body = TakenBody::Whole(body.to_bytes());
-            return Sending::Answer(Taken {
+            let body = UpstreamBody::Buffered(body.to_bytes());
+            return SendResult::Answer(UpstreamAnswer {
                 head,
                 body,
-                work,
+                load_guard,
                 upstream,
             });
         }
@@ -211,10 +211,16 @@
         Err(_) => "the body did not end in time".to_owned(),
     };
     node.note_outcome(sent, Outcome::Failed);
-    Sending::Failed(reason, None)
+    SendResult::Failed(reason, None)
 }
 
-fn answered(node: &Node, ticket: &Ticket, sent: Sent<'_>, status: StatusCode, after_ms: u64) {
+fn record_answer(
+    node: &Node,
+    ctx: &RequestContext,
+    sent: SendIds<'_>,
+    status: StatusCode,
+    after_ms: u64,
+) {
     #[allow(clippy::cast_precision_loss)]
     let ms = after_ms as f64;
     node.note_outcome(sent, Outcome::Answered { ms });
@@ -222,25 +228,25 @@
         request: sent.request,
         upstream: sent.upstream,
         status: status.as_u16(),
-        first_byte_ms: node.now().since(ticket.started_at),
+        first_byte_ms: node.now().since(ctx.started_at),
     });
 }
 
 /// Time to the head of an answer after which the request is sent elsewhere or given up.
-fn silence_ms(node: &Node, ticket: &Ticket, wait_ms: u64) -> u64 {
-    let left_ms = ticket.left_ms(node).max(1);
-    match ticket.far.kind {
+fn answer_timeout_ms(node: &Node, ctx: &RequestContext, wait_ms: u64) -> u64 {
+    let left_ms = ctx.left_ms(node).max(1);
+    match ctx.meta.kind {
         RouteKind::Idempotent => {
             #[allow(
                 clippy::cast_possible_truncation,
                 clippy::cast_precision_loss,
                 clippy::cast_sign_loss
             )]
-            let silence_ms = (ticket.far.aim_ms as f64 * SILENCE_AIM_PART) as u64;
-            left_ms.min(silence_ms.max(SILENCE_MIN_MS).max(2 * wait_ms))
+            let head_timeout_ms = (ctx.meta.aim_ms as f64 * SILENCE_TARGET_SHARE) as u64;
+            left_ms.min(head_timeout_ms.max(MIN_SILENCE_MS).max(2 * wait_ms))
         }
         RouteKind::Stream { is_resumable: true } => {
-            left_ms.min((2 * ticket.far.aim_ms).max(2 * wait_ms))
+            left_ms.min((2 * ctx.meta.aim_ms).max(2 * wait_ms))
         }
         RouteKind::NonIdempotent | RouteKind::Stream { .. } => left_ms,
     }
@@ -251,33 +257,33 @@
         RouteKind::NonIdempotent => 0,
         RouteKind::Stream {
             is_resumable: false,
-        } => UNREPEATABLE_IDLE_MS,
+        } => UNREPEATABLE_MAX_IDLE_MS,
         RouteKind::Idempotent | RouteKind::Stream { .. } => u64::MAX,
     }
 }
 
-fn upstream_request(node: &Node, ticket: &Ticket, upstream: &str) -> Request<Full<Bytes>> {
+fn upstream_request(node: &Node, ctx: &RequestContext, upstream: &str) -> Request<Full<Bytes>> {
     let names = &node.names;
-    let mut headers = ticket.headers.clone();
+    let mut headers = ctx.headers.clone();
     let mut set = |name: &hyper::header::HeaderName, text: &str| {
         if let Ok(value) = HeaderValue::from_str(text) {
             headers.insert(name.clone(), value);
         }
     };
-    set(&names.time_left_ms, &ticket.left_ms(node).to_string());
+    set(&names.time_left_ms, &ctx.left_ms(node).to_string());
     set(&names.only_upstream, upstream);
-    if !ticket.far.account.is_empty() {
-        set(&names.account, &ticket.far.account);
+    if !ctx.meta.account.is_empty() {
+        set(&names.account, &ctx.meta.account);
     }
-    if ticket.job.prompt_tokens > 0 {
-        set(&names.urgency, &ticket.far.urgency.to_string());
+    if ctx.job.prompt_tokens > 0 {
+        set(&names.urgency, &ctx.meta.urgency.to_string());
     }
-    if let Some(last_event) = ticket.last_event {
+    if let Some(last_event) = ctx.last_event {
         set(&names.last_event_id, &last_event.to_string());
     }
-    let mut request = Request::new(Full::new(ticket.body.clone()));
-    *request.method_mut() = ticket.method.clone();
-    *request.uri_mut() = ticket.uri.clone();
+    let mut request = Request::new(Full::new(ctx.body.clone()));
+    *request.method_mut() = ctx.method.clone();
+    *request.uri_mut() = ctx.uri.clone();
     *request.headers_mut() = headers;
     request
 }
--- a/crates/edge/src/pipeline/stream.rs
+++ b/crates/edge/src/pipeline/stream.rs
@@ -2,15 +2,15 @@
 
 use super::{
     answer::Answer,
-    attempts::{take, Taken, TakenBody, Tries},
+    attempts::{send_until_answered, Attempts, UpstreamAnswer, UpstreamBody},
     run::caller_headers,
-    Ticket,
+    RequestContext,
 };
 use crate::{
-    dispatch::{Keep, Work},
+    dispatch::{ConnectionCheckout, LoadGuard},
     log::Event,
-    node::{Node, Sent},
-    relay::{AnswerBody, Broken, EventSplitter, StreamEvent},
+    node::{Node, SendIds},
+    relay::{AnswerBody, AnswerBroken, EventSplitter, StreamEvent},
     upstream::Outcome,
 };
 use bytes::Bytes;
@@ -23,14 +23,14 @@
 };
 
 /// Events that may wait for the caller.
-const WAITING_EVENTS: usize = 8;
+const MAX_QUEUED_EVENTS: usize = 8;
 /// Pauses of the aimed-at length after which a stream is continued elsewhere.
-const SILENT_PAUSES: u64 = 4;
+const SILENCE_PAUSE_FACTOR: u64 = 4;
 /// Shortest such time, in milliseconds.
 const MIN_SILENCE_MS: u64 = 800;
 
 /// Why the events of one upstream came to an end.
-enum End {
+enum StreamEnd {
     /// The stream is whole.
     Whole,
     /// The caller has left.
@@ -42,31 +42,31 @@
 }
 
 /// Where the events come from.
-pub(super) struct Source {
+pub(super) struct StreamSource {
     pub(super) body: Incoming,
-    pub(super) keep: Keep,
-    pub(super) work: Work,
+    pub(super) checkout: ConnectionCheckout,
+    pub(super) load_guard: LoadGuard,
     pub(super) upstream: Arc<str>,
 }
 
-impl Source {
+impl StreamSource {
     /// The stream of an answer, if it is one.
-    fn of(taken: Taken) -> Option<Self> {
-        match taken.body {
-            TakenBody::Open(body, keep) if taken.head.status.is_success() => Some(Self {
+    fn from_answer(answer: UpstreamAnswer) -> Option<Self> {
+        match answer.body {
+            UpstreamBody::Unread(body, checkout) if answer.head.status.is_success() => Some(Self {
                 body,
-                keep,
-                work: taken.work,
-                upstream: taken.upstream,
+                checkout,
+                load_guard: answer.load_guard,
+                upstream: answer.upstream,
             }),
-            TakenBody::Open(..) | TakenBody::Whole(_) => None,
+            UpstreamBody::Unread(..) | UpstreamBody::Buffered(_) => None,
         }
     }
 }
 
 /// What was relayed so far.
 #[derive(Debug, Default)]
-struct Relayed {
+struct RelayProgress {
     last_event: Option<u64>,
     events: u64,
 }
@@ -74,25 +74,25 @@
 /// Passes on a stream from its head on.
 pub(super) fn relay(
     node: &Rc<Node>,
-    ticket: Ticket,
-    tries: Tries,
+    ctx: RequestContext,
+    attempts: Attempts,
     head: &Parts,
-    source: Source,
+    source: StreamSource,
 ) -> Answer {
-    let (pieces, receiver) = mpsc::channel(WAITING_EVENTS);
-    let mut answer = Response::new(AnswerBody::Pieces(receiver));
+    let (chunks, receiver) = mpsc::channel(MAX_QUEUED_EVENTS);
+    let mut answer = Response::new(AnswerBody::Chunks(receiver));
     *answer.status_mut() = head.status;
     *answer.headers_mut() = caller_headers(&head.headers);
     answer.headers_mut().remove(hyper::header::CONTENT_LENGTH);
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
-        let caller = pieces.clone();
+        let caller = chunks.clone();
         tokio::select! {
             () = caller.closed() => {
-                let after_ms = node.now().since(ticket.started_at);
-                node.log.event(Event::CallerLeft { request: &ticket.far.request, after_ms });
+                let after_ms = node.now().since(ctx.started_at);
+                node.log.event(Event::CallerLeft { request: &ctx.meta.request, after_ms });
             }
-            () = relay_all(&node, &ticket, tries, source, pieces) => {}
+            () = relay_all(&node, &ctx, attempts, source, chunks) => {}
         }
     });
     answer
@@ -100,120 +100,123 @@
 
 async fn relay_all(
     node: &Rc<Node>,
-    ticket: &Ticket,
-    mut tries: Tries,
-    mut source: Source,
-    pieces: Sender<Result<Bytes, Broken>>,
+    ctx: &RequestContext,
+    mut attempts: Attempts,
+    mut source: StreamSource,
+    chunks: Sender<Result<Bytes, AnswerBroken>>,
 ) {
-    let mut ticket = ticket.clone();
-    let mut relayed = Relayed {
-        last_event: ticket.last_event,
+    let mut ctx = ctx.clone();
+    let mut progress = RelayProgress {
+        last_event: ctx.last_event,
         events: 0,
     };
     loop {
         let upstream = Arc::clone(&source.upstream);
-        let end = relay_one(node, &ticket, source, &mut relayed, &pieces).await;
+        let end = relay_one(node, &ctx, source, &mut progress, &chunks).await;
         let reason = match end {
-            End::Whole => {
+            StreamEnd::Whole => {
                 node.log.event(Event::StreamEnded {
-                    request: &ticket.far.request,
+                    request: &ctx.meta.request,
                     upstream: &upstream,
-                    events: relayed.events,
-                    after_ms: node.now().since(ticket.started_at),
+                    events: progress.events,
+                    after_ms: node.now().since(ctx.started_at),
                 });
                 return;
             }
-            End::CallerLeft => return,
-            End::TimedOut => "the time for the request is over".to_owned(),
-            End::Broken(reason) => reason,
+            StreamEnd::CallerLeft => return,
+            StreamEnd::TimedOut => "the time for the request is over".to_owned(),
+            StreamEnd::Broken(reason) => reason,
         };
         node.log.event(Event::AnswerBroken {
-            request: &ticket.far.request,
+            request: &ctx.meta.request,
             upstream: &upstream,
             reason: &reason,
-            events: relayed.events,
-            after_ms: node.now().since(ticket.started_at),
+            events: progress.events,
+            after_ms: node.now().since(ctx.started_at),
         });
-        tries.sends += u32::from(tries.sends == 0);
-        tries.runs += 1;
-        if !tries.tried.contains(&upstream) {
-            tries.tried.push(upstream);
+        attempts.sends += u32::from(attempts.sends == 0);
+        attempts.runs += 1;
+        if !attempts.tried.contains(&upstream) {
+            attempts.tried.push(upstream);
         }
-        let may_go_on = ticket.far.kind.is_repeatable()
-            && tries.runs < ticket.far.max_attempts
-            && ticket.left_ms(node) > 0;
-        if !may_go_on {
-            let _ = pieces.send(Err(Broken(reason))).await;
+        let may_retry = ctx.meta.kind.is_repeatable()
+            && attempts.runs < ctx.meta.max_attempts
+            && ctx.left_ms(node) > 0;
+        if !may_retry {
+            let _ = chunks.send(Err(AnswerBroken(reason))).await;
             return;
         }
-        ticket.last_event = relayed.last_event;
-        source = match take(node, &ticket, &mut tries).await.map(Source::of) {
+        ctx.last_event = progress.last_event;
+        source = match send_until_answered(node, &ctx, &mut attempts)
+            .await
+            .map(StreamSource::from_answer)
+        {
             Ok(Some(source)) => source,
             Ok(None) | Err(_) => {
-                let _ = pieces.send(Err(Broken(reason))).await;
+                let _ = chunks.send(Err(AnswerBroken(reason))).await;
                 return;
             }
         };
         node.log.event(Event::Resumed {
-            request: &ticket.far.request,
+            request: &ctx.meta.request,
             upstream: &source.upstream,
-            last_event: relayed.last_event.unwrap_or_default(),
+            last_event: progress.last_event.unwrap_or_default(),
         });
     }
 }
 
 async fn relay_one(
     node: &Rc<Node>,
-    ticket: &Ticket,
-    source: Source,
-    relayed: &mut Relayed,
-    pieces: &Sender<Result<Bytes, Broken>>,
-) -> End {
-    let Source {
+    ctx: &RequestContext,
+    source: StreamSource,
+    progress: &mut RelayProgress,
+    chunks: &Sender<Result<Bytes, AnswerBroken>>,
+) -> StreamEnd {
+    let StreamSource {
         mut body,
-        keep,
-        mut work,
+        checkout,
+        mut load_guard,
         upstream,
     } = source;
-    let sent_at = work.sent_at();
+    let sent_at = load_guard.sent_at();
     let mut splitter = EventSplitter::default();
-    let sent = Sent {
-        request: &ticket.far.request,
-        route: &ticket.far.route,
+    let sent = SendIds {
+        request: &ctx.meta.request,
+        route: &ctx.meta.route,
         upstream: &upstream,
     };
     let mut is_first = true;
     loop {
-        let piece = match next_piece(node, ticket, &mut body, is_first).await {
-            Ok(Some(piece)) => piece,
+        let chunk = match next_chunk(node, ctx, &mut body, is_first).await {
+            Ok(Some(chunk)) => chunk,
             Ok(None) if splitter.has_part() => {
                 node.note_outcome(sent, Outcome::Failed);
-                return End::Broken("the stream ended within an event".to_owned());
+                return StreamEnd::Broken("the stream ended within an event".to_owned());
             }
             Ok(None) => {
-                keep.put_back(node);
-                return End::Whole;
+                checkout.check_in(node);
+                return StreamEnd::Whole;
             }
             Err(end) => {
                 node.note_outcome(sent, Outcome::Failed);
                 return end;
             }
         };
-        splitter.push(piece);
+        splitter.push(chunk);
         while let Some(event) = splitter.next_event() {
             if is_first {
                 is_first = false;
-                work.was_read();
-                first_event(node, ticket, sent, node.now().since(sent_at));
+                load_guard.mark_prompt_read();
+                record_first_event(node, ctx, sent, node.now().since(sent_at));
             }
-            if !pass_event(event, relayed, pieces).await {
-                return End::CallerLeft;
+            if !relay_event(event, progress, chunks).await {
+                return StreamEnd::CallerLeft;
             }
         }
     }
 }
 
-fn first_event(node: &Node, ticket: &Ticket, sent: Sent<'_>, after_ms: u64) {
+fn record_first_event(node: &Node, ctx: &RequestContext, sent: SendIds<'_>, after_ms: u64) {
     #[allow(clippy::cast_precision_loss)]
     node.note_outcome(
         sent,
@@ -221,9 +224,9 @@
             ms: after_ms as f64,
         },
     );
-    let first_byte_ms = node.now().since(ticket.started_at);
+    let first_byte_ms = node.now().since(ctx.started_at);
     node.metrics
-        .first_byte(&ticket.far.account, &ticket.far.route, first_byte_ms);
+        .first_byte(&ctx.meta.account, &ctx.meta.route, first_byte_ms);
     node.log.event(Event::Answered {
         request: sent.request,
         upstream: sent.upstream,
@@ -233,59 +236,59 @@
 }
 
 /// Passes on an event that the caller does not have. Returns false if the caller has left.
-async fn pass_event(
+async fn relay_event(
     event: StreamEvent,
-    relayed: &mut Relayed,
-    pieces: &Sender<Result<Bytes, Broken>>,
+    progress: &mut RelayProgress,
+    chunks: &Sender<Result<Bytes, AnswerBroken>>,
 ) -> bool {
-    let is_known = event
+    let is_duplicate = event
         .id
-        .zip(relayed.last_event)
+        .zip(progress.last_event)
         .is_some_and(|(id, last)| id <= last);
-    if is_known {
+    if is_duplicate {
         return true;
     }
-    relayed.last_event = event.id.or(relayed.last_event);
-    relayed.events += 1;
-    pieces.send(Ok(event.bytes)).await.is_ok()
+    progress.last_event = event.id.or(progress.last_event);
+    progress.events += 1;
+    chunks.send(Ok(event.bytes)).await.is_ok()
 }
 
 /// The next bytes of the stream; `None` at its end.
-async fn next_piece(
+async fn next_chunk(
     node: &Node,
-    ticket: &Ticket,
+    ctx: &RequestContext,
     body: &mut Incoming,
     is_first: bool,
-) -> Result<Option<Bytes>, End> {
+) -> Result<Option<Bytes>, StreamEnd> {
     loop {
-        let left_ms = ticket.left_ms(node);
+        let left_ms = ctx.left_ms(node);
         if left_ms == 0 {
-            return Err(End::TimedOut);
+            return Err(StreamEnd::TimedOut);
         }
-        let limit_ms = if ticket.far.kind.is_repeatable() {
-            left_ms.min(silence_ms(ticket, is_first))
+        let limit_ms = if ctx.meta.kind.is_repeatable() {
+            left_ms.min(silence_timeout_ms(ctx, is_first))
         } else {
             left_ms
         };
         let frame = timeout(Duration::from_millis(limit_ms), body.frame()).await;
         match frame {
-            Err(_) if limit_ms == left_ms => return Err(End::TimedOut),
-            Err(_) => return Err(End::Broken("the stream has gone silent".to_owned())),
+            Err(_) if limit_ms == left_ms => return Err(StreamEnd::TimedOut),
+            Err(_) => return Err(StreamEnd::Broken("the stream has gone silent".to_owned())),
             Ok(None) => return Ok(None),
-            Ok(Some(Err(err))) => return Err(End::Broken(err.to_string())),
+            Ok(Some(Err(err))) => return Err(StreamEnd::Broken(err.to_string())),
             Ok(Some(Ok(frame))) => {
                 // Trailers carry nothing that callers are promised.
-                if let Ok(piece) = frame.into_data() {
-                    return Ok(Some(piece));
+                if let Ok(chunk) = frame.into_data() {
+                    return Ok(Some(chunk));
                 }
             }
         }
     }
 }
 
-fn silence_ms(ticket: &Ticket, is_first: bool) -> u64 {
+fn silence_timeout_ms(ctx: &RequestContext, is_first: bool) -> u64 {
     if is_first {
-        return (2 * ticket.far.aim_ms).max(MIN_SILENCE_MS);
+        return (2 * ctx.meta.aim_ms).max(MIN_SILENCE_MS);
     }
-    (SILENT_PAUSES * ticket.far.pause_aim_ms).max(MIN_SILENCE_MS)
+    (SILENCE_PAUSE_FACTOR * ctx.meta.pause_aim_ms).max(MIN_SILENCE_MS)
 }
--- a/crates/edge/src/relay/body.rs
+++ b/crates/edge/src/relay/body.rs
@@ -12,24 +12,24 @@
 
 /// The answer cannot be completed; the caller's connection is broken off.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken(pub String);
+pub struct AnswerBroken(pub String);
 
-impl fmt::Display for Broken {
+impl fmt::Display for AnswerBroken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for AnswerBroken {}
 
 /// The body of an answer.
 pub enum AnswerBody {
     /// Whole.
     Whole(Option<Bytes>),
     /// Piece by piece from a task; the task ends when the body is dropped.
-    Pieces(Receiver<Result<Bytes, Broken>>),
+    Chunks(Receiver<Result<Bytes, AnswerBroken>>),
     /// From another instance or an upstream, as it comes.
-    Passed(Incoming, Box<dyn std::any::Any>),
+    Passthrough(Incoming, Box<dyn std::any::Any>),
 }
 
 impl AnswerBody {
@@ -41,24 +41,24 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = AnswerBroken;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerBroken>>> {
         match self.get_mut() {
             Self::Whole(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))))
             }
-            Self::Pieces(pieces) => {
-                let piece = std::task::ready!(pieces.poll_recv(cx));
-                Poll::Ready(piece.map(|piece| piece.map(Frame::data)))
+            Self::Chunks(chunks) => {
+                let chunk = std::task::ready!(chunks.poll_recv(cx));
+                Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
             }
-            Self::Passed(incoming, _) => {
+            Self::Passthrough(incoming, _) => {
                 let frame = std::task::ready!(Pin::new(incoming).poll_frame(cx));
-                Poll::Ready(frame.map(|frame| frame.map_err(|err| Broken(err.to_string()))))
+                Poll::Ready(frame.map(|frame| frame.map_err(|err| AnswerBroken(err.to_string()))))
             }
         }
     }
@@ -66,8 +66,8 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            Self::Pieces(_) => false,
-            Self::Passed(incoming, _) => incoming.is_end_stream(),
+            Self::Chunks(_) => false,
+            Self::Passthrough(incoming, _) => incoming.is_end_stream(),
         }
     }
 
@@ -76,8 +76,8 @@
             Self::Whole(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Self::Pieces(_) => SizeHint::default(),
-            Self::Passed(incoming, _) => incoming.size_hint(),
+            Self::Chunks(_) => SizeHint::default(),
+            Self::Passthrough(incoming, _) => incoming.size_hint(),
         }
     }
 }
--- a/crates/edge/src/relay/mod.rs
+++ b/crates/edge/src/relay/mod.rs
@@ -3,5 +3,5 @@
 mod body;
 mod events;
 
-pub use body::{AnswerBody, Broken};
+pub use body::{AnswerBody, AnswerBroken};
 pub use events::{EventSplitter, StreamEvent};
