--- a/crates/edge/src/daemon/mod.rs
+++ b/crates/edge/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! One instance from its start to its end.
+//! Lifecycle of an instance: start-up, checks of the settings file on request, and graceful stop.
 
 use crate::{
     dispatch::Pools,
@@ -30,43 +30,45 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Time between two looks at what changes with time alone.
+/// Interval of periodic work.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Ticks between two sweeps of connections.
+/// Number of ticks between two sweeps of connections.
 const TICKS_PER_SWEEP: u64 = 10;
-/// Time after a signal to stop in which callers learn that the instance leaves.
+/// Time after the signal to stop during which the instance is only announced as leaving, so that
+/// callers switch to others.
 const ANNOUNCE_LEAVING: Duration = Duration::from_millis(1_500);
-/// Shortest time from a signal to stop to the end, while no requests are left.
+/// Shortest time from the signal to stop until the exit, even if no requests are left.
 const MIN_STOP_TIME: Duration = Duration::from_millis(3_200);
-/// Time between two looks for requests that are left.
+/// Interval between checks for open requests while draining.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for the last bytes to reach another region, also if they are sent twice.
+/// Time for the last bytes to reach another region, including one retransmission.
 const LINK_FLUSH_TIME: Duration = Duration::from_millis(500);
-/// Part of the time to stop after which requests that are left are cut.
+/// Share of the configured grace period after which open requests are cut.
 const GRACE_SHARE: f64 = 0.89;
 
-/// What a deployment's adapter supplies.
+/// Parts that the adapter of a deployment supplies.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// Header names.
     pub names: HeaderNames,
-    /// The directory's spelling.
+    /// Paths and encoding of the auxiliary endpoints.
     pub interface: AuxInterface,
-    /// Makes the store's operations.
+    /// Creates the client of the store.
     pub connect: fn(SocketAddr) -> StoreOps,
-    /// Turns items of the store into news.
+    /// Decodes items of the store.
     pub decoder: Decoder,
-    /// Where things stand in the store.
+    /// Key layout of the store.
     pub keys: Keys,
-    /// Settings file, read again when it may have changed.
+    /// Settings file, which is read again on SIGHUP.
     pub settings_path: PathBuf,
 }
 
-/// Runs one instance until it is told to stop. Returns the number of requests that were cut.
+/// Runs an instance until it receives a signal to stop. Returns the number of requests that were
+/// cut.
 ///
 /// # Errors
 ///
-/// Fails if the instance cannot start.
+/// Fails if the instance cannot be started.
 pub fn run(settings: Settings, deployment: Deployment) -> anyhow::Result<usize> {
     let event_loop = runtime::Builder::new_current_thread()
         .enable_all()
@@ -75,6 +77,7 @@
     LocalSet::new().block_on(&event_loop, serve(settings, deployment))
 }
 
+/// Starts all tasks, waits for the signal to stop, and stops gracefully.
 async fn serve(settings: Settings, deployment: Deployment) -> anyhow::Result<usize> {
     let clock = Clock::default();
     let (log, log_end) = Log::start(&settings.instance, clock).context("cannot start the logs")?;
@@ -135,6 +138,7 @@
     Ok(cut)
 }
 
+/// Entry of this instance in the store.
 fn entry(settings: &Settings, clock: Clock, identity: &Identity) -> MemberEntry {
     MemberEntry {
         name: settings.instance.as_str().into(),
@@ -147,6 +151,7 @@
     }
 }
 
+/// Listening sockets of callers and auxiliary endpoints.
 struct Listeners {
     callers: tokio::net::TcpListener,
     aux_listeners: Vec<(tokio::net::TcpListener, AuxEndpoint)>,
@@ -188,12 +193,14 @@
     }
 }
 
+/// Applies the events of the store's thread.
 async fn apply_all(node: Rc<Node>, mut events: Receiver<StoreEvent>) {
     while let Some(event) = events.recv().await {
         node.apply_store_event(event);
     }
 }
 
+/// Runs the periodic work.
 async fn tick_all(node: Rc<Node>, connections: Rc<Connections>) {
     let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -214,7 +221,7 @@
     }
 }
 
-/// Waits for a signal to stop, and reads the settings again when told to.
+/// Waits for SIGTERM or SIGINT; checks the settings file on SIGHUP.
 async fn wait_for_stop(node: &Node, deployment: &Deployment) -> anyhow::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -228,11 +235,13 @@
     }
 }
 
+/// Followed prefixes of the store.
 fn prefixes(keys: &Keys) -> Vec<String> {
     let followed = keys.all_followed().into_iter();
     followed.map(|followed| followed.prefix).collect()
 }
 
+/// Validates the settings file and logs whether it has changed.
 fn reload(node: &Node, deployment: &Deployment) {
     match Settings::read(&deployment.settings_path) {
         Ok(settings) => {
@@ -245,7 +254,7 @@
     }
 }
 
-/// Leaves the fleet and ends the requests under way. Returns how many were cut.
+/// Leaves the fleet and drains open requests. Returns the number of requests that were cut.
 async fn leave(
     node: &Node,
     connections: &Connections,
@@ -271,7 +280,7 @@
         }
         sleep(DRAIN_POLL_INTERVAL).await;
     }
-    // The end of the last answer may still be on its way over a link.
+    // The last response may still be in transit on a link.
     sleep(LINK_FLUSH_TIME).await;
     let in_flight = connections.count() + node.peer_exchanges.get();
     node.log.event(Event::Stopped { in_flight });
--- a/crates/edge/src/dispatch/connect.rs
+++ b/crates/edge/src/dispatch/connect.rs
@@ -1,4 +1,4 @@
-//! New connections.
+//! Establishing of connections to upstreams.
 
 use super::Connection;
 use hyper::client::conn::http1;
@@ -7,18 +7,18 @@
 use std::{io, net::SocketAddr, time::Duration};
 use tokio::{net::TcpStream, time::timeout};
 
-/// Time that a new connection may take.
+/// Timeout for a new connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time without an acknowledgement after which a connection counts as dead.
+/// Time without acknowledgement of sent data after which a connection is closed.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Silence after which the other end is asked whether it is there.
+/// Idle time before the first keep-alive probe, and interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Questions without an answer after which a connection counts as dead.
+/// Number of unanswered probes after which a connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
-/// Longest read at once from an upstream, in bytes.
+/// Maximum size of the read buffer for an upstream's responses, in bytes.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Makes the connection fail soon after its path has gone silent.
+/// Sets the socket options by which a connection fails soon after its network path is lost.
 pub fn set_liveness(stream: &TcpStream) -> io::Result<()> {
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_INTERVAL)
@@ -30,7 +30,7 @@
     stream.set_nodelay(true)
 }
 
-/// Opens a connection and starts the task that drives it.
+/// Opens a connection and spawns the task that drives it.
 pub(super) async fn connect(address: SocketAddr) -> io::Result<Connection> {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
@@ -41,7 +41,7 @@
         .handshake(TokioIo::new(stream))
         .await
         .map_err(io::Error::other)?;
-    // Errors of the driver also reach the request that they concern.
+    // Errors of the driver are also returned by the request that they affect.
     tokio::task::spawn_local(async move { drop(driver.await) });
     Ok(sender)
 }
--- a/crates/edge/src/dispatch/load_guard.rs
+++ b/crates/edge/src/dispatch/load_guard.rs
@@ -1,13 +1,13 @@
-//! The work that one request adds to an upstream.
+//! Guard for the load that a request adds to an upstream.
 
 use crate::{node::Node, upstream::Load};
 use carobwheel_core::time::Millis;
 use std::{rc::Rc, sync::Arc};
 
-/// Fewest prompt tokens whose reading tells of an upstream's speed.
+/// Smallest number of prompt tokens from which an upstream's prefill speed is measured.
 const MIN_SPEED_SAMPLE_TOKENS: u32 = 1_000;
 
-/// Work at an upstream; dropping it takes the work away.
+/// Load of one request on an upstream, which is subtracted when the guard is dropped.
 pub struct LoadGuard {
     node: Rc<Node>,
     upstream: Arc<str>,
@@ -17,8 +17,8 @@
 }
 
 impl LoadGuard {
-    /// Work of `load`, which was added to the upstream. `waiting_tokens` are the prompt tokens
-    /// that it has to read before this request's end of reading.
+    /// Guard for `load`, which the caller has added to the upstream. `waiting_tokens` is the number
+    /// of prompt tokens that the upstream has to read until it has read this request's prompt.
     pub fn new(node: &Rc<Node>, upstream: &Arc<str>, load: Load, waiting_tokens: u32) -> Self {
         Self {
             node: Rc::clone(node),
@@ -29,12 +29,13 @@
         }
     }
 
-    /// When the request was sent.
+    /// Time at which the request was sent.
     pub fn sent_at(&self) -> Millis {
         self.sent_at
     }
 
-    /// Takes note that the prompt was read.
+    /// Subtracts the prompt from the load, and records the prefill speed if the sample is large
+    /// enough.
     pub fn mark_prompt_read(&mut self) {
         if self.remaining.unread_tokens == 0 {
             return;
--- a/crates/edge/src/dispatch/mod.rs
+++ b/crates/edge/src/dispatch/mod.rs
@@ -1,8 +1,8 @@
-//! Sending requests to upstreams.
+//! Connections to upstreams.
 //!
-//! One connection carries one request at a time, and is used again only after a whole answer. The
-//! library client that the rest of the project uses does not tell whether a request has left, so
-//! connections are held here.
+//! A connection carries one request at a time and is reused only after a complete response. The
+//! client library that the rest of the project uses does not report whether a request was sent, so
+//! the connections are pooled here.
 
 mod connect;
 mod load_guard;
--- a/crates/edge/src/dispatch/pool.rs
+++ b/crates/edge/src/dispatch/pool.rs
@@ -1,4 +1,4 @@
-//! Open connections that wait for their next request.
+//! Pool of idle connections.
 
 use bytes::Bytes;
 use carobwheel_core::time::Millis;
@@ -10,14 +10,15 @@
     sync::Arc,
 };
 
-/// Connections to one upstream that are kept open without a request.
+/// Maximum number of idle connections per upstream.
 const MAX_IDLE_CONNECTIONS: usize = 24;
-/// Time for which a connection is kept open without a request, in milliseconds.
+/// Maximum time for which an idle connection is kept open, in milliseconds.
 pub(super) const MAX_IDLE_MS: u64 = 4_000;
 
-/// A connection to an upstream.
+/// HTTP/1.1 connection to an upstream.
 pub type Connection = SendRequest<Full<Bytes>>;
 
+/// Idle connection.
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
@@ -32,7 +33,7 @@
 }
 
 impl Pools {
-    /// Takes the connection that was used last, if it has been idle for at most `max_idle_ms`.
+    /// Takes the most recently used connection if it has been idle for at most `max_idle_ms`.
     pub(super) fn take(&self, upstream: &str, max_idle_ms: u64, now: Millis) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(upstream)?;
@@ -46,8 +47,8 @@
         connections.remove(at).map(|idle| idle.connection)
     }
 
-    /// Keeps a connection for the next request. `told_ms` is the time that the upstream keeps it
-    /// open, where it said so.
+    /// Returns a connection to the pool. `advertised_ms` is the keep-alive timeout that the
+    /// upstream advertises, if any; half of it limits the idle time.
     pub(super) fn put(
         &self,
         upstream: &Arc<str>,
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Forgets an upstream.
+    /// Removes an upstream and closes its idle connections.
     pub fn forget(&self, upstream: &str) {
         self.idle.borrow_mut().remove(upstream);
     }
--- a/crates/edge/src/dispatch/send.rs
+++ b/crates/edge/src/dispatch/send.rs
@@ -1,4 +1,4 @@
-//! One send of one request to one upstream.
+//! Sending of a request on a pooled or a new connection.
 
 use super::{connect::connect, Connection};
 use crate::node::Node;
@@ -7,23 +7,23 @@
 use hyper::{body::Incoming, client::conn::http1::SendRequest, header, Request, Response};
 use std::{fmt, net::SocketAddr, sync::Arc};
 
-/// Where a request goes.
+/// Destination of a request.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Upstream.
+    /// Id of the upstream.
     pub id: Arc<str>,
-    /// Its address.
+    /// Address of the upstream.
     pub address: SocketAddr,
-    /// Longest idle time of a connection that may be used, in milliseconds; 0: only a new one.
+    /// Maximum idle time of a pooled connection, in milliseconds; 0 requires a new connection.
     pub max_idle_ms: u64,
 }
 
-/// Why a send brought no answer.
+/// Reason why a send yielded no response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// No connection could be opened: nothing was sent.
+    /// No connection could be opened; nothing was sent.
     Unreachable(String),
-    /// The connection broke: the request may have run.
+    /// The connection broke; the request may have run.
     Broken(String),
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// The head of an answer, and the connection that it came on.
+/// Response whose head was received, with the connection that carries it.
 pub struct Reply {
     response: Response<Incoming>,
     connection: Connection,
@@ -45,17 +45,17 @@
 }
 
 impl Reply {
-    /// The head of the answer.
+    /// Head of the response.
     pub fn head(&self) -> &Response<Incoming> {
         &self.response
     }
 
-    /// Upstream that answers.
+    /// Upstream that sent the response.
     pub fn upstream(&self) -> &Arc<str> {
         &self.upstream
     }
 
-    /// Splits off the answer from the connection that it comes on.
+    /// Splits into the response and the connection that carries it.
     pub fn split(self) -> (Response<Incoming>, ConnectionCheckout) {
         let checkout = ConnectionCheckout {
             connection: self.connection,
@@ -66,7 +66,7 @@
     }
 }
 
-/// A connection that may be used again once the body of the answer on it was read.
+/// Connection checked out of the pool; it can be reused after the body of its response was read.
 pub struct ConnectionCheckout {
     connection: Connection,
     advertised_ms: Option<u64>,
@@ -74,7 +74,7 @@
 }
 
 impl ConnectionCheckout {
-    /// Keeps the connection for the next request.
+    /// Returns the connection to the pool.
     pub fn check_in(self, node: &Node) {
         node.pools.put(
             &self.upstream,
@@ -85,18 +85,19 @@
     }
 }
 
-/// Sends a request and waits for the head of its answer. Dropping the call closes the connection.
+/// Sends a request and waits for the head of the response. Dropping the future closes the
+/// connection.
 ///
 /// # Errors
 ///
-/// Tells whether the request may have run.
+/// The error states whether the request may have run.
 pub async fn send(
     node: &Node,
     target: &Target,
     request: Request<Full<Bytes>>,
 ) -> Result<Reply, SendError> {
     let mut request = request;
-    // A connection that the upstream has closed gives the request back unsent.
+    // A pooled connection that the upstream has closed returns the request unsent.
     while let Some(mut connection) = pooled(node, target) {
         match connection.try_send_request(request).await {
             Ok(response) => return Ok(reply(target, response, connection)),
@@ -116,6 +117,7 @@
     }
 }
 
+/// Pooled connection for the target, if one may be used.
 fn pooled(node: &Node, target: &Target) -> Option<SendRequest<Full<Bytes>>> {
     if target.max_idle_ms == 0 {
         return None;
@@ -123,6 +125,7 @@
     node.pools.take(&target.id, target.max_idle_ms, node.now())
 }
 
+/// Combines a response with its connection.
 fn reply(target: &Target, response: Response<Incoming>, connection: Connection) -> Reply {
     let advertised_ms = keep_alive_ms(&response);
     Reply {
@@ -133,7 +136,7 @@
     }
 }
 
-/// The time for which the upstream keeps the connection open, where it says so.
+/// Keep-alive timeout that the upstream advertises, in milliseconds.
 fn keep_alive_ms(response: &Response<Incoming>) -> Option<u64> {
     let value = response.headers().get("keep-alive")?.to_str().ok()?;
     let seconds = value
@@ -146,6 +149,7 @@
         .map(|seconds| seconds * 1_000)
 }
 
+/// Text of an error, with its cause.
 fn reason(err: &hyper::Error) -> String {
     use std::error::Error as _;
     match err.source() {
@@ -154,7 +158,7 @@
     }
 }
 
-/// Whether a header concerns one connection only.
+/// Whether a header is hop-by-hop.
 pub(crate) fn is_hop_header(name: &header::HeaderName) -> bool {
     matches!(
         *name,
--- a/crates/edge/src/front/aux_endpoint.rs
+++ b/crates/edge/src/front/aux_endpoint.rs
@@ -1,4 +1,4 @@
-//! Readiness, the directory and metrics.
+//! Auxiliary endpoints: readiness checks, the directory of instances, and metrics.
 
 use crate::node::Node;
 use bytes::Bytes;
@@ -6,12 +6,12 @@
 use hyper::{header, Request, Response, StatusCode};
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc};
 
-/// Lifetime of a directory answer, in seconds.
+/// Upper bound of the lifetime of a directory response, in seconds.
 const DIRECTORY_TTL_S: f64 = 2.0;
-/// Addresses that a directory answer names at most.
+/// Maximum number of addresses in a directory response.
 const MAX_ADDRESSES: usize = 64;
 
-/// A question to the directory.
+/// Query to the directory.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DirectoryQuery {
     /// Host that the caller wants to reach.
@@ -22,34 +22,34 @@
     pub data_centre: String,
 }
 
-/// How the deployment spells questions to the directory and its answers.
+/// Paths and encoding of the auxiliary endpoints in a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct AuxInterface {
     /// Path of readiness checks.
     pub ready_path: &'static str,
-    /// Path of questions to the directory.
+    /// Path of the directory.
     pub directory_path: &'static str,
-    /// Reads a question from the query.
+    /// Decodes the query string of a directory request.
     pub decode_query: fn(&str) -> DirectoryQuery,
-    /// Writes an answer: addresses and lifetime in seconds.
+    /// Encodes a directory response: addresses and lifetime in seconds.
     pub encode_answer: fn(&[SocketAddr], f64) -> Vec<u8>,
 }
 
 type AuxAnswer = Response<Full<Bytes>>;
 
-/// What a side address answers.
+/// Auxiliary endpoint.
 #[derive(Clone, Copy, Debug)]
 pub enum AuxEndpoint {
     /// Readiness checks.
     Ready,
-    /// Questions to the directory.
+    /// Directory of instances.
     Directory,
     /// Metrics.
     Metrics,
 }
 
 impl AuxEndpoint {
-    /// Answers a request.
+    /// Responds to a request.
     pub fn answer<B>(
         self,
         node: &Rc<Node>,
@@ -76,13 +76,14 @@
     }
 }
 
+/// Response with a status and an empty body.
 fn status(status: StatusCode) -> AuxAnswer {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
-/// Names the ready instances of the caller's region, or those of all others if there is none.
+/// Addresses of the ready instances in the caller's region, or in other regions if it has none.
 fn directory(
     node: &Rc<Node>,
     interface: &AuxInterface,
@@ -125,8 +126,8 @@
     response
 }
 
-/// Instances of the regions that may serve the most routes of the host. Callers that were sent
-/// elsewhere would ask for what no instance there may serve.
+/// Addresses in the regions that may serve the most routes of the host. Callers directed to any
+/// other region would send requests that no instance there may serve.
 fn in_other_regions(
     node: &Node,
     by_region: BTreeMap<String, Vec<SocketAddr>>,
@@ -142,6 +143,7 @@
     addresses.flat_map(|(_, addresses)| addresses).collect()
 }
 
+/// Metrics in the text format of Prometheus.
 fn metrics(node: &Rc<Node>) -> String {
     let now = node.now();
     let state = node.state.borrow();
--- a/crates/edge/src/front/body.rs
+++ b/crates/edge/src/front/body.rs
@@ -1,4 +1,4 @@
-//! Reading the body of a request.
+//! Reading of request bodies.
 
 use crate::{node::Node, pipeline::Refusal};
 use bytes::{Bytes, BytesMut};
@@ -9,11 +9,11 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Reads a body whole, within the limits on callers and until `deadline`.
+/// Reads a complete body, up to the configured size and until `deadline`.
 ///
 /// # Errors
 ///
-/// Returns the answer for a body that is too large, too slow or broken.
+/// Returns a refusal if the body is too large, too slow or malformed.
 pub async fn read_body(node: &Node, body: Incoming, deadline: Millis) -> Result<Bytes, Refusal> {
     let max_bytes = node.config().unwrap_or_default().limits.max_body_bytes;
     if body.size_hint().lower() > max_bytes as u64 {
@@ -29,20 +29,21 @@
     }
 }
 
+/// Collects the frames of a body of at most `max_bytes`.
 async fn collect_body(mut body: Incoming, max_bytes: usize) -> Result<Bytes, Refusal> {
     let mut first = Bytes::new();
     let mut rest = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame =
             frame.map_err(|_| Refusal::new(StatusCode::BAD_REQUEST, "the body is broken"))?;
-        // Trailers are not passed on.
+        // Trailers are dropped.
         let Ok(piece) = frame.into_data() else {
             continue;
         };
         if first.len() + rest.len() + piece.len() > max_bytes {
             return Err(too_large());
         }
-        // Most bodies come in one piece, which needs no copy.
+        // Most bodies arrive in one chunk, which needs no copy.
         if first.is_empty() && rest.is_empty() {
             first = piece;
         } else {
--- a/crates/edge/src/front/connections.rs
+++ b/crates/edge/src/front/connections.rs
@@ -1,4 +1,4 @@
-//! Callers' connections, and the time that they may take.
+//! Callers' connections and their timeouts.
 
 use carobwheel_core::time::{Clock, Millis};
 use std::{
@@ -15,43 +15,45 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// What a connection is doing.
+/// Phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Waits for a request since then.
+    /// Waiting for a request since this time.
     Idle(Millis),
-    /// Reads a head since then.
+    /// Reading the head of a request since this time.
     Head(Millis),
-    /// Serves a request.
+    /// Serving a request.
     Busy,
 }
 
-/// One connection as the sweep sees it.
+/// Activity of one connection, which the sweep checks for timeouts.
 #[derive(Debug)]
 pub(super) struct ConnectionActivity {
     phase: Cell<Phase>,
     clock: Clock,
-    /// Cancelled when the connection has to be closed.
+    /// Cancelled to close the connection.
     pub(super) close: CancellationToken,
 }
 
 impl ConnectionActivity {
-    /// Takes note that a head was read.
+    /// Records that the head of a request was read.
     pub(super) fn set_busy(&self) {
         self.phase.set(Phase::Busy);
     }
 
-    /// Takes note that an answer's head was handed over.
+    /// Records that the response was handed to the connection.
     pub(super) fn set_idle(&self) {
         self.phase.set(Phase::Idle(self.clock.now()));
     }
 
+    /// Records that bytes were read; the first ones start the head of a request.
     fn bytes_read(&self) {
         if let Phase::Idle(_) = self.phase.get() {
             self.phase.set(Phase::Head(self.clock.now()));
         }
     }
 
+    /// Records that bytes were written, which restarts the idle timeout.
     fn bytes_written(&self) {
         if let Phase::Idle(_) = self.phase.get() {
             self.phase.set(Phase::Idle(self.clock.now()));
@@ -59,7 +61,7 @@
     }
 }
 
-/// All open connections of callers.
+/// Open connections of callers.
 #[derive(Debug, Default)]
 pub struct Connections {
     open: RefCell<HashMap<u64, Rc<ConnectionActivity>>>,
@@ -67,7 +69,7 @@
 }
 
 impl Connections {
-    /// Takes note of a new connection.
+    /// Registers a new connection.
     pub(super) fn open(&self, clock: Clock) -> (u64, Rc<ConnectionActivity>) {
         let id = self.opened.get();
         self.opened.set(id + 1);
@@ -80,17 +82,17 @@
         (id, activity)
     }
 
-    /// Takes note that a connection is closed.
+    /// Removes a closed connection.
     pub(super) fn closed(&self, id: u64) {
         self.open.borrow_mut().remove(&id);
     }
 
-    /// How many connections are open.
+    /// Number of open connections.
     pub fn count(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Closes connections that have been idle, or have taken time over a head, for too long.
+    /// Closes connections that have exceeded the idle timeout or the timeout for a request's head.
     pub fn sweep(&self, head_timeout_ms: u64, idle_timeout_ms: u64, now: Millis) {
         for activity in self.open.borrow().values() {
             let is_over = match activity.phase.get() {
@@ -105,7 +107,7 @@
     }
 }
 
-/// A caller's stream that tells its track when bytes pass.
+/// Caller's stream that records reads and writes in its [`ConnectionActivity`].
 pub(super) struct TrackedStream {
     pub(super) stream: TcpStream,
     pub(super) activity: Rc<ConnectionActivity>,
--- a/crates/edge/src/front/handler.rs
+++ b/crates/edge/src/front/handler.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to its answer.
+//! Handling of one request from a caller.
 
 use super::read_body;
 use crate::{
@@ -9,10 +9,11 @@
 use hyper::{body::Incoming, http::request::Parts, Request, StatusCode};
 use std::rc::Rc;
 
-/// Time after which a caller may ask another instance when this one is stopping, in milliseconds.
+/// `Retry-After` while this instance is stopping, in milliseconds. Short, since another instance
+/// can take the request at once.
 const STOPPING_RETRY_AFTER_MS: u64 = 50;
 
-/// Counts a request for as long as it is under way.
+/// Guard that counts a request as in flight until it is dropped.
 struct InFlight(Rc<Node>);
 
 impl InFlight {
@@ -28,14 +29,14 @@
     }
 }
 
-/// What is logged of a request when it ends.
+/// Labels of the request in logs and metrics.
 struct Labels {
     request: String,
     route: String,
     account: String,
 }
 
-/// Answers a request.
+/// Handles a request and records its outcome in logs and metrics.
 pub async fn handle(node: Rc<Node>, request: Request<Incoming>) -> Answer {
     let in_flight = InFlight::new(&node);
     let started_at = node.now();
@@ -82,6 +83,7 @@
     }
 }
 
+/// Identifies, admits and runs a request.
 async fn serve(
     node: &Rc<Node>,
     head: Parts,
@@ -115,6 +117,7 @@
     outcome
 }
 
+/// Refuses heads that are too large, and bodies with two lengths, which could smuggle a request.
 fn check_head(head: &Parts, max_head_bytes: usize) -> Result<(), Refusal> {
     let fields = head
         .headers
--- a/crates/edge/src/front/listen.rs
+++ b/crates/edge/src/front/listen.rs
@@ -1,4 +1,4 @@
-//! Accepting connections.
+//! Listening sockets and the tasks that accept connections.
 
 use super::{connections::TrackedStream, handle, AuxEndpoint, AuxInterface, Connections};
 use crate::node::Node;
@@ -11,13 +11,14 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Connections that may wait to be accepted.
+/// Backlog of the listening sockets, in connections.
 const BACKLOG: u32 = 1_024;
-/// Pause after a connection could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Smallest buffer that the library takes, in bytes.
+/// Smallest read buffer that hyper accepts, in bytes.
 const MIN_READ_BYTES: usize = 8 * 1024;
-/// Room for a head besides its limit, so that one that is a little too large is answered.
+/// Buffer space beyond the limit on heads, so that a head slightly over the limit gets a response,
+/// in bytes.
 const HEAD_ROOM_BYTES: usize = 2 * 1024;
 
 /// Opens a listening socket.
@@ -32,7 +33,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Serves callers. Once `drain` is cancelled, connections end after the request that they carry.
+/// Serves callers. After `drain` is cancelled, connections close when their current request ends.
 pub async fn serve_callers(
     node: Rc<Node>,
     listener: TcpListener,
@@ -52,13 +53,14 @@
     }
 }
 
+/// Serves one connection of a caller.
 async fn serve_caller(
     node: Rc<Node>,
     stream: TcpStream,
     connections: &Connections,
     drain: CancellationToken,
 ) {
-    // Without it small writes wait for acknowledgements; the connection works all the same.
+    // Best effort: without this option small writes wait for acknowledgements.
     drop(stream.set_nodelay(true));
     let (id, activity) = connections.open(node.clock);
     let limits = node.config().unwrap_or_default().limits;
@@ -76,7 +78,7 @@
             Ok::<_, Infallible>(answer)
         }
     });
-    // A connection that is opened late carries one request, which is refused.
+    // A connection opened while draining serves a single request, which is refused.
     let is_draining = drain.is_cancelled();
     let mut builder = http1::Builder::new();
     builder
@@ -85,7 +87,7 @@
         .keep_alive(!is_draining);
     let mut connection = std::pin::pin!(builder.serve_connection(io, service));
     tokio::select! {
-        // The caller sees a broken connection itself.
+        // The caller notices a broken connection itself.
         result = connection.as_mut() => drop(result),
         () = activity.close.cancelled() => {}
         () = drain.cancelled(), if !is_draining => {
@@ -96,7 +98,7 @@
     connections.closed(id);
 }
 
-/// Serves a side address.
+/// Serves an auxiliary endpoint.
 pub async fn serve_aux(
     node: Rc<Node>,
     listener: TcpListener,
@@ -116,7 +118,7 @@
             });
             let mut builder = http1::Builder::new();
             builder.max_buf_size(MIN_READ_BYTES).auto_date_header(false);
-            // The asker sees a broken connection itself.
+            // The client notices a broken connection itself.
             drop(
                 builder
                     .serve_connection(TokioIo::new(stream), service)
--- a/crates/edge/src/front/mod.rs
+++ b/crates/edge/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! What callers connect to.
+//! Endpoints that callers connect to.
 
 mod aux_endpoint;
 mod body;
--- a/crates/edge/src/node/apply.rs
+++ b/crates/edge/src/node/apply.rs
@@ -1,4 +1,4 @@
-//! Applying news from the store.
+//! Application of changes in the store to the instance's state.
 
 use super::Node;
 use crate::{
@@ -11,11 +11,12 @@
 };
 use std::{rc::Rc, sync::Arc};
 
-/// Time after an outage of the store in which missing entries may come back, in milliseconds.
+/// Time after an outage of the store during which missing entries may still be registered again, in
+/// milliseconds.
 const OUTAGE_GRACE_MS: u64 = 2_500;
 
 impl Node {
-    /// Applies one piece of news.
+    /// Applies one decoded change.
     pub fn apply(&self, news: News) {
         match news {
             News::Config(parts) => self.apply_config(*parts),
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Takes note of an event of the store.
+    /// Handles an event of the store's thread.
     pub fn apply_store_event(&self, event: StoreEvent) {
         match event {
             StoreEvent::Listed(prefix, listing) => {
@@ -73,6 +74,7 @@
         }
     }
 
+    /// Updates the replica of a prefix. Returns the facts that are new.
     fn with_replica(
         &self,
         prefix: &str,
@@ -85,12 +87,13 @@
         update(&mut state.replica, at)
     }
 
-    /// Takes facts that another instance has told.
+    /// Applies facts that were pulled from another instance.
     pub fn apply_pulled_facts(&self, prefix: usize, facts: Facts) {
         let fresh = self.state.borrow_mut().replica.learn(prefix, facts);
         self.apply_facts(&fresh);
     }
 
+    /// Decodes new facts and applies them.
     fn apply_facts(&self, facts: &[Fact]) {
         for fact in facts {
             let news = match &fact.value {
@@ -103,6 +106,7 @@
         }
     }
 
+    /// Applies a configuration unless it is older than the one in force.
     fn apply_config(&self, parts: ConfigParts) {
         let config = Rc::new(Config::from(parts));
         let mut state = self.state.borrow_mut();
@@ -130,6 +134,7 @@
         state.config = Some(config);
     }
 
+    /// Marks or unmarks a data centre as evacuated.
     fn set_evacuated(&self, data_centre: &Arc<str>, is_evacuated: bool) {
         let mut state = self.state.borrow_mut();
         let is_change = if is_evacuated {
@@ -145,6 +150,7 @@
         }
     }
 
+    /// Starts the trial that a rollout order asks for, unless it is already running.
     fn apply_order(&self, order: Order) {
         let mut state = self.state.borrow_mut();
         let known = state.trials.get(&order.service);
@@ -164,7 +170,7 @@
         state.trials.insert(key.0, trial);
     }
 
-    /// Takes note of a verdict that stands, or that another instance tells of.
+    /// Applies a verdict from the store (`is_own`) or from another instance's gossip.
     pub(super) fn apply_verdict(
         &self,
         service: &Arc<str>,
@@ -200,6 +206,7 @@
         });
     }
 
+    /// Adds or updates an upstream from its entry in the store.
     fn apply_upstream(&self, seen: Sighting) {
         let now = self.now();
         let data_centre: &str = &seen.data_centre;
@@ -244,6 +251,7 @@
         }
     }
 
+    /// Marks an upstream whose entry was removed as missing.
     fn upstream_gone(&self, id: &str) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -258,6 +266,7 @@
         });
     }
 
+    /// Adds or updates another instance, and dials it if its entry is new.
     fn apply_member(&self, entry: MemberEntry) {
         if entry.name == self.name {
             return;
@@ -277,6 +286,7 @@
         }
     }
 
+    /// Records the start of an outage of the store.
     fn store_lost(&self, reason: &str) {
         self.state
             .borrow_mut()
@@ -288,6 +298,7 @@
         });
     }
 
+    /// Records the end of an outage of the store.
     fn store_back(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
--- a/crates/edge/src/node/evidence.rs
+++ b/crates/edge/src/node/evidence.rs
@@ -1,4 +1,5 @@
-//! How the ends of requests change what the instance believes of upstreams and versions.
+//! Recording of request outcomes, which feed the health of upstreams and the evidence on new
+//! versions.
 
 use super::Node;
 use crate::{
@@ -9,19 +10,19 @@
 };
 use std::sync::Arc;
 
-/// A send of one request to one upstream, as far as evidence is concerned.
+/// Identifiers of one send of a request to an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct SendIds<'a> {
-    /// Request.
+    /// Request id.
     pub request: &'a str,
-    /// Route.
+    /// Name of the route.
     pub route: &'a str,
-    /// Upstream.
+    /// Id of the upstream.
     pub upstream: &'a str,
 }
 
 impl Node {
-    /// Takes note of how a send ended.
+    /// Records the outcome of a send.
     pub fn note_outcome(&self, sent: SendIds<'_>, outcome: Outcome) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -35,7 +36,8 @@
         let is_ejected = upstream.health.note(outcome, now);
         let error_share = upstream.health.error_share();
         if outcome == Outcome::Unreachable {
-            // A process that starts again at this address starts cold.
+            // An unreachable upstream may be restarting, and the new process at its address starts
+            // cold.
             let cold_ms = state.service(&service).map_or(0, |service| service.cold_ms);
             if let Some(upstream) = state.upstreams.by_id.get_mut(sent.upstream) {
                 if cold_ms > 0 {
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Takes note that an upstream is cold for `left_ms` milliseconds more.
+    /// Sets the time for which an upstream states that it stays cold.
     pub fn note_cold(&self, id: &str, left_ms: u64) {
         let now = self.now();
         if let Some(upstream) = self.state.borrow_mut().upstreams.by_id.get_mut(id) {
@@ -78,14 +80,14 @@
         }
     }
 
-    /// Takes work from an upstream's load.
+    /// Subtracts completed work from the upstream's load.
     pub fn remove_load(&self, id: &str, load: Load) {
         if let Some(upstream) = self.state.borrow_mut().upstreams.by_id.get_mut(id) {
             upstream.own -= load;
         }
     }
 
-    /// Takes note of the speed at which an upstream read prompts.
+    /// Records a sample of an upstream's prefill speed.
     pub fn note_speed(&self, id: &str, tokens: f64, ms: f64) {
         if let Some(upstream) = self.state.borrow_mut().upstreams.by_id.get_mut(id) {
             upstream.note_speed(tokens, ms);
@@ -93,6 +95,7 @@
     }
 }
 
+/// Adds an outcome to the counts of a version.
 fn add(counts: &mut Counts, outcome: Outcome) {
     counts.sent += 1;
     match outcome {
--- a/crates/edge/src/node/gossip.rs
+++ b/crates/edge/src/node/gossip.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other.
+//! Gossip between instances: construction of messages and handling of received ones.
 
 use super::Node;
 use crate::hash::short_hash;
@@ -12,34 +12,34 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, sync::Arc};
 
-/// Largest figure of an outlook that is report.
+/// Upper bound of the values in an [`OutlookReport`].
 const MAX_OUTLOOK_VALUE: f64 = 1_000_000.0;
 
-/// State of one move as an instance sees it.
+/// Sender's state of one rollout.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TrialReport {
     /// Hash of the service's name.
     pub service: u32,
-    /// Hash of the target's name.
+    /// Hash of the target version's name.
     pub target: u32,
-    /// The instance has found the new version bad.
+    /// Whether the sender suspects the new version to be bad.
     pub is_suspect: bool,
-    /// The verdict that stands, if any: true for `complete`.
+    /// Verdict known to the sender, if any: true for `complete`, false for `reverted`.
     pub verdict: Option<bool>,
-    /// Evidence by hash of the route's name.
+    /// Sender's own evidence, by hash of the route's name.
     pub routes: Vec<(u32, RouteEvidence)>,
 }
 
-/// What jobs of one kind have to expect of a service in a region.
+/// Expected latency of jobs of one kind for a service in the sender's region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutlookReport {
     /// Hash of the service's name.
     pub service: u32,
     /// Kind of job.
     pub kind: Kind,
-    /// Wait for the first token, in milliseconds.
+    /// Expected time to the first token, in milliseconds.
     pub wait_ms: u32,
-    /// Time for each token, in microseconds.
+    /// Expected time per token, in microseconds.
     pub pace_us: u32,
 }
 
@@ -63,35 +63,36 @@
     }
 }
 
-/// One message between instances.
+/// Gossip message. Instances of a region exchange loads, instances of different regions outlooks.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Gossip {
-    /// Lifetime of the sender.
+    /// Start time of the sender's process, which identifies its lifetime.
     pub life: u64,
-    /// The sender takes requests.
+    /// Whether the sender takes requests.
     pub is_ready: bool,
-    /// The store answers the sender.
+    /// Whether the sender has a complete replica and is connected to the store.
     pub has_store: bool,
-    /// Revisions up to which the sender knows the followed parts of the store.
+    /// Revision of the sender's replica, by position of the prefix.
     pub revisions: Vec<u64>,
-    /// Work of the sender, by hash of the upstream's identifier; only within a region.
+    /// Load that the sender has placed on upstreams, by hash of the upstream's id; empty between
+    /// regions.
     pub loads: Vec<(u32, Load)>,
-    /// Tokens that callers have asked of the sender, by hash of the account's name.
+    /// Tokens that callers have requested from the sender, by hash of the account's name.
     pub asked: Vec<(u32, u64)>,
-    /// What jobs have to expect in the sender's region; only to other regions.
+    /// Expected latencies in the sender's region; empty within a region.
     pub outlooks: Vec<OutlookReport>,
-    /// Moves.
+    /// State of rollouts.
     pub trials: Vec<TrialReport>,
 }
 
 impl Node {
-    /// Time between two messages to an instance, in milliseconds.
-    pub fn gossip_period_ms(&self, is_near: bool) -> u64 {
+    /// Interval between two messages to an instance, in milliseconds.
+    pub fn gossip_period_ms(&self, is_same_region: bool) -> u64 {
         let state = self.state.borrow();
-        state.members.period_ms(&self.region, is_near)
+        state.members.period_ms(&self.region, is_same_region)
     }
 
-    /// What another instance should hear; loads only within the region.
+    /// Builds the message for instances of the own region, or of other regions.
     pub fn gossip(&self, is_same_region: bool) -> Gossip {
         let is_ready = self.is_ready();
         let services: Vec<Arc<str>> = {
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Takes note of what the instance `name` tells.
+    /// Applies a message from the instance `name`. Messages of an earlier lifetime are ignored.
     pub fn receive_gossip(&self, name: &Arc<str>, gossip: Gossip) {
         let now = self.now();
         let verdicts = {
@@ -188,6 +189,7 @@
 }
 
 impl super::State {
+    /// Replaces the sender's load on each upstream.
     fn apply_loads(&mut self, name: &Arc<str>, gossip: &Gossip, now: Millis) {
         let loads: HashMap<u32, Load> = gossip.loads.iter().copied().collect();
         for upstream in self.upstreams.by_id.values_mut() {
@@ -202,6 +204,7 @@
         }
     }
 
+    /// Merges the sender's evidence and suspicions. Returns the verdicts that it reports.
     fn apply_trial_reports(
         &mut self,
         node: &Node,
--- a/crates/edge/src/node/mod.rs
+++ b/crates/edge/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! One instance: its state, and what changes it.
+//! State of the instance, and the operations that read and change it.
 
 mod apply;
 mod evidence;
--- a/crates/edge/src/node/state.rs
+++ b/crates/edge/src/node/state.rs
@@ -1,4 +1,4 @@
-//! What one instance knows.
+//! State of an instance, and the decisions that are based on it.
 
 use crate::{
     cold::{ColdRate, COLD_USERS},
@@ -27,102 +27,102 @@
 };
 use tokio::sync::mpsc::Sender;
 
-/// Time after a signal to stop in which requests are still taken, in milliseconds.
+/// Time after the signal to stop during which new requests are still accepted, in milliseconds.
 const ACCEPT_WHILE_LEAVING_MS: u64 = 2_700;
-/// Other instances of a region below which each looks at all upstreams.
+/// Number of other instances in the region below which each instance considers all upstreams.
 const SMALL_REGION_INSTANCES: usize = 6;
-/// Upstreams that an instance of a larger region looks at by chance.
+/// Number of upstreams that an instance of a larger region samples at random.
 const SAMPLED_UPSTREAMS: usize = 3;
-/// Part of the deployment's slack on limits that is used; the rest covers lateness.
+/// Share of the deployment's slack on limits that is used; the rest covers the delay of gossip.
 const LIMIT_SLACK_SHARE: f64 = 0.5;
-/// Time for which a version without an order is not used, in milliseconds.
+/// Time for which a version that no rollout order names is not used, in milliseconds.
 const UNORDERED_VERSION_HOLD_MS: u64 = 3_000;
 
-/// One instance.
+/// State and services of this instance, shared by all its tasks.
 pub struct Node {
     /// Settings.
     pub settings: Settings,
     /// Name of the instance.
     pub name: Arc<str>,
-    /// Own region.
+    /// Region of the instance.
     pub region: Arc<str>,
-    /// Start of the process in civil time, in milliseconds.
+    /// Start time of the process in Unix milliseconds, which identifies its lifetime.
     pub life: u64,
     /// Header names.
     pub names: HeaderNames,
-    /// Turns items of the store into news.
+    /// Decodes items of the store.
     pub decoder: Decoder,
     /// Clock.
     pub clock: Clock,
-    /// Logs.
+    /// Log.
     pub log: Log,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Connections to upstreams.
+    /// Pooled connections to upstreams.
     pub pools: Pools,
     /// Links to other instances.
     pub links: Links,
-    /// States of moves to record in the store.
+    /// Queue of verdicts to write to the store.
     pub record: Sender<Recorded>,
-    /// Whether this instance watches the store for others of its region.
+    /// Whether this instance watches the store on behalf of its region.
     pub is_watcher: tokio::sync::watch::Sender<bool>,
-    /// Requests of callers that wait for the head of their answer.
+    /// Number of callers' requests whose response head has not been sent yet.
     pub in_flight: Cell<usize>,
-    /// Exchanges with other instances that are under way.
+    /// Number of exchanges with other instances that are in progress.
     pub peer_exchanges: Cell<usize>,
-    /// Everything that decisions look at.
+    /// Mutable state.
     pub state: RefCell<State>,
 }
 
-/// Everything that decisions look at.
+/// Mutable state of the instance.
 #[derive(Debug, Default)]
 pub struct State {
-    /// Configuration in force, once one is known.
+    /// Configuration in force; `None` until the first one is loaded.
     pub config: Option<Rc<Config>>,
-    /// Upstreams.
+    /// Known upstreams.
     pub upstreams: Upstreams,
     /// Other instances.
     pub members: Members,
-    /// Tokens of accounts.
+    /// Token buckets by account.
     pub buckets: HashMap<Arc<str>, Bucket>,
-    /// Work that callers have asked for lately, by service.
+    /// Recent mix of requested work, by service.
     pub mixes: HashMap<Arc<str>, Mix>,
-    /// Budgets of repeats by service.
+    /// Retry budgets by service.
     pub budgets: HashMap<Arc<str>, RetryBudget>,
-    /// Data centres that must get nothing.
+    /// Data centres that receive no requests.
     pub evacuated: HashSet<Arc<str>>,
-    /// Moves by service.
+    /// Rollouts by service.
     pub trials: HashMap<Arc<str>, Trial>,
-    /// Verdicts that stood before their order was seen, by service and target.
+    /// Verdicts by service and target; also those that were read before their rollout order.
     pub verdicts: HashMap<(Arc<str>, Arc<str>), Verdict>,
-    /// Versions of services and when they were first seen.
+    /// Time at which each version was first seen, by service and version.
     pub versions: HashMap<(Arc<str>, Arc<str>), Millis>,
-    /// Copy of the followed parts of the store.
+    /// Replica of the followed prefixes of the store.
     pub replica: Replica,
-    /// Prefixes of which another instance knows more, and since when.
+    /// Time since which another instance has had a newer revision, by position of the prefix.
     pub behind: HashMap<usize, Millis>,
-    /// The store does not answer since then.
+    /// Start of the current outage of the store.
     pub store_lost_at: Option<Millis>,
-    /// The store answered again then.
+    /// End of the last outage of the store.
     pub store_back_at: Option<Millis>,
-    /// The instance was told to stop then.
+    /// Time of the signal to stop.
     pub leaving_at: Option<Millis>,
 }
 
-/// What is asked of the upstreams of a region.
+/// Input of a placement decision.
 pub struct PlacementRequest<'a> {
-    /// Service.
+    /// Name of the service.
     pub service: &'a Arc<str>,
-    /// Request.
+    /// Prompt and expected answer.
     pub job: &'a Job,
-    /// Upstreams that have had it.
+    /// Upstreams to exclude, since the request was already offered to them.
     pub tried: &'a [Arc<str>],
-    /// Whether it goes to the version on trial, by a draw from 0 up to 1.
+    /// Random number in `[0, 1)` that decides whether the request goes to the version on trial.
     pub draw: f64,
 }
 
 impl Node {
-    /// The current time.
+    /// Current time.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
@@ -133,18 +133,18 @@
         state.config.is_some() && state.replica.is_complete() && state.leaving_at.is_none()
     }
 
-    /// Whether the instance was told to stop.
+    /// Whether the instance has received the signal to stop.
     pub fn is_leaving(&self) -> bool {
         self.state.borrow().leaving_at.is_some()
     }
 
-    /// Whether the instance was told to stop so long ago that a new request might be cut.
+    /// Whether the signal to stop was so long ago that a new request might not complete.
     pub fn is_refusing_requests(&self) -> bool {
         let leaving_at = self.state.borrow().leaving_at;
         leaving_at.is_some_and(|at| self.now().since(at) >= ACCEPT_WHILE_LEAVING_MS)
     }
 
-    /// The configuration in force.
+    /// Configuration in force.
     pub fn config(&self) -> Option<Rc<Config>> {
         self.state.borrow().config.clone()
     }
@@ -158,7 +158,7 @@
         })
     }
 
-    /// What a job of the service has to expect in the own region.
+    /// Expected latency of a job of the service in the own region.
     pub fn region_outlook(&self, service: &Arc<str>, kind: Kind) -> Option<Outlook> {
         let now = self.now();
         let state = self.state.borrow();
@@ -173,11 +173,11 @@
         })
     }
 
-    /// Takes tokens of the account for a request.
+    /// Charges tokens to an account's bucket.
     ///
     /// # Errors
     ///
-    /// Returns the milliseconds until they will be there.
+    /// Returns the time until enough tokens are available, in milliseconds.
     pub fn charge(&self, account: &Account, tokens: u64) -> Result<(), u64> {
         if account.tokens_per_s <= 0.0 {
             return Ok(());
@@ -202,13 +202,14 @@
         bucket.take(tokens, &limit, fleet, now)
     }
 
-    /// Gives back tokens of a request that did not run.
+    /// Refunds the tokens of a request that has not run.
     pub fn refund(&self, account: &Account, tokens: u64) {
         if let Some(bucket) = self.state.borrow_mut().buckets.get_mut(&account.name) {
             bucket.give_back(tokens);
         }
     }
 
+    /// Bounds of the retry budgets, from the settings.
     fn retry_bounds(&self) -> RetryBounds {
         let bounds = &self.settings.bounds;
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Takes note of a request to `service` that is to run in the own region.
+    /// Counts a request to `service` that is about to run in the own region.
     pub fn note_request(&self, service: &Arc<str>, job: &Job) {
         let (bounds, now) = (self.retry_bounds(), self.now());
         let mut state = self.state.borrow_mut();
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Takes one repeat to `service`; false if none is left.
+    /// Takes one retry from the service's budget. Returns false if the budget is exhausted.
     pub fn try_repeat(&self, service: &Arc<str>) -> bool {
         let (bounds, now) = (self.retry_bounds(), self.now());
         let mut state = self.state.borrow_mut();
@@ -242,7 +243,7 @@
         budget.try_take(&bounds, instances, now)
     }
 
-    /// Takes note that a request goes to an upstream.
+    /// Records that a request is sent to an upstream.
     pub fn note_sent(&self, placed: &Placed, job: &Job, cold_per_s: f64) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -264,27 +265,27 @@
 }
 
 impl State {
-    /// The service of this name.
+    /// Service with this name.
     pub fn service(&self, name: &str) -> Option<Rc<Service>> {
         self.config
             .as_ref()
             .and_then(|config| config.services.get(name).cloned())
     }
 
-    /// What takes most of an upstream's time for a job.
+    /// Kind of a job: the phase that takes most of an upstream's time for it.
     pub fn kind_of(&self, service: &str, job: &Job) -> Kind {
         let service = self.service(service);
         let engine = service.as_ref().and_then(|service| service.engine);
         engine.map_or(Kind::Reading, |engine| Kind::of(job, engine.slots))
     }
 
-    /// How many instances of the region use one cold upstream.
+    /// Number of instances of the region that share one cold upstream.
     fn cold_users(&self, node: &Node, now: Millis) -> usize {
         let others = self.region_members(node, now).len();
         (others + 1).min(COLD_USERS)
     }
 
-    /// Other instances of the region that may be at work, heard or not.
+    /// Other instances of the region that may be running, whether or not their gossip arrives.
     fn region_members(&self, node: &Node, _: Millis) -> Vec<&Arc<str>> {
         let members = self.members.by_name.values();
         members
@@ -293,7 +294,8 @@
             .collect()
     }
 
-    /// Whether this instance is one of those that use the cold upstream `id`.
+    /// Whether this instance is one of those that use the cold upstream `id`, by rendezvous
+    /// hashing.
     fn is_cold_user(&self, node: &Node, id: &str, now: Millis) -> bool {
         let weight = |name: &str| name_pair_hash(name, id);
         let own = weight(&node.name);
@@ -301,6 +303,7 @@
         ahead.iter().filter(|name| weight(name) > own).count() < COLD_USERS
     }
 
+    /// Builds the placement rules for a request and passes them to `decide`.
     fn with_rules<T>(
         &self,
         node: &Node,
@@ -334,6 +337,7 @@
         decide(&rules)
     }
 
+    /// Whether the request may go to this version, by the rollout of the service.
     fn is_version_allowed(
         &self,
         node: &Node,
@@ -352,7 +356,7 @@
         if self.verdicts.get(&key) == Some(&Verdict::Reverted) {
             return false;
         }
-        // A version may show up shortly before the order that concerns it.
+        // Instances of a new version may register shortly before the rollout order is written.
         let is_only = self
             .versions
             .keys()
@@ -367,14 +371,14 @@
     }
 }
 
-/// Hash of a pair of names, alike on all instances.
+/// Hash of a pair of names, equal on all instances.
 fn name_pair_hash(a: &str, b: &str) -> u32 {
     short_hash(&format!("{a}/{b}"))
 }
 
-/// How urgent a request is to an upstream, from 0 (first) to 9.
+/// Priority of a request for the upstream, from 0 (highest) to 9.
 pub fn urgency(route: &Route, account: Option<&Account>) -> u8 {
-    /// Urgency of a request of the highest rank.
+    /// Priority of requests of the highest rank.
     const FIRST: u8 = 3;
     let rank = account
         .and_then(|account| account.rank)
--- a/crates/edge/src/node/tick.rs
+++ b/crates/edge/src/node/tick.rs
@@ -1,28 +1,29 @@
-//! What the instance does from time to time.
+//! Periodic work of the instance.
 
 use super::Node;
 use crate::{log::Event, rollout::Verdict, store::Recorded};
 use std::sync::Arc;
 
-/// Time that an instance leaves to those before it to record a verdict, in milliseconds.
+/// Delay per preceding instance before an instance records a verdict itself, in milliseconds.
 const VERDICT_STAGGER_MS: u64 = 300;
 
-/// Time for which another instance has to know more before it is asked, in milliseconds.
+/// Time for which another instance has to be ahead before changes are pulled from it, in
+/// milliseconds.
 const PULL_DELAY_MS: u64 = 400;
 
-/// A question to another instance for a part of the store.
+/// Request to another instance for changes of a prefix of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pull {
-    /// Instance.
+    /// Name of the instance.
     pub member: Arc<str>,
     /// Position of the prefix.
     pub prefix: usize,
-    /// Revision up to which it is known here.
+    /// Revision of the own replica.
     pub after: u64,
 }
 
 impl Node {
-    /// Looks at everything that changes with time alone.
+    /// Removes expired upstreams and members, updates the watcher role and advances rollouts.
     pub fn tick(&self) {
         let now = self.now();
         let (upstreams, members) = {
@@ -46,7 +47,7 @@
         self.advance_trials();
     }
 
-    /// Parts of the store of which another instance has known more for a while.
+    /// Prefixes for which another instance has been ahead for [`PULL_DELAY_MS`].
     pub fn due_pulls(&self) -> Vec<Pull> {
         let now = self.now();
         let mut state = self.state.borrow_mut();
@@ -79,6 +80,7 @@
         pulls
     }
 
+    /// Advances all rollouts, and queues the verdicts that this instance has to record.
     fn advance_trials(&self) {
         let now = self.now();
         let position = self.verdict_position();
@@ -125,7 +127,7 @@
         }
     }
 
-    /// How many ready instances come before this one in recording verdicts.
+    /// Number of ready instances that precede this one in recording verdicts.
     fn verdict_position(&self) -> u64 {
         let now = self.now();
         let state = self.state.borrow();
--- a/crates/edge/src/peers/accept.rs
+++ b/crates/edge/src/peers/accept.rs
@@ -1,4 +1,4 @@
-//! Links that other instances dial.
+//! Serving of links that other instances have dialled.
 
 use super::{
     decode, exchange::READ_BYTES, pull, tls::peer_digest, Links, MAX_GOSSIP_BYTES, PULL_HEADER,
@@ -18,21 +18,20 @@
 use std::{convert::Infallible, rc::Rc, sync::Arc, time::Duration};
 use tokio::time::sleep;
 
-/// Times that the entry of an instance that dials is looked for.
+/// Number of lookups of the entry of an instance that dials.
 const ENTRY_LOOKUPS: u32 = 20;
-/// Time between two such looks.
+/// Pause between two such lookups.
 const ENTRY_LOOKUP_PAUSE: Duration = Duration::from_millis(100);
-/// Time after which a request comes back that this instance refused because it is stopping, in
-/// milliseconds.
+/// `Retry-After` of forwarded requests while this instance is stopping, in milliseconds.
 const STOPPING_RETRY_AFTER_MS: u64 = 100;
 
 impl Links {
-    /// Serves the links that other instances dial.
+    /// Accepts and serves the links that other instances dial.
     pub async fn accept_all(node: Rc<Node>) {
         while let Some(incoming) = node.links.endpoint.accept().await {
             let node = Rc::clone(&node);
             tokio::task::spawn_local(async move {
-                // The instance that dials learns of a failure itself, and dials again.
+                // The dialling instance notices the failure itself and dials again.
                 let Ok(connection) = incoming.await else {
                     return;
                 };
@@ -45,7 +44,8 @@
     }
 }
 
-/// The name of the instance that has shown its certificate. Its entry may come a little later.
+/// Name of the instance that has presented its certificate. Waits for a moment if its entry has not
+/// been replicated yet.
 async fn name_by_certificate(node: &Node, connection: &quinn::Connection) -> Option<Arc<str>> {
     let digest = peer_digest(connection)?;
     for _ in 0..ENTRY_LOOKUPS {
@@ -63,6 +63,8 @@
     None
 }
 
+/// Serves a link: gossip in datagrams or unidirectional streams, and exchanges in bidirectional
+/// ones.
 async fn serve(node: Rc<Node>, name: Arc<str>, connection: quinn::Connection) {
     loop {
         tokio::select! {
@@ -92,6 +94,7 @@
     }
 }
 
+/// Decodes and applies a gossip message.
 fn receive_gossip(node: &Node, name: &Arc<str>, bytes: &[u8]) {
     match decode(bytes) {
         Ok(gossip) => node.receive_gossip(name, gossip),
@@ -103,7 +106,7 @@
     }
 }
 
-/// Counts an exchange for as long as it is under way.
+/// Guard that counts an exchange as in progress until it is dropped.
 struct ExchangeGuard(Rc<Node>);
 
 impl ExchangeGuard {
@@ -119,8 +122,9 @@
     }
 }
 
+/// Serves one exchange.
 async fn serve_stream(node: Rc<Node>, send: quinn::SendStream, receive: quinn::RecvStream) {
-    let _counted = ExchangeGuard::new(&node);
+    let _guard = ExchangeGuard::new(&node);
     let io = TokioIo::new(tokio::io::join(receive, send));
     let service = service_fn(move |request| {
         let node = Rc::clone(&node);
@@ -131,10 +135,11 @@
         .max_buf_size(READ_BYTES)
         .auto_date_header(false)
         .keep_alive(false);
-    // A broken exchange is seen, and logged, by the instance that forwarded the request.
+    // The instance that forwarded the request notices and logs a broken exchange.
     drop(builder.serve_connection(io, service).await);
 }
 
+/// Answers a pull, or runs a forwarded request in the own region.
 async fn handle_request(node: &Rc<Node>, request: Request<Incoming>) -> Answer {
     if let Some(query) = request.headers().get(PULL_HEADER) {
         return match pull::answer(node, query) {
@@ -144,7 +149,7 @@
     }
     let outcome = if node.is_leaving() {
         // A long stream that starts now would be cut at the end of the grace period, and the
-        // instance that forwards may be stopping too.
+        // forwarding instance may be stopping too.
         let reason = "the instance is stopping";
         Err(Refusal::not_run(reason, STOPPING_RETRY_AFTER_MS))
     } else {
@@ -162,6 +167,7 @@
     })
 }
 
+/// Reads a forwarded request and its metadata.
 async fn read_forwarded(
     node: &Node,
     request: Request<Incoming>,
--- a/crates/edge/src/peers/congestion.rs
+++ b/crates/edge/src/peers/congestion.rs
@@ -1,17 +1,17 @@
 //! Congestion control of links.
 //!
-//! Links carry little compared with their bandwidth, over round trips of up to a fifth of a second
-//! and with some loss that no congestion has caused. A window that halves with each loss would hold
-//! requests up for seconds, so it stays above a floor.
+//! Links carry little traffic compared with their bandwidth, over round trips of up to 200 ms and
+//! with some packet loss that is not due to congestion. A window that is halved on each loss would
+//! delay requests by seconds, so the window has a lower bound.
 
 use quinn::congestion::{Controller, ControllerFactory, CubicConfig};
 use quinn_proto::RttEstimator;
 use std::{any::Any, sync::Arc, time::Instant};
 
-/// Smallest window, in bytes.
+/// Lower bound of the congestion window, in bytes.
 const MIN_WINDOW_BYTES: u64 = 192 * 1024;
 
-/// Makes controllers with a floor.
+/// Factory of CUBIC controllers with a lower bound on the window.
 #[derive(Debug, Default)]
 pub(super) struct WindowFloorConfig(Arc<CubicConfig>);
 
@@ -21,6 +21,7 @@
     }
 }
 
+/// CUBIC controller with a lower bound on the window.
 struct WindowFloor(Box<dyn Controller>);
 
 impl Controller for WindowFloor {
--- a/crates/edge/src/peers/dial.rs
+++ b/crates/edge/src/peers/dial.rs
@@ -13,17 +13,18 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Age up to which a message serves for several instances, in milliseconds.
+/// Maximum age of a gossip message that is reused for further instances, in milliseconds.
 const MESSAGE_REUSE_MS: u64 = 40;
-/// Pauses between attempts to dial: the first and the longest.
+/// First and longest pause between attempts to dial.
 const REDIAL_PAUSES: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(1_500)];
-/// Time for telling other ends that links are closed.
+/// Time allowed for closing all links.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Members that may wait to be dialled.
+/// Capacity of the queue of members to dial.
 const DIAL_QUEUE_ENTRIES: usize = 1_024;
-/// Name that certificates bear.
+/// Server name in all certificates.
 const SERVER_NAME: &str = "carobwheel";
 
+/// Link to one instance.
 #[derive(Debug, Default)]
 struct Link {
     connection: Option<quinn::Connection>,
@@ -33,19 +34,21 @@
 /// Links to other instances.
 pub struct Links {
     identity: Identity,
-    /// The endpoint that other instances dial; new links start from it as well.
+    /// Endpoint that other instances dial. First attempts to dial use it as well.
     pub(super) endpoint: quinn::Endpoint,
     by_name: RefCell<HashMap<Arc<str>, Link>>,
+    /// Last gossip messages for other regions and for the own region, with the time of their
+    /// encoding.
     cached_messages: [RefCell<Option<(Millis, Bytes)>>; 2],
     to_dial: Sender<MemberEntry>,
 }
 
 impl Links {
-    /// Binds the endpoint. The second value feeds [`Links::dial_all`].
+    /// Binds the endpoint. The returned receiver has to be passed to [`Links::dial_all`].
     ///
     /// # Errors
     ///
-    /// Fails if the address cannot be used.
+    /// Fails if the address cannot be bound.
     pub fn bind(
         identity: Identity,
         address: SocketAddr,
@@ -63,36 +66,36 @@
         Ok((links, dialled))
     }
 
-    /// Asks for a link to an instance, in place of one to an earlier lifetime of it.
+    /// Queues an instance to be dialled. Replaces a link to an earlier lifetime of it.
     pub fn dial(&self, entry: MemberEntry) {
         self.forget(&entry.name);
-        // A full ring means that hundreds of instances are new; they are seen again at the next
-        // listing.
+        // A full queue means that hundreds of instances are new; they are dialled after a later
+        // listing of the store.
         let _ = self.to_dial.try_send(entry);
     }
 
-    /// Closes all links, and tells the other ends.
+    /// Closes all links and notifies the other ends.
     pub async fn close(&self) {
         self.endpoint.close(0u8.into(), b"stopping");
-        // Other ends that do not answer notice by themselves.
+        // Ends that do not acknowledge detect the loss by the idle timeout.
         drop(timeout(CLOSE_TIMEOUT, self.endpoint.wait_idle()).await);
     }
 
-    /// Gives up the link to an instance.
+    /// Closes the link to an instance and stops dialling it.
     pub fn forget(&self, name: &str) {
         if let Some(link) = self.by_name.borrow_mut().remove(name) {
             link.stop.cancel();
         }
     }
 
-    /// The open link to an instance, if there is one.
+    /// Open connection to an instance, if there is one.
     pub fn connection(&self, name: &str) -> Option<quinn::Connection> {
         let links = self.by_name.borrow();
         let connection = links.get(name)?.connection.clone()?;
         connection.close_reason().is_none().then_some(connection)
     }
 
-    /// Keeps a link to each instance that is asked for.
+    /// Maintains a link to each instance that is queued.
     pub async fn dial_all(node: Rc<Node>, mut dialled: Receiver<MemberEntry>) {
         while let Some(entry) = dialled.recv().await {
             let stop = CancellationToken::new();
@@ -125,7 +128,7 @@
     }
 }
 
-/// Dials an instance again and again, and tells it what it should hear.
+/// Dials an instance, sends gossip while the link is up, and dials again when it is lost.
 async fn maintain_link(node: &Node, entry: &MemberEntry) {
     let [mut pause, longest] = REDIAL_PAUSES;
     let mut is_first = true;
@@ -151,7 +154,7 @@
                     reason: &err.0,
                 });
             }
-            // The link stays lost; that was logged when it was lost.
+            // The loss of the link was already logged.
             Err(_) => {}
         }
         is_first = false;
@@ -160,28 +163,28 @@
     }
 }
 
-/// Opens a link. One that was lost is dialled from another port, since the old flow may be lost to
-/// something in the middle.
+/// Opens a link. Further attempts use a new local port, since a device on the path may drop the
+/// packets of the old flow.
 async fn connect(
     node: &Node,
     entry: &MemberEntry,
     is_first: bool,
 ) -> Result<quinn::Connection, PeerError> {
-    let fault = |err: &dyn std::fmt::Display| PeerError(err.to_string());
+    let peer_error = |err: &dyn std::fmt::Display| PeerError(err.to_string());
     let endpoint = if is_first {
         node.links.endpoint.clone()
     } else {
         let local = SocketAddr::new(node.settings.listen.peers.ip(), 0);
-        quinn::Endpoint::client(local).map_err(|err| fault(&err))?
+        quinn::Endpoint::client(local).map_err(|err| peer_error(&err))?
     };
     let config = node.links.identity.client(entry.certificate_digest)?;
     let connecting = endpoint
         .connect_with(config, entry.peers, SERVER_NAME)
-        .map_err(|err| fault(&err))?;
+        .map_err(|err| peer_error(&err))?;
     let connected = timeout(LINK_IDLE_TIMEOUT, connecting).await;
     connected
-        .map_err(|err| fault(&err))?
-        .map_err(|err| fault(&err))
+        .map_err(|err| peer_error(&err))?
+        .map_err(|err| peer_error(&err))
 }
 
 /// Sends gossip until the link is lost.
@@ -190,16 +193,16 @@
     entry: &MemberEntry,
     connection: &quinn::Connection,
 ) -> PeerError {
-    let is_near = entry.region == node.region;
+    let is_same_region = entry.region == node.region;
     loop {
-        let message = match gossip_message(node, is_near) {
+        let message = match gossip_message(node, is_same_region) {
             Ok(message) => message,
             Err(err) => return err,
         };
-        let period = Duration::from_millis(node.gossip_period_ms(is_near));
+        let period = Duration::from_millis(node.gossip_period_ms(is_same_region));
         let is_small = connection
             .max_datagram_size()
-            .is_some_and(|most| message.len() <= most);
+            .is_some_and(|max_bytes| message.len() <= max_bytes);
         let sent = if is_small {
             connection
                 .send_datagram(message)
@@ -217,21 +220,22 @@
     }
 }
 
-/// The message for all instances of the own region, or of other regions. It is made once for
-/// those who hear it at about the same time.
-fn gossip_message(node: &Node, is_near: bool) -> Result<Bytes, PeerError> {
+/// Encoded message for instances of the own region, or of other regions. It is shared by all
+/// instances that are due at about the same time.
+fn gossip_message(node: &Node, is_same_region: bool) -> Result<Bytes, PeerError> {
     let now = node.now();
-    let cached_messages = &node.links.cached_messages[usize::from(is_near)];
+    let cached_messages = &node.links.cached_messages[usize::from(is_same_region)];
     if let Some((at, message)) = &*cached_messages.borrow() {
         if now.since(*at) < MESSAGE_REUSE_MS {
             return Ok(message.clone());
         }
     }
-    let message = Bytes::from(encode(&node.gossip(is_near))?);
+    let message = Bytes::from(encode(&node.gossip(is_same_region))?);
     *cached_messages.borrow_mut() = Some((now, message.clone()));
     Ok(message)
 }
 
+/// Sends a message that is too large for a datagram.
 async fn send_stream(connection: &quinn::Connection, message: &[u8]) -> Result<(), PeerError> {
     let mut stream = connection
         .open_uni()
--- a/crates/edge/src/peers/exchange.rs
+++ b/crates/edge/src/peers/exchange.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange with another instance, on a stream of its own.
+//! HTTP exchange with another instance, on a QUIC stream of its own.
 
 use crate::node::Node;
 use bytes::Bytes;
@@ -6,19 +6,19 @@
 use hyper::{body::Incoming, client::conn::http1, Request, Response};
 use hyper_util::rt::TokioIo;
 
-/// Longest read at once from a link, in bytes.
+/// Maximum size of the read buffer of an exchange, in bytes.
 pub(super) const READ_BYTES: usize = 32 * 1024;
 
-/// Why an exchange brought no answer.
+/// Reason why an exchange yielded no response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ExchangeError {
     /// Nothing was sent.
     NotSent,
-    /// The request may have arrived.
+    /// The exchange broke; the other instance may have received the request.
     Broken(String),
 }
 
-/// Sends a request to an instance and waits for the head of its answer.
+/// Sends a request to an instance and waits for the head of the response.
 pub(crate) async fn exchange(
     node: &Node,
     member: &str,
@@ -39,7 +39,7 @@
         .handshake(io)
         .await
         .map_err(|_| ExchangeError::NotSent)?;
-    // Errors of the driver also reach the request that they concern.
+    // Errors of the driver are also returned by the request that they affect.
     tokio::task::spawn_local(async move { drop(driver.await) });
     sender
         .send_request(request)
--- a/crates/edge/src/peers/mod.rs
+++ b/crates/edge/src/peers/mod.rs
@@ -1,8 +1,9 @@
 //! Links between instances over QUIC.
 //!
-//! Each instance dials every other one. Its link carries its gossip as datagrams, and the requests
-//! that it forwards as one HTTP exchange on a stream each. Certificates are made at the start and
-//! pinned by the digest that stands in the instance's entry in the store.
+//! Each instance dials every other one. The link carries gossip, as datagrams where they fit, and
+//! the requests that the instance forwards, each as an HTTP exchange on a stream of its own.
+//! Certificates are generated at start-up and pinned by the digest in the instance's entry in the
+//! store.
 
 mod accept;
 mod congestion;
@@ -19,15 +20,16 @@
 use crate::node::Gossip;
 use std::time::Duration;
 
-/// Header with the [`RequestMeta`](crate::pipeline::FarTicket) of a forwarded request.
+/// Header with the JSON of the [`RequestMeta`](crate::pipeline::RequestMeta) of a forwarded
+/// request.
 pub(crate) const TICKET_HEADER: &str = "cw-ticket";
-/// Header of an answer that the other instance itself gave.
+/// Header that marks a response as a refusal by the other instance itself.
 pub(crate) const REFUSED_HEADER: &str = "cw-refused";
-/// Header of a question for a part of the store.
+/// Header with the query of a pull from another instance's replica of the store.
 pub(crate) const PULL_HEADER: &str = "cw-pull";
-/// Silence after which a link counts as lost.
+/// Time without packets after which a link is lost; also the timeout for a new link.
 const LINK_IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Longest gossip message, in bytes.
+/// Maximum size of a gossip message, in bytes.
 const MAX_GOSSIP_BYTES: usize = 256 * 1024;
 
 fn encode(gossip: &Gossip) -> Result<Vec<u8>, PeerError> {
--- a/crates/edge/src/peers/pull.rs
+++ b/crates/edge/src/peers/pull.rs
@@ -1,4 +1,4 @@
-//! Asking another instance for changes of the store that this one has not heard.
+//! Pulls of missed changes in the store from another instance.
 
 use super::{exchange, ExchangeError, PULL_HEADER};
 use crate::{
@@ -13,19 +13,19 @@
 use std::{rc::Rc, time::Duration};
 use tokio::time::timeout;
 
-/// Time that an answer may take.
+/// Timeout for the response to a pull.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Largest answer, in bytes.
+/// Maximum size of the response, in bytes.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-/// The question on the wire.
+/// Query of a pull; encoded as JSON in the `cw-pull` header.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct PullQuery {
     prefix: usize,
     after: u64,
 }
 
-/// Asks, and applies what is new.
+/// Pulls changes from another instance and applies them.
 pub async fn pull(node: Rc<Node>, pull: Pull) {
     let result = match timeout(ANSWER_TIMEOUT, ask(&node, &pull)).await {
         Ok(result) => result,
@@ -49,6 +49,7 @@
     }
 }
 
+/// Sends the query and decodes the response.
 async fn ask(node: &Node, pull: &Pull) -> Result<Facts, String> {
     let query = PullQuery {
         prefix: pull.prefix,
@@ -70,7 +71,7 @@
     postcard::from_bytes(&body).map_err(|err| err.to_string())
 }
 
-/// The answer to a question in a header.
+/// Response to a query: the facts after its revision.
 pub(super) fn answer(node: &Node, query: &HeaderValue) -> Option<Vec<u8>> {
     let query: PullQuery = serde_json::from_slice(query.as_bytes()).ok()?;
     let facts = node.state.borrow().replica.since(query.prefix, query.after);
--- a/crates/edge/src/peers/tls.rs
+++ b/crates/edge/src/peers/tls.rs
@@ -1,4 +1,4 @@
-//! Certificates of instances: self-signed, and pinned by their digests.
+//! Self-signed certificates of instances, pinned by their digests.
 
 use super::{congestion::WindowFloorConfig, LINK_IDLE_TIMEOUT};
 use quinn::crypto::rustls::{QuicClientConfig, QuicServerConfig};
@@ -12,14 +12,14 @@
 use sha2::{Digest as _, Sha256};
 use std::{fmt, sync::Arc, time::Duration};
 
-/// Name in all certificates; digests tell the instances apart.
+/// Subject name of all certificates; instances are told apart by the digests.
 const CERTIFICATE_NAME: &str = "carobwheel";
-/// Requests that a peer may have open on one link.
+/// Maximum number of open requests per link.
 const MAX_REQUESTS_PER_LINK: u32 = 1_024;
-/// Round trip that is assumed before any is measured.
+/// Round-trip time that is assumed until one is measured.
 const INITIAL_RTT: Duration = Duration::from_millis(170);
 
-/// Why a link cannot be used.
+/// Error of a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerError(pub String);
 
@@ -31,11 +31,11 @@
 
 impl std::error::Error for PeerError {}
 
-fn fault(err: impl ToString) -> PeerError {
+fn peer_error(err: impl ToString) -> PeerError {
     PeerError(err.to_string())
 }
 
-/// The certificate and key of this process.
+/// Certificate and private key of this process.
 pub struct Identity {
     certificate: CertificateDer<'static>,
     key: PrivatePkcs8KeyDer<'static>,
@@ -43,14 +43,14 @@
 }
 
 impl Identity {
-    /// Makes a new key and a certificate for it.
+    /// Generates a key and a self-signed certificate.
     ///
     /// # Errors
     ///
-    /// Fails if no key can be made.
+    /// Fails if no key can be generated.
     pub fn generate() -> Result<Self, PeerError> {
-        let made =
-            rcgen::generate_simple_self_signed(vec![CERTIFICATE_NAME.to_owned()]).map_err(fault)?;
+        let made = rcgen::generate_simple_self_signed(vec![CERTIFICATE_NAME.to_owned()])
+            .map_err(peer_error)?;
         Ok(Self {
             certificate: made.cert.der().clone(),
             key: PrivatePkcs8KeyDer::from(made.signing_key.serialize_der()),
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Digest of the certificate.
+    /// SHA-256 digest of the certificate.
     pub fn digest(&self) -> [u8; 32] {
         digest(&self.certificate)
     }
@@ -67,24 +67,24 @@
         PrivateKeyDer::Pkcs8(self.key.clone_key())
     }
 
-    /// Settings for links that other instances dial.
+    /// Configuration of the endpoint that other instances dial.
     pub(super) fn server(&self) -> Result<quinn::ServerConfig, PeerError> {
         let verifier = Arc::new(AnyClient(Arc::clone(&self.provider)));
         let mut config = rustls::ServerConfig::builder_with_provider(Arc::clone(&self.provider))
             .with_protocol_versions(&[&rustls::version::TLS13])
-            .map_err(fault)?
+            .map_err(peer_error)?
             .with_client_cert_verifier(verifier)
             .with_single_cert(vec![self.certificate.clone()], self.key())
-            .map_err(fault)?;
+            .map_err(peer_error)?;
         config.session_storage = Arc::new(rustls::server::NoServerSessionStorage {});
         config.send_tls13_tickets = 0;
-        let crypto = QuicServerConfig::try_from(config).map_err(fault)?;
+        let crypto = QuicServerConfig::try_from(config).map_err(peer_error)?;
         let mut server = quinn::ServerConfig::with_crypto(Arc::new(crypto));
         server.transport_config(Arc::new(transport()));
         Ok(server)
     }
 
-    /// Settings for a link to the instance whose certificate has `digest`.
+    /// Configuration for dialling the instance whose certificate has `digest`.
     pub(super) fn client(&self, digest: [u8; 32]) -> Result<quinn::ClientConfig, PeerError> {
         let verifier = Arc::new(PinnedServer {
             digest,
@@ -92,25 +92,25 @@
         });
         let mut config = rustls::ClientConfig::builder_with_provider(Arc::clone(&self.provider))
             .with_protocol_versions(&[&rustls::version::TLS13])
-            .map_err(fault)?
+            .map_err(peer_error)?
             .dangerous()
             .with_custom_certificate_verifier(verifier)
             .with_client_auth_cert(vec![self.certificate.clone()], self.key())
-            .map_err(fault)?;
+            .map_err(peer_error)?;
         config.resumption = rustls::client::Resumption::disabled();
-        let crypto = QuicClientConfig::try_from(config).map_err(fault)?;
+        let crypto = QuicClientConfig::try_from(config).map_err(peer_error)?;
         let mut client = quinn::ClientConfig::new(Arc::new(crypto));
         client.transport_config(Arc::new(transport()));
         Ok(client)
     }
 }
 
-/// Digest of a certificate.
+/// SHA-256 digest of a certificate.
 pub(super) fn digest(certificate: &CertificateDer<'_>) -> [u8; 32] {
     Sha256::digest(certificate).into()
 }
 
-/// Digest of the certificate that the other end of a link has shown.
+/// Digest of the certificate that the other end of a link has presented.
 pub(super) fn peer_digest(connection: &quinn::Connection) -> Option<[u8; 32]> {
     let chain = connection
         .peer_identity()?
@@ -132,11 +132,12 @@
     transport
 }
 
-/// Accepts any certificate: who shows it is looked up by its digest after the handshake.
+/// Verifier that accepts any client certificate. The instance is looked up by its digest after the
+/// handshake.
 #[derive(Debug)]
 struct AnyClient(Arc<CryptoProvider>);
 
-/// Accepts one certificate.
+/// Verifier that accepts a single server certificate.
 #[derive(Debug)]
 struct PinnedServer {
     digest: [u8; 32],
--- a/crates/edge/src/pipeline/answer.rs
+++ b/crates/edge/src/pipeline/answer.rs
@@ -1,7 +1,7 @@
-//! Answers on their way to the caller.
+//! The response type that is returned to callers.
 
 use crate::relay::AnswerBody;
 use hyper::Response;
 
-/// An answer.
+/// Response to a caller.
 pub type Answer = Response<AnswerBody>;
--- a/crates/edge/src/pipeline/attempts.rs
+++ b/crates/edge/src/pipeline/attempts.rs
@@ -1,4 +1,4 @@
-//! Placing a request, sending it, and sending it again until an answer is there.
+//! Retry loop: places a request, sends it, and retries until an upstream has answered.
 
 use super::{
     refusal::Refusal,
@@ -16,29 +16,29 @@
 use hyper::{body::Incoming, http::response::Parts};
 use std::{rc::Rc, sync::Arc, time::Duration};
 
-/// Upstreams that one request is offered to at most, whether it ran there or not.
+/// Maximum number of upstreams that one request is offered to, whether it ran there or not.
 const MAX_UPSTREAMS_TRIED: u32 = 4;
-/// Pause before a request for which no upstream may be used is placed again, in milliseconds.
+/// Pause before placement is retried when no upstream is usable, in milliseconds.
 const PLACE_RETRY_PAUSE_MS: u64 = 40;
-/// Time for which a request waits for an upstream that may be used, in milliseconds.
+/// Maximum wait for a usable upstream, in milliseconds.
 const NO_UPSTREAM_WAIT_MS: u64 = 300;
-/// Part of its aim, as a divisor, for which a request waits while all upstreams are crowded.
+/// Divisor of the first-byte target that gives the maximum wait while all upstreams are crowded.
 const CROWDED_WAIT_DIVISOR: u64 = 2;
-/// Time after which callers come back when all upstreams are crowded, in milliseconds.
+/// `Retry-After` when all upstreams are crowded, in milliseconds.
 const CROWDED_RETRY_AFTER_MS: u64 = 1_200;
 
-/// What is known of a request's sends so far.
+/// Attempts made for one request so far.
 #[derive(Debug, Default)]
 pub(super) struct Attempts {
-    /// Upstreams that had it.
+    /// Upstreams that the request was offered to.
     pub(super) tried: Vec<Arc<str>>,
-    /// Sends that left.
+    /// Number of attempts in which the request was sent.
     pub(super) sends: u32,
-    /// Sends after which it may have run.
+    /// Number of sends after which the request may have run.
     pub(super) runs: u32,
 }
 
-/// An answer as far as it was read.
+/// Response of an upstream, with its body buffered or still to be read.
 pub(super) struct UpstreamAnswer {
     pub(super) head: Parts,
     pub(super) body: UpstreamBody,
@@ -46,22 +46,22 @@
     pub(super) upstream: Arc<str>,
 }
 
-/// The body of an answer.
+/// Body of an upstream's response.
 pub(super) enum UpstreamBody {
-    /// Still at the upstream.
+    /// Not read yet; the connection returns to the pool after the end of the body.
     Unread(Incoming, ConnectionCheckout),
-    /// Whole.
+    /// Read completely.
     Buffered(Bytes),
 }
 
-/// Sends a request until an answer for the caller is there.
+/// Sends a request, with retries on other upstreams, until there is a response for the caller.
 pub(super) async fn send_until_answered(
     node: &Rc<Node>,
     ctx: &RequestContext,
     attempts: &mut Attempts,
 ) -> Result<UpstreamAnswer, Refusal> {
-    let mut passable = None;
-    let given_up = loop {
+    let mut error_answer = None;
+    let last_refusal = loop {
         let placed = match place(node, ctx, attempts).await {
             Ok(placed) => placed,
             Err(refusal) => break refusal,
@@ -86,7 +86,7 @@
             SendResult::Failed(reason, answer) => {
                 attempts.sends += 1;
                 attempts.runs += 1;
-                passable = answer.or(passable);
+                error_answer = answer.or(error_answer);
                 (reason, true)
             }
         };
@@ -107,10 +107,11 @@
             );
         }
     };
-    passable.ok_or(given_up)
+    error_answer.ok_or(last_refusal)
 }
 
-/// `refusal` if the request has surely not run.
+/// Returns `refusal` if the request has certainly not run, and otherwise one that says it may have
+/// run.
 fn refusal_unless_run(attempts: &Attempts, refusal: Refusal) -> Refusal {
     if attempts.runs == 0 {
         refusal
@@ -119,12 +120,14 @@
     }
 }
 
+/// Whether another attempt is allowed.
 fn may_retry(node: &Node, ctx: &RequestContext, attempts: &Attempts) -> bool {
     let may_run_again = attempts.runs == 0
         || (ctx.meta.kind.is_repeatable() && attempts.runs < ctx.meta.max_attempts);
     may_run_again && attempts.tried.len() < MAX_UPSTREAMS_TRIED as usize && ctx.left_ms(node) > 0
 }
 
+/// Placement request that excludes the upstreams in `tried`.
 pub(super) fn placement_request<'a>(
     ctx: &'a RequestContext,
     tried: &'a [Arc<str>],
@@ -137,7 +140,7 @@
     }
 }
 
-/// Finds an upstream that can answer in time.
+/// Chooses an upstream that can answer in time. Waits briefly while none is usable.
 async fn place(node: &Node, ctx: &RequestContext, attempts: &Attempts) -> Result<Placed, Refusal> {
     let wait_until = node.now().plus(NO_UPSTREAM_WAIT_MS.min(ctx.left_ms(node)));
     loop {
@@ -167,6 +170,7 @@
     }
 }
 
+/// Refuses the request if the expected wait at the chosen upstream exceeds the remaining time.
 fn check_wait(
     node: &Node,
     ctx: &RequestContext,
--- a/crates/edge/src/pipeline/context.rs
+++ b/crates/edge/src/pipeline/context.rs
@@ -1,4 +1,4 @@
-//! A request after it was identified and admitted.
+//! Context of a request that has been identified and admitted.
 
 use super::identify::{header_text, job};
 use crate::{model::RouteKind, node::Node, place::Job};
@@ -8,68 +8,70 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Pause between events after which a caller gives a stream up, at least, in milliseconds.
+/// Lower bound of the first-byte limit of a stream, in milliseconds. Callers abandon a stream after
+/// a pause of at least this length.
 const MIN_FIRST_BYTE_LIMIT_MS: u64 = 2_000;
 
-/// Time for a way to another region and back, with the work there, in milliseconds.
+/// Remaining time that forwarding needs, in milliseconds: the round trip to another region and the
+/// processing there.
 const MIN_FORWARD_MS: u64 = 220;
 
-/// One request.
+/// Request together with everything that was derived from it.
 #[derive(Clone, Debug)]
 pub struct RequestContext {
-    /// What also goes along to another instance.
+    /// Metadata that is also sent to the other instance when the request is forwarded.
     pub meta: RequestMeta,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query as the caller sent them.
+    /// Path and query exactly as the caller sent them.
     pub uri: Uri,
-    /// Headers for the upstream.
+    /// Headers to send to the upstream.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
-    /// Prompt.
+    /// Prompt size and cacheable parts of the prompt.
     pub job: Job,
-    /// When the request was read.
+    /// Time at which this instance received the request.
     pub started_at: Millis,
-    /// When the time for it ends.
+    /// Time by which the response has to be complete.
     pub deadline: Millis,
-    /// Number of the last event that the caller has.
+    /// Id of the last event that the caller has received.
     pub last_event: Option<u64>,
 }
 
-/// What another instance has to know of a request besides the request itself.
+/// Metadata that accompanies a forwarded request; encoded as JSON in the `cw-ticket` header.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestMeta {
-    /// The caller's identifier of its attempt.
+    /// Request id that the caller assigned to this attempt.
     pub request: String,
-    /// Route.
+    /// Name of the route.
     pub route: Arc<str>,
-    /// Service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// What may be repeated.
+    /// Route kind, which determines whether the request may be repeated.
     pub kind: RouteKind,
-    /// Time to the first byte that is aimed at, in milliseconds.
+    /// Target for the time to the first byte, in milliseconds.
     pub aim_ms: u64,
-    /// Longest pause between events that is aimed at, in milliseconds.
+    /// Target for the longest pause between events, in milliseconds.
     pub pause_aim_ms: u64,
-    /// Most upstreams on which it may run.
+    /// Maximum number of upstreams on which the request may run.
     pub max_attempts: u32,
-    /// Account, empty on open routes.
+    /// Account name; empty on routes that need no key.
     pub account: Arc<str>,
-    /// It yields to requests of a higher rank at the same upstreams.
+    /// Whether the request gives way to requests of a higher rank at the same upstreams.
     pub is_yielding: bool,
-    /// Urgency for the upstream.
+    /// Priority that is sent to the upstream, from 0 (highest) to 9.
     pub urgency: u8,
-    /// Draw from 0 up to 1 that decides about versions.
+    /// Random number in `[0, 1)` that decides whether the request goes to the version on trial.
     pub draw: f64,
-    /// Time that is left, in milliseconds.
+    /// Time until the deadline, in milliseconds.
     pub left_ms: u64,
-    /// Version of the configuration that it was identified by.
+    /// Version of the configuration by which the request was identified.
     pub config: u64,
 }
 
 impl RequestContext {
-    /// A request that another instance has identified and admitted.
+    /// Context of a request that another instance has identified, admitted and forwarded.
     pub fn forwarded(
         node: &Node,
         meta: RequestMeta,
@@ -91,18 +93,17 @@
         }
     }
 
-    /// Time that is left, in milliseconds.
+    /// Time until the deadline, in milliseconds.
     pub fn left_ms(&self, node: &Node) -> u64 {
         self.deadline.since(node.now())
     }
 
-    /// Whether the time that is left allows a way to another region and back.
+    /// Whether the remaining time suffices to forward the request to another region.
     pub fn has_time_to_forward(&self, node: &Node) -> bool {
         self.left_ms(node) > MIN_FORWARD_MS
     }
 
-    /// Longest time to the first byte that can still be of use, counted from the start, in
-    /// milliseconds.
+    /// Longest useful time to the first byte since the start of the request, in milliseconds.
     pub fn max_first_byte_ms(&self) -> u64 {
         let total_ms = self.deadline.since(self.started_at);
         if !self.meta.kind.is_stream() {
--- a/crates/edge/src/pipeline/forward.rs
+++ b/crates/edge/src/pipeline/forward.rs
@@ -1,4 +1,4 @@
-//! Handing a request to an instance of another region.
+//! Forwarding of requests to instances of other regions.
 
 use super::{answer::Answer, refusal::Refusal, run::caller_headers, RequestContext};
 use crate::{
@@ -15,18 +15,21 @@
 use std::{rc::Rc, sync::Arc, time::Duration};
 use tokio::time::timeout;
 
-/// Time that a request takes to another region and its answer back, in milliseconds.
+/// Time that forwarding to another region adds to a request, in milliseconds: the way there and the
+/// way of the response back.
 const CROSS_REGION_MS: f64 = 170.0;
-/// Part of the aim that a request may wait in another region if its own one is crowded.
+/// Share of the first-byte target that the wait in another region may take while the own region is
+/// crowded.
 const REMOTE_WAIT_TARGET_SHARE: f64 = 0.8;
-/// Part of the aim that a request may cost in its own region before it is sent away.
+/// Share of the first-byte target that the cost in the own region has to exceed before a request is
+/// forwarded.
 const LOCAL_COST_TARGET_SHARE: f64 = 0.4;
-/// Part of its cost in the own region that the other region must stay below.
+/// Ratio to the cost in the own region that the cost in the other region has to stay below.
 const MAX_REMOTE_COST_RATIO: f64 = 0.8;
-/// Time after which a caller may come back when a forwarded request was refused, in milliseconds.
+/// `Retry-After` of a forwarded request that was refused without stating one, in milliseconds.
 const REFUSED_RETRY_AFTER_MS: u64 = 700;
 
-/// An instance of another region that may take a request.
+/// Instance of another region that a request may be forwarded to.
 #[derive(Clone, Debug)]
 pub(super) struct RemoteCandidate {
     pub(super) member: Arc<str>,
@@ -36,14 +39,14 @@
 }
 
 impl RemoteCandidate {
-    /// Whether the request would be in time there.
+    /// Whether the request would meet its first-byte target there.
     pub(super) fn can_meet_target(&self, ctx: &RequestContext) -> bool {
         #[allow(clippy::cast_precision_loss)]
         let aim_ms = ctx.meta.aim_ms as f64;
         self.wait_ms + CROSS_REGION_MS < aim_ms * REMOTE_WAIT_TARGET_SHARE
     }
 
-    /// Whether the request should rather go there than to where it was placed in the own region.
+    /// Whether forwarding is preferable to the placement in the own region.
     pub(super) fn is_preferable_to(&self, ctx: &RequestContext, local: &Placed) -> bool {
         #[allow(clippy::cast_precision_loss)]
         let aim_ms = ctx.meta.aim_ms as f64;
@@ -52,8 +55,8 @@
     }
 }
 
-/// The instance of another allowed region whose region promises the shortest wait. `tried` have
-/// refused the request.
+/// Instance of an allowed region other than the own one, chosen by the lowest reported cost. Skips
+/// the instances in `tried`, which have refused the request.
 pub(super) fn best_remote(
     node: &Node,
     ctx: &RequestContext,
@@ -75,7 +78,8 @@
                 continue;
             }
             let cost_ms = cost_ms(&ctx.job, outlook.wait_ms, outlook.pace_ms);
-            // Instances of a region report nearly the same; the draw spreads requests.
+            // Instances of a region report similar costs; the random term spreads requests over
+            // them.
             let rank = cost_ms + rand::random::<f64>() * (10.0 + cost_ms / 4.0);
             if best.as_ref().is_none_or(|(known, _)| rank < *known) {
                 let remote = RemoteCandidate {
@@ -91,7 +95,7 @@
     best.map(|(_, remote)| remote)
 }
 
-/// Hands a request over and passes its answer on.
+/// Forwards a request and passes the response through.
 pub(super) async fn forward(
     node: &Rc<Node>,
     ctx: &RequestContext,
@@ -109,15 +113,15 @@
             .map_or(-1, |ms| i64::try_from(whole_ms(ms)).unwrap_or(i64::MAX)),
     });
     node.metrics.forwarded.add(1);
-    let gone = Refusal::not_run("the link to another region is lost", REFUSED_RETRY_AFTER_MS);
+    let link_lost = Refusal::not_run("the link to another region is lost", REFUSED_RETRY_AFTER_MS);
     let Some(request) = forwarded_request(node, ctx) else {
-        return Err(gone);
+        return Err(link_lost);
     };
     let left = Duration::from_millis(ctx.left_ms(node).max(1));
     let exchange = exchange(node, &remote.member, request);
     let response = match timeout(left, exchange).await {
         Ok(Ok(response)) => response,
-        Ok(Err(ExchangeError::NotSent)) => return Err(gone),
+        Ok(Err(ExchangeError::NotSent)) => return Err(link_lost),
         Ok(Err(ExchangeError::Broken(reason))) => {
             log_failure(node, ctx, &remote.member, &reason);
             return Err(Refusal::may_have_run("the link to another region broke"));
@@ -137,6 +141,7 @@
     Ok(answer)
 }
 
+/// Builds the request to the other instance, with the metadata in a header.
 fn forwarded_request(node: &Node, ctx: &RequestContext) -> Option<Request<Full<Bytes>>> {
     let mut meta = ctx.meta.clone();
     meta.left_ms = ctx.left_ms(node);
@@ -151,6 +156,7 @@
     Some(request)
 }
 
+/// Converts the refusal of another instance to the refusal for the caller.
 fn refusal_of(head: &hyper::http::response::Parts) -> Refusal {
     match head.status {
         StatusCode::SERVICE_UNAVAILABLE => {
@@ -166,6 +172,7 @@
     }
 }
 
+/// Logs a failed forward.
 fn log_failure(node: &Node, ctx: &RequestContext, member: &str, reason: &str) {
     node.log.event(Event::SendFailed {
         request: &ctx.meta.request,
--- a/crates/edge/src/pipeline/identify.rs
+++ b/crates/edge/src/pipeline/identify.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, on which route, and whether it may run.
+//! Identification of the caller and the route, and admission by the account's rate limit.
 
 use super::{Refusal, RequestContext, RequestMeta};
 use crate::{
@@ -14,43 +14,42 @@
 use hyper::{header::HeaderName, http::request::Parts, HeaderMap, StatusCode};
 use std::{rc::Rc, sync::Arc};
 
-/// Time for a request whose caller states none, in milliseconds.
+/// Deadline of a request whose caller states none, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
-/// Time after which a caller may come back that was refused before any configuration is known, in
-/// milliseconds.
+/// `Retry-After` of requests that arrive before the first configuration, in milliseconds.
 const NO_CONFIG_RETRY_AFTER_MS: u64 = 500;
-/// Longest time that a caller over its limit is told to wait, in milliseconds.
+/// Upper bound of the `Retry-After` of requests over the account's limit, in milliseconds.
 const MAX_LIMIT_RETRY_AFTER_MS: u64 = 4_000;
 
-/// What a request's head says.
+/// Route and account of a request, determined from its head.
 #[derive(Clone, Debug)]
 pub struct Identified {
-    /// Configuration by which it was identified.
+    /// Configuration by which the request was identified.
     pub config: Rc<Config>,
-    /// Route.
+    /// Matching route.
     pub route: Rc<Route>,
-    /// Account of its key, where the route needs one.
+    /// Account of the key; `None` on routes that need no key.
     pub account: Option<Rc<Account>>,
 }
 
-/// Who sent a request and where it may be served.
+/// Admission of a request: the charged account and the regions that may serve it.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    /// Route.
+    /// Matching route.
     pub route: Rc<Route>,
-    /// Account, where the route needs a key.
+    /// Charged account; `None` on routes that need no key.
     pub account: Option<Rc<Account>>,
-    /// Regions that may serve it.
+    /// Regions that may serve the request.
     pub regions: Vec<String>,
-    /// Tokens that were charged.
+    /// Tokens charged to the account.
     pub tokens: u64,
 }
 
-/// Identifies a request by its head.
+/// Determines the route and the account of a request from its head.
 ///
 /// # Errors
 ///
-/// Returns the answer for a request that may not run.
+/// Returns a refusal if no configuration is loaded yet, no route matches, or the key is unknown.
 pub fn identify(node: &Node, head: &Parts) -> Result<Identified, Refusal> {
     let Some(config) = node.config() else {
         return Err(Refusal::not_run(
@@ -72,11 +71,11 @@
 }
 
 impl Admission {
-    /// Admits a request: charges its account.
+    /// Charges the account for a request and determines the regions that may serve it.
     ///
     /// # Errors
     ///
-    /// Returns the answer for a request beyond its account's limit.
+    /// Returns a refusal if the request exceeds the account's limit.
     pub fn admit(
         node: &Node,
         head: &Parts,
@@ -113,25 +112,25 @@
         })
     }
 
-    /// Gives back what was charged for a request that did not run.
+    /// Refunds the charge of a request that has not run.
     pub fn refund(&self, node: &Node) {
         if let Some(account) = &self.account {
             node.refund(account, self.tokens);
         }
     }
 
-    /// Name of the account, empty on open routes.
+    /// Account name; empty on routes that need no key.
     pub fn account_name(&self) -> Arc<str> {
         self.account
             .as_ref()
             .map_or_else(|| "".into(), |account| Arc::clone(&account.name))
     }
 
-    /// The request as it goes to an upstream.
+    /// Builds the context with which the request is sent to an upstream.
     ///
     /// # Errors
     ///
-    /// Returns the answer for a route without a service.
+    /// Returns a refusal if the route has no service.
     pub fn context(
         &self,
         node: &Node,
@@ -197,7 +196,7 @@
     }
 }
 
-/// The prompt that a request's headers describe.
+/// Reads the prompt size and the cacheable prompt parts from the headers.
 pub(super) fn job(names: &HeaderNames, headers: &HeaderMap, is_yielding: bool) -> Job {
     let (prompt_tokens, answer_tokens) = header_text(headers, &names.token_use)
         .and_then(parse_token_use)
@@ -213,7 +212,7 @@
     }
 }
 
-/// The caller's headers without those that concern its connection or that the gateway sets.
+/// The caller's headers, without hop-by-hop headers and those that the gateway sets or withholds.
 fn upstream_headers(names: &HeaderNames, headers: HeaderMap) -> HeaderMap {
     let connection_headers: Vec<HeaderName> = headers
         .get_all(hyper::header::CONNECTION)
@@ -243,15 +242,19 @@
     kept
 }
 
+/// Value of a header as text.
 pub(super) fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
+/// Parses `prompt,answer` token counts.
 fn parse_token_use(text: &str) -> Option<(u32, u32)> {
     let (prompt, answer) = text.split_once(',')?;
     Some((prompt.trim().parse().ok()?, answer.trim().parse().ok()?))
 }
 
+/// Parses comma-separated `id:tokens` entries, with the id in hexadecimal; stops at the first
+/// malformed one.
 fn parse_parts(text: &str) -> Vec<Part> {
     let part = |entry: &str| {
         let (id, tokens) = entry.trim().split_once(':')?;
--- a/crates/edge/src/pipeline/mod.rs
+++ b/crates/edge/src/pipeline/mod.rs
@@ -1,4 +1,4 @@
-//! The way of one request: identify, admit, place, send, relay.
+//! Request pipeline: identification, admission, placement, sending and relaying of the response.
 
 mod answer;
 mod attempts;
--- a/crates/edge/src/pipeline/refusal.rs
+++ b/crates/edge/src/pipeline/refusal.rs
@@ -1,28 +1,29 @@
-//! Answers of the gateway itself.
+//! Error responses that the gateway itself generates.
 
 use super::Answer;
 use crate::relay::AnswerBody;
 use hyper::{header, HeaderMap, Response, StatusCode};
 use serde::Serialize;
 
-/// Why the gateway answers a request itself.
+/// Rejection of a request by the gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Reason in a few words.
+    /// Short reason; the `error` of the JSON body and the `outcome` label of the request counter.
     pub reason: &'static str,
-    /// Time after which the caller may come back, in milliseconds.
+    /// Delay after which the caller may retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
+/// JSON body of a refusal.
 #[derive(Serialize)]
 struct Body {
     error: &'static str,
 }
 
 impl Refusal {
-    /// A refusal that coming back does not help.
+    /// A refusal without a `Retry-After`, since a retry would fail as well.
     pub const fn new(status: StatusCode, reason: &'static str) -> Self {
         Self {
             status,
@@ -31,7 +32,8 @@
         }
     }
 
-    /// The request has not run and never will; the caller may come back after `retry_after_ms`.
+    /// A 503 for a request that has not run and will not run; the caller may retry after
+    /// `retry_after_ms`.
     pub const fn not_run(reason: &'static str, retry_after_ms: u64) -> Self {
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -40,17 +42,17 @@
         }
     }
 
-    /// The request may have run.
+    /// A 502 for a request that may have run.
     pub const fn may_have_run(reason: &'static str) -> Self {
         Self::new(StatusCode::BAD_GATEWAY, reason)
     }
 
-    /// The time ran out; the request may have run.
+    /// A 504 for a request whose deadline has passed and that may have run.
     pub const fn timed_out(reason: &'static str) -> Self {
         Self::new(StatusCode::GATEWAY_TIMEOUT, reason)
     }
 
-    /// Whether it promises that the request has not run.
+    /// Whether the status guarantees that the request has not run.
     pub fn is_not_run(&self) -> bool {
         matches!(
             self.status,
@@ -61,7 +63,7 @@
         )
     }
 
-    /// The answer to the caller.
+    /// Converts the refusal to a response with a JSON body.
     pub fn into_answer(self) -> Answer {
         let body = serde_json::to_vec(&Body { error: self.reason }).unwrap_or_default();
         let mut response = Response::new(AnswerBody::whole(body));
@@ -71,6 +73,7 @@
     }
 }
 
+/// Sets `Content-Type` and `Retry-After`, which has a resolution of 1 ms.
 fn set_headers(headers: &mut HeaderMap, retry_after_ms: Option<u64>) {
     headers.insert(
         header::CONTENT_TYPE,
--- a/crates/edge/src/pipeline/run.rs
+++ b/crates/edge/src/pipeline/run.rs
@@ -1,4 +1,5 @@
-//! Where a request runs: in the own region, in another one, or first here and then there.
+//! Choice of the region that runs a request: the own one, another one, or another one after a
+//! failure.
 
 use super::{
     answer::Answer,
@@ -12,10 +13,11 @@
 use hyper::{http::response::Parts, HeaderMap, Response, StatusCode};
 use std::{rc::Rc, sync::Arc};
 
-/// Time after which callers come back when no upstream can be used, in milliseconds.
+/// `Retry-After` when no upstream is usable, in milliseconds.
 pub(super) const NO_UPSTREAM_RETRY_AFTER_MS: u64 = 700;
 
-/// Runs a request in the own region or in another one.
+/// Runs a request in one of the regions that may serve it: the own one, unless another one is
+/// preferable.
 pub async fn run_in_allowed_region(
     node: &Rc<Node>,
     ctx: RequestContext,
@@ -61,7 +63,7 @@
     Err(Refusal::not_run(reason, NO_UPSTREAM_RETRY_AFTER_MS))
 }
 
-/// Hands a request that has not run at `refused_by` to one more instance, if there is another.
+/// Forwards a request that `refused_by` has refused to one more instance, if there is one.
 async fn forward_to_another(
     node: &Rc<Node>,
     ctx: &RequestContext,
@@ -76,7 +78,8 @@
     forward::forward(node, ctx, &remote, None).await
 }
 
-/// Runs a request in the own region, and in another one if it fails here and may be repeated.
+/// Runs a request in the own region, and forwards it to another one if it fails and may be
+/// repeated.
 async fn run_local_first(
     node: &Rc<Node>,
     ctx: RequestContext,
@@ -110,11 +113,12 @@
     }
 }
 
-/// Runs a request at upstreams of the own region.
+/// Runs a request on upstreams of the own region.
 pub async fn run_in_own_region(node: &Rc<Node>, ctx: RequestContext) -> Result<Answer, Refusal> {
     run_with_attempts(node, ctx, &mut Attempts::default()).await
 }
 
+/// Runs a request on upstreams of the own region and counts the attempts.
 async fn run_with_attempts(
     node: &Rc<Node>,
     ctx: RequestContext,
@@ -154,7 +158,7 @@
     }
 }
 
-/// Headers of an answer for the caller.
+/// Headers of a response without hop-by-hop headers.
 pub(super) fn caller_headers(from: &HeaderMap) -> HeaderMap {
     let mut headers = HeaderMap::with_capacity(from.len());
     for (name, value) in from {
@@ -165,7 +169,7 @@
     headers
 }
 
-/// Passes on an answer that is not a stream.
+/// Response to the caller with the upstream's status and headers and the given body.
 fn answer_with_body(head: &Parts, body: AnswerBody) -> Answer {
     let mut answer = Response::new(body);
     *answer.status_mut() = head.status;
--- a/crates/edge/src/pipeline/send_once.rs
+++ b/crates/edge/src/pipeline/send_once.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one upstream, and what its answer means.
+//! A single attempt: sends a request to one upstream and classifies the response.
 
 use super::{
     attempts::{UpstreamAnswer, UpstreamBody},
@@ -19,28 +19,30 @@
 use std::{rc::Rc, sync::Arc, time::Duration};
 use tokio::time::timeout;
 
-/// Largest answer that is gathered before its head is sent on, in bytes.
+/// Largest body that is buffered before the head is sent to the caller, in bytes.
 const MAX_BUFFERED_BYTES: u64 = 128 * 1024;
-/// Longest idle time of a connection for a request that may not be repeated, in milliseconds.
+/// Maximum idle time of a pooled connection for a stream that may not be repeated, in milliseconds.
 const UNREPEATABLE_MAX_IDLE_MS: u64 = 1_000;
-/// Part of the aim after which a whole answer that may be repeated is asked for elsewhere.
+/// Share of the first-byte target after which an idempotent request without a response is retried
+/// on another upstream.
 const SILENCE_TARGET_SHARE: f64 = 0.75;
-/// Shortest such time, in milliseconds.
+/// Lower bound of that timeout, in milliseconds.
 const MIN_SILENCE_MS: u64 = 150;
 
-/// How one send ended.
+/// Result of one attempt.
 pub(super) enum SendResult {
-    /// The answer is for the caller.
+    /// A response for the caller.
     Answer(UpstreamAnswer),
-    /// The upstream says that it has not run the request.
+    /// The upstream states that it has not run the request.
     NotRun,
-    /// Nothing was sent.
+    /// No connection could be opened; nothing was sent.
     Unreachable(String),
-    /// It may have run. Holds an answer that may be passed on if there is no better one.
+    /// The request may have run. Holds the upstream's error response, which is returned to the
+    /// caller if no attempt yields a better one.
     Failed(String, Option<UpstreamAnswer>),
 }
 
-/// Sends a request to the upstream that was chosen.
+/// Sends a request to the chosen upstream and buffers the response if it is small and not a stream.
 pub(super) async fn send_once(
     node: &Rc<Node>,
     ctx: &RequestContext,
@@ -120,19 +122,19 @@
     }
 }
 
-/// What an answer's head says.
+/// Classification of a response by its head.
 enum HeadCheck {
-    /// The answer is for the caller.
+    /// A response for the caller.
     Pass,
     /// The upstream ran the request and failed.
     Failed,
     /// The upstream has not run the request.
     NotRun,
-    /// It is no answer to this request.
+    /// Not a valid response to this request.
     Invalid(&'static str),
 }
 
-/// Judges an answer by its head.
+/// Classifies a response by its head and updates the health of the upstream.
 fn check_head(node: &Node, ctx: &RequestContext, sent: SendIds<'_>, reply: &Reply) -> HeadCheck {
     let names = &node.names;
     let (status, headers) = (reply.head().status(), reply.head().headers());
@@ -157,7 +159,7 @@
     let is_sealed = headers.contains_key(&names.seal);
     if !is_sealed && (status.is_success() || status.is_server_error()) {
         node.note_outcome(sent, Outcome::Failed);
-        return HeadCheck::Invalid("the answer bears no seal");
+        return HeadCheck::Invalid("the response has no seal header");
     }
     if status.is_server_error() {
         node.note_outcome(sent, Outcome::Failed);
@@ -166,7 +168,7 @@
     HeadCheck::Pass
 }
 
-/// Reads the body of an answer that is not a stream, unless it is large.
+/// Reads the body of a response, unless it is a stream or large.
 async fn buffer_body(
     node: &Rc<Node>,
     ctx: &RequestContext,
@@ -207,13 +209,14 @@
                 upstream,
             });
         }
-        Ok(Err(err)) => format!("the body broke off: {err}"),
-        Err(_) => "the body did not end in time".to_owned(),
+        Ok(Err(err)) => format!("the body ended early: {err}"),
+        Err(_) => "the body was not complete in time".to_owned(),
     };
     node.note_outcome(sent, Outcome::Failed);
     SendResult::Failed(reason, None)
 }
 
+/// Records a completely read response as a success of the upstream and logs it.
 fn record_answer(
     node: &Node,
     ctx: &RequestContext,
@@ -232,7 +235,8 @@
     });
 }
 
-/// Time to the head of an answer after which the request is sent elsewhere or given up.
+/// Timeout for the head of the response, in milliseconds. After it the request is retried on
+/// another upstream or fails.
 fn answer_timeout_ms(node: &Node, ctx: &RequestContext, wait_ms: u64) -> u64 {
     let left_ms = ctx.left_ms(node).max(1);
     match ctx.meta.kind {
@@ -252,6 +256,8 @@
     }
 }
 
+/// Maximum idle time of a pooled connection, in milliseconds. Requests that may not be repeated get
+/// a new or a recently used connection.
 fn max_idle_ms(kind: RouteKind) -> u64 {
     match kind {
         RouteKind::NonIdempotent => 0,
@@ -262,6 +268,7 @@
     }
 }
 
+/// Builds the request to the upstream.
 fn upstream_request(node: &Node, ctx: &RequestContext, upstream: &str) -> Request<Full<Bytes>> {
     let names = &node.names;
     let mut headers = ctx.headers.clone();
--- a/crates/edge/src/pipeline/stream.rs
+++ b/crates/edge/src/pipeline/stream.rs
@@ -1,4 +1,4 @@
-//! Relaying an event stream, and continuing it at another upstream.
+//! Relaying of event streams, and resumption on another upstream after a failure.
 
 use super::{
     answer::Answer,
@@ -22,26 +22,27 @@
     time::timeout,
 };
 
-/// Events that may wait for the caller.
+/// Maximum number of events that are queued for a slow caller.
 const MAX_QUEUED_EVENTS: usize = 8;
-/// Pauses of the aimed-at length after which a stream is continued elsewhere.
+/// Multiple of the target pause between events after which a silent stream is resumed on another
+/// upstream.
 const SILENCE_PAUSE_FACTOR: u64 = 4;
-/// Shortest such time, in milliseconds.
+/// Lower bound of that timeout, in milliseconds.
 const MIN_SILENCE_MS: u64 = 800;
 
-/// Why the events of one upstream came to an end.
+/// Reason why the stream of one upstream has ended.
 enum StreamEnd {
-    /// The stream is whole.
+    /// The stream is complete.
     Whole,
-    /// The caller has left.
+    /// The caller has disconnected.
     CallerLeft,
-    /// The upstream broke off.
+    /// The upstream's stream failed or went silent.
     Broken(String),
-    /// The time for the request is over.
+    /// The deadline of the request has passed.
     TimedOut,
 }
 
-/// Where the events come from.
+/// Event stream of one upstream.
 pub(super) struct StreamSource {
     pub(super) body: Incoming,
     pub(super) checkout: ConnectionCheckout,
@@ -50,7 +51,7 @@
 }
 
 impl StreamSource {
-    /// The stream of an answer, if it is one.
+    /// The event stream of a response; `None` if the response is buffered or an error.
     fn from_answer(answer: UpstreamAnswer) -> Option<Self> {
         match answer.body {
             UpstreamBody::Unread(body, checkout) if answer.head.status.is_success() => Some(Self {
@@ -64,14 +65,14 @@
     }
 }
 
-/// What was relayed so far.
+/// Progress of the relay, over all upstreams of the stream.
 #[derive(Debug, Default)]
 struct RelayProgress {
     last_event: Option<u64>,
     events: u64,
 }
 
-/// Passes on a stream from its head on.
+/// Starts the relay of a stream in a task of its own and returns the response to the caller.
 pub(super) fn relay(
     node: &Rc<Node>,
     ctx: RequestContext,
@@ -98,6 +99,7 @@
     answer
 }
 
+/// Relays the stream, and resumes it on another upstream where the route allows it.
 async fn relay_all(
     node: &Rc<Node>,
     ctx: &RequestContext,
@@ -124,7 +126,7 @@
                 return;
             }
             StreamEnd::CallerLeft => return,
-            StreamEnd::TimedOut => "the time for the request is over".to_owned(),
+            StreamEnd::TimedOut => "the deadline of the request has passed".to_owned(),
             StreamEnd::Broken(reason) => reason,
         };
         node.log.event(Event::AnswerBroken {
@@ -165,6 +167,7 @@
     }
 }
 
+/// Relays the events of one upstream until its stream ends.
 async fn relay_one(
     node: &Rc<Node>,
     ctx: &RequestContext,
@@ -216,6 +219,7 @@
     }
 }
 
+/// Records the time to the first event in the upstream's health, the metrics and the log.
 fn record_first_event(node: &Node, ctx: &RequestContext, sent: SendIds<'_>, after_ms: u64) {
     #[allow(clippy::cast_precision_loss)]
     node.note_outcome(
@@ -235,7 +239,7 @@
     });
 }
 
-/// Passes on an event that the caller does not have. Returns false if the caller has left.
+/// Relays an event unless the caller already has it. Returns false if the caller has disconnected.
 async fn relay_event(
     event: StreamEvent,
     progress: &mut RelayProgress,
@@ -253,7 +257,7 @@
     chunks.send(Ok(event.bytes)).await.is_ok()
 }
 
-/// The next bytes of the stream; `None` at its end.
+/// Next bytes of the stream; `None` at its end.
 async fn next_chunk(
     node: &Node,
     ctx: &RequestContext,
@@ -273,11 +277,11 @@
         let frame = timeout(Duration::from_millis(limit_ms), body.frame()).await;
         match frame {
             Err(_) if limit_ms == left_ms => return Err(StreamEnd::TimedOut),
-            Err(_) => return Err(StreamEnd::Broken("the stream has gone silent".to_owned())),
+            Err(_) => return Err(StreamEnd::Broken("no event arrived in time".to_owned())),
             Ok(None) => return Ok(None),
             Ok(Some(Err(err))) => return Err(StreamEnd::Broken(err.to_string())),
             Ok(Some(Ok(frame))) => {
-                // Trailers carry nothing that callers are promised.
+                // Trailers are dropped; callers are not promised any.
                 if let Ok(chunk) = frame.into_data() {
                     return Ok(Some(chunk));
                 }
@@ -286,6 +290,7 @@
     }
 }
 
+/// Longest pause in a resumable stream before it is resumed on another upstream, in milliseconds.
 fn silence_timeout_ms(ctx: &RequestContext, is_first: bool) -> u64 {
     if is_first {
         return (2 * ctx.meta.aim_ms).max(MIN_SILENCE_MS);
--- a/crates/edge/src/relay/body.rs
+++ b/crates/edge/src/relay/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller.
+//! Body of a response to a caller.
 
 use bytes::Bytes;
 use http_body::{Body, Frame, SizeHint};
@@ -10,7 +10,7 @@
 };
 use tokio::sync::mpsc::Receiver;
 
-/// The answer cannot be completed; the caller's connection is broken off.
+/// Error of a response body that cannot be completed; the caller's connection is closed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerBroken(pub String);
 
@@ -22,18 +22,19 @@
 
 impl std::error::Error for AnswerBroken {}
 
-/// The body of an answer.
+/// Body of a response.
 pub enum AnswerBody {
-    /// Whole.
+    /// Complete body in memory.
     Whole(Option<Bytes>),
-    /// Piece by piece from a task; the task ends when the body is dropped.
+    /// Chunks from a task, which ends when the body is dropped.
     Chunks(Receiver<Result<Bytes, AnswerBroken>>),
-    /// From another instance or an upstream, as it comes.
+    /// Body of an upstream or another instance, relayed as it arrives. The second value is dropped
+    /// with the body.
     Passthrough(Incoming, Box<dyn std::any::Any>),
 }
 
 impl AnswerBody {
-    /// A whole body.
+    /// Complete body.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Some(bytes.into()))
     }
--- a/crates/edge/src/relay/events.rs
+++ b/crates/edge/src/relay/events.rs
@@ -1,24 +1,24 @@
-//! Cutting an event stream into whole events.
+//! Splitting of an event stream into events.
 
 use bytes::{Buf as _, Bytes, BytesMut};
 
-/// One event with the blank line that ends it.
+/// Event, including the blank line that terminates it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its number, where it has one.
+    /// Numeric id, if the event has one.
     pub id: Option<u64>,
-    /// Its bytes.
+    /// Raw bytes.
     pub bytes: Bytes,
 }
 
-/// Cuts pieces of a stream into whole events.
+/// Splits the bytes of a stream into complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
 }
 
 impl EventSplitter {
-    /// Adds bytes.
+    /// Appends bytes to the buffer.
     pub fn push(&mut self, mut piece: impl bytes::Buf) {
         while piece.has_remaining() {
             let chunk = piece.chunk();
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Takes the next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = end_of_event(&self.buffer)?;
         let bytes = self.buffer.split_to(end).freeze();
@@ -36,13 +36,13 @@
         Some(StreamEvent { id, bytes })
     }
 
-    /// Whether an event was begun and not ended.
+    /// Whether the buffer holds part of an event.
     pub fn has_part(&self) -> bool {
         self.buffer.has_remaining()
     }
 }
 
-/// Where the first event ends: behind an empty line.
+/// Index after the blank line that ends the first event.
 fn end_of_event(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for at in memchr::memchr_iter(b'\n', bytes) {
@@ -55,6 +55,7 @@
     None
 }
 
+/// Numeric id of an event.
 fn event_id(bytes: &[u8]) -> Option<u64> {
     let is_id = |line: &&[u8]| line.starts_with(b"id:");
     let line = bytes.split(|byte| *byte == b'\n').find(is_id)?;
--- a/crates/edge/src/relay/mod.rs
+++ b/crates/edge/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers on their way to the caller.
+//! Response bodies and event streams.
 
 mod body;
 mod events;
