--- a/crates/gateway/tests/platform_fleet.rs
+++ b/crates/gateway/tests/platform_fleet.rs
@@ -1,4 +1,4 @@
-//! Several instances on the platform that act together.
+//! Tests of several instances that cooperate on the platform.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,6 +10,7 @@
 use serde_json::json;
 use std::time::Duration;
 
+/// Options of an instance that is connected to the store directly.
 fn options(name: &'static str, region: &'static str, store: &Store) -> InstanceOptions {
     InstanceOptions {
         name,
@@ -18,10 +19,10 @@
     }
 }
 
-/// Waits until both instances know each other.
+/// Waits until all instances receive each other's gossip.
 fn wait_for_links(instances: &[&Instance]) {
     for instance in instances {
-        wait_until("the instances hear each other", || {
+        wait_until("the instances receive gossip from each other", || {
             let heard = format!("carobwheel_instances_heard {}", instances.len());
             instance.metrics_text().contains(&heard)
         });
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn a_forwarded_stream_outlives_the_signal_to_stop_its_instance() {
+fn a_forwarded_stream_completes_during_a_graceful_stop() {
     let store = Store::start();
     let homes = json!({"homeRegions": ["south"], "timeoutMs": 8_000});
     store.publish(&ConfigBuilder::new(1).route("/chat/", "streaming", "model", 1, homes));
@@ -67,11 +68,11 @@
     let first = Instance::start_ready(&options("north-1", "north", &store));
     let mut second = Instance::start_ready(&options("south-1", "south", &store));
     wait_for_links(&[&first, &second]);
-    // The first region hears of the other one's upstreams a little after of its instances.
+    // Instances are linked a little before their gossip reports the other region's upstreams.
     let whole = |until, pause_ms| Script::Events {
         until,
         pause_ms,
-        is_whole: true,
+        is_complete: true,
     };
     engine.script([whole(1, 0)]);
     let mut early = first.caller();
@@ -86,15 +87,15 @@
         "POST /chat/x HTTP/1.1\r\nHost: rugs.example\r\nX-Carobwheel-Attempt-Id: a-1\r\n\
          X-Carobwheel-Deadline-Ms: 8000\r\nX-Carobwheel-Key: key-of-valuers\r\nContent-Length: 0\r\n\r\n",
     );
-    wait_until("the stream runs", || engine.seen().len() > before);
+    wait_until("the stream is running", || engine.seen().len() > before);
     second.signal("-TERM");
     let answer = caller.answer();
-    assert!(answer.is_whole, "{}", answer.body.len());
+    assert!(answer.is_complete, "{}", answer.body.len());
     assert_eq!(second.wait(), Some(0));
 }
 
 #[test]
-fn a_stopping_instance_takes_no_forwarded_request() {
+fn a_stopping_instance_refuses_forwarded_requests() {
     let store = Store::start();
     let homes = json!({"homeRegions": ["south"], "timeoutMs": 8_000});
     store.publish(&ConfigBuilder::new(1).route("/chat/", "streaming", "model", 1, homes));
@@ -107,7 +108,7 @@
     let whole = Script::Events {
         until: 1,
         pause_ms: 0,
-        is_whole: true,
+        is_complete: true,
     };
     engine.script(std::iter::repeat_n(whole, 200));
     let mut caller = first.caller();
@@ -136,21 +137,21 @@
 }
 
 #[test]
-fn an_instance_that_the_store_turns_away_hears_from_the_others() {
+fn an_instance_without_the_store_pulls_changes_from_others() {
     let store = Store::start();
     store.publish(&ConfigBuilder::new(1));
     let engine = Engine::start("i-n");
     engine.register(&store, "registry", "north-a", "ready");
     let first = Instance::start_ready(&options("north-1", "north", &store));
-    let door = store.door();
+    let second_address = store.second_address();
     let second = Instance::start_ready(&InstanceOptions {
         name: "north-2",
         region: "north",
-        store: door.address,
+        store: second_address.address,
     });
     wait_for_links(&[&first, &second]);
-    door.shut();
-    wait_until("the store is missed", || {
+    second_address.block();
+    wait_until("the outage of the store is noticed", || {
         !second.logged("dependency_lost").is_empty()
     });
     store.publish(&ConfigBuilder::new(2).without("/read/"));
@@ -163,29 +164,29 @@
 }
 
 #[test]
-fn the_directory_names_ready_instances_of_the_callers_region() {
+fn the_directory_lists_ready_instances_of_the_callers_region() {
     let store = Store::start();
     store.publish(&ConfigBuilder::new(1));
     let first = Instance::start_ready(&options("north-1", "north", &store));
     let mut second = Instance::start_ready(&options("south-1", "south", &store));
     wait_for_links(&[&first, &second]);
-    let named = |region: &str| {
+    let listed = |region: &str| {
         let body = first.resolve(region).body;
         let answer: serde_json::Value = serde_json::from_str(&body).unwrap_or_default();
         answer["addresses"].clone()
     };
-    wait_until("each region has its own", || {
-        named("north") == json!([first.callers]) && named("south") == json!([second.callers])
+    wait_until("each region lists its own instance", || {
+        listed("north") == json!([first.callers]) && listed("south") == json!([second.callers])
     });
     second.signal("-TERM");
-    wait_until("the leaving one is no longer named", || {
-        named("south") == json!([first.callers])
+    wait_until("the leaving instance is no longer listed", || {
+        listed("south") == json!([first.callers])
     });
     assert_eq!(second.wait(), Some(0));
 }
 
 #[test]
-fn two_instances_keep_an_accounts_limit_together() {
+fn two_instances_share_an_accounts_limit() {
     let store = Store::start();
     let account = json!({"name": "valuers", "apiKeys": ["key-of-valuers"], "plainTokens": 100,
         "ratePerS": 2_000, "burst": 2_000});
@@ -205,7 +206,7 @@
         }
     }
     let seconds = started.elapsed().as_secs_f64();
-    // Rate and burst, with the use of one gossip period and of the start besides.
+    // Rate and burst, plus a margin for the delay of one gossip period and for the start.
     let most = (2_000.0 * seconds + 2_000.0) * 1.1 / 100.0 + 20.0;
     assert!(f64::from(served) <= most, "{served} served, {most} allowed");
     assert!(
@@ -215,7 +216,7 @@
 }
 
 #[test]
-fn a_bad_version_is_taken_back() {
+fn a_bad_version_is_reverted() {
     let store = Store::start();
     store.publish(&ConfigBuilder::new(1));
     let (old, new) = (Engine::start("i-old"), Engine::start("i-new"));
@@ -229,7 +230,7 @@
     new.script(vec![Script::Answer(500, "fault"); 200]);
     let mut caller = instance.caller();
     let mut sent = 0_usize;
-    wait_until("the version is taken back", || {
+    wait_until("the version is reverted", || {
         for _ in 0..10 {
             sent += 1;
             caller.send("POST", "/write/x", &format!("a-{sent}"), "", "");
@@ -242,7 +243,7 @@
     let at_new = new.seen().len();
     assert!(
         at_new <= 50 + sent / 10,
-        "{at_new} of {sent} went to the bad version"
+        "{at_new} of {sent} reached the bad version"
     );
     for n in 0..50 {
         caller.send("POST", "/write/x", &format!("b-{n}"), "", "");
--- a/crates/gateway/tests/platform_path.rs
+++ b/crates/gateway/tests/platform_path.rs
@@ -1,4 +1,5 @@
-//! Requests through one instance on the platform: byte for byte, and answered by the rules.
+//! Tests of requests through one instance on the platform, down to the bytes that upstreams
+//! receive.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,18 +12,21 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-struct Stage {
+/// Instance with a store and two upstreams of each service.
+struct Fixture {
     store: Store,
     registry: [Engine; 2],
     model: [Engine; 2],
     instance: Instance,
 }
 
-fn stage() -> Stage {
-    stage_with(&ConfigBuilder::new(1))
+/// Fixture with the default configuration.
+fn fixture() -> Fixture {
+    fixture_with(&ConfigBuilder::new(1))
 }
 
-fn stage_with(config: &ConfigBuilder) -> Stage {
+/// Fixture with the given configuration.
+fn fixture_with(config: &ConfigBuilder) -> Fixture {
     let store = Store::start();
     store.publish(config);
     let registry = ["i-r1", "i-r2"].map(Engine::start);
@@ -38,7 +42,7 @@
         region: "north",
         store: store.address,
     });
-    Stage {
+    Fixture {
         store,
         registry,
         model,
@@ -46,15 +50,18 @@
     }
 }
 
-impl Stage {
+impl Fixture {
+    /// Number of requests that the upstreams of `registry` have received.
     fn registry_seen(&self) -> usize {
         self.registry.iter().map(|engine| engine.seen().len()).sum()
     }
 
+    /// Number of requests that the upstreams of `model` have received.
     fn model_seen(&self) -> usize {
         self.model.iter().map(|engine| engine.seen().len()).sum()
     }
 
+    /// Scripts the next answer of each upstream.
     fn script_all(&self, script: &Script) {
         for engine in self.registry.iter().chain(&self.model) {
             engine.script([script.clone()]);
@@ -64,20 +71,20 @@
 
 #[test]
 fn a_request_reaches_the_upstream_byte_for_byte_and_without_the_key() {
-    let stage = stage();
-    let mut caller = stage.instance.caller();
-    let more = "X-Carobwheel-Tenant: forged\r\nX-Carobwheel-Pin-Ms: 9\r\nX-Own: kept\r\nConnection: X-Dropped\r\nX-Dropped: 1\r\n";
+    let fixture = fixture();
+    let mut caller = fixture.instance.caller();
+    let extra = "X-Carobwheel-Tenant: forged\r\nX-Carobwheel-Pin-Ms: 9\r\nX-Own: kept\r\nConnection: X-Dropped\r\nX-Dropped: 1\r\n";
     caller.send(
         "POST",
         "/write/a%2Fb//c?q=1&r=%20",
         "a-1",
-        more,
+        extra,
         "body \u{e9}",
     );
     let answer = caller.answer();
     assert_eq!((answer.status, answer.body.as_str()), (200, "ok"));
     assert_eq!(answer.header("x-carobwheel-server-seal"), Some("sealed"));
-    let seen: Vec<_> = stage.registry.iter().flat_map(Engine::seen).collect();
+    let seen: Vec<_> = fixture.registry.iter().flat_map(Engine::seen).collect();
     let [seen] = seen.as_slice() else {
         panic!("{seen:?}");
     };
@@ -106,18 +113,18 @@
 #[test_case("GET /read/x HTTP/1.1\r\nHost: rugs.example\r\nX-Carobwheel-Key: wrong\r\n\r\n", 401; "unknown key")]
 #[test_case("GET /read/x HTTP/1.1\r\nHost: rugs.example\r\n\r\n", 401; "no key")]
 #[test_case("nonsense\r\n\r\n", 400; "no request line")]
-fn a_faulty_request_is_refused_at_once(request: &str, status: u16) {
-    let stage = stage();
-    let mut caller = stage.instance.caller();
+fn a_malformed_or_unauthorized_request_is_refused(request: &str, status: u16) {
+    let fixture = fixture();
+    let mut caller = fixture.instance.caller();
     caller.write(request);
     assert_eq!(caller.answer().status, status);
-    assert_eq!(stage.registry_seen(), 0);
+    assert_eq!(fixture.registry_seen(), 0);
 }
 
 #[test]
-fn a_body_with_two_lengths_is_framed_anew_and_hides_no_request() {
-    let stage = stage();
-    let mut caller = stage.instance.caller();
+fn a_body_with_two_lengths_smuggles_no_request() {
+    let fixture = fixture();
+    let mut caller = fixture.instance.caller();
     let hidden = "GET /read/hidden HTTP/1.1\r\nHost: rugs.example\r\n\r\n";
     caller.write(&format!(
         "POST /write/x HTTP/1.1\r\nHost: {HOST}\r\nX-Carobwheel-Attempt-Id: a-1\r\n\
@@ -126,7 +133,7 @@
         hidden.len()
     ));
     assert!(matches!(caller.answer().status, 200 | 400));
-    for seen in stage.registry.iter().flat_map(Engine::seen) {
+    for seen in fixture.registry.iter().flat_map(Engine::seen) {
         assert_eq!(seen.line, "POST /write/x HTTP/1.1");
         assert_eq!(seen.body, hidden.as_bytes());
         assert_eq!(seen.header("transfer-encoding"), None);
@@ -135,8 +142,8 @@
 
 #[test]
 fn a_head_that_is_too_large_is_refused() {
-    let stage = stage();
-    let mut caller = stage.instance.caller();
+    let fixture = fixture();
+    let mut caller = fixture.instance.caller();
     let large = "x".repeat(17_000);
     caller.write(&format!(
         "GET /read/x HTTP/1.1\r\nHost: {HOST}\r\nX-Carobwheel-Key: {KEY}\r\nX-Large: {large}\r\n\r\n"
@@ -146,8 +153,8 @@
 
 #[test]
 fn a_head_that_takes_too_long_is_cut_off() {
-    let stage = stage();
-    let mut caller = stage.instance.caller();
+    let fixture = fixture();
+    let mut caller = fixture.instance.caller();
     let started = Instant::now();
     caller.write("GET /read/x HTTP/1.1\r\nHost: ");
     assert!(caller.read_to_close().is_empty());
@@ -155,14 +162,14 @@
 }
 
 #[test]
-fn without_a_configuration_a_request_is_refused_as_not_run() {
+fn a_request_before_the_first_configuration_is_refused_as_not_run() {
     let store = Store::start();
     let instance = Instance::start(&InstanceOptions {
         name: "north-1",
         region: "north",
         store: store.address,
     });
-    wait_until("the instance listens", || {
+    wait_until("the instance is listening", || {
         std::net::TcpStream::connect(instance.callers).is_ok()
     });
     let mut caller = instance.caller();
@@ -176,60 +183,60 @@
 #[test_case(&Script::Close; "connection closed")]
 #[test_case(&Script::Garbage; "no answer")]
 #[test_case(&Script::Unsealed("forged"); "no seal")]
-#[test_case(&Script::Crossed; "answer to another request")]
-#[test_case(&Script::Short; "body cut short")]
+#[test_case(&Script::WrongRequestId; "answer to another request")]
+#[test_case(&Script::Truncated; "body cut short")]
 fn a_request_that_may_not_be_repeated_is_sent_once(script: &Script) {
-    let stage = stage();
-    stage.script_all(script);
-    let mut caller = stage.instance.caller();
+    let fixture = fixture();
+    fixture.script_all(script);
+    let mut caller = fixture.instance.caller();
     caller.send("POST", "/write/x", "a-1", "", "pledge");
     let answer = caller.answer();
     assert_eq!(answer.status, 502, "{answer:?}");
-    assert_eq!(stage.registry_seen(), 1);
+    assert_eq!(fixture.registry_seen(), 1);
 }
 
 #[test_case(&Script::Close; "connection closed")]
 #[test_case(&Script::Garbage; "no answer")]
 #[test_case(&Script::Unsealed("forged"); "no seal")]
-#[test_case(&Script::Crossed; "answer to another request")]
-#[test_case(&Script::Short; "body cut short")]
+#[test_case(&Script::WrongRequestId; "answer to another request")]
+#[test_case(&Script::Truncated; "body cut short")]
 #[test_case(&Script::Answer(500, "fault"); "failure")]
 #[test_case(&Script::Silent; "no answer in time")]
 fn an_idempotent_request_is_repeated_once_elsewhere(script: &Script) {
-    let stage = stage();
-    // Whichever upstream is asked first fails; the other one answers.
-    stage.script_all(script);
+    let fixture = fixture();
+    // The first upstream that is tried fails, whichever it is, and the other one answers.
+    fixture.script_all(script);
     let second = |engine: &Engine| engine.script([Script::Answer(200, "ok")]);
-    stage.registry.iter().for_each(second);
-    let mut caller = stage.instance.caller();
+    fixture.registry.iter().for_each(second);
+    let mut caller = fixture.instance.caller();
     caller.send("GET", "/read/x", "a-1", "", "");
     let first = caller.answer();
-    assert_eq!(stage.registry_seen(), 2, "{first:?}");
-    let both = stage
+    assert_eq!(fixture.registry_seen(), 2, "{first:?}");
+    let both = fixture
         .registry
         .iter()
         .map(|engine| engine.seen().len())
         .max();
-    assert_eq!(both, Some(1), "both sends went to one upstream");
+    assert_eq!(both, Some(1), "both attempts went to one upstream");
 }
 
 #[test_case(&Script::NotRun, "/write/x"; "full, not repeatable")]
 #[test_case(&Script::Misdirected, "/write/x"; "another upstream has the address")]
 #[test_case(&Script::NotRun, "/chat/x"; "full, stream")]
-fn a_request_that_has_not_run_goes_to_another_upstream(script: &Script, path: &str) {
-    let stage = stage();
+fn a_request_that_no_upstream_has_run_is_refused_as_not_run(script: &Script, path: &str) {
+    let fixture = fixture();
     let engines = if path.starts_with("/chat/") {
-        &stage.model
+        &fixture.model
     } else {
-        &stage.registry
+        &fixture.registry
     };
     engines
         .iter()
         .for_each(|engine| engine.script([script.clone()]));
-    let mut caller = stage.instance.caller();
+    let mut caller = fixture.instance.caller();
     caller.send("POST", path, "a-1", "", "pledge");
     let answer = caller.answer();
-    // Both refuse, so the refusal is passed on as one that has not run.
+    // Both upstreams refuse, so the caller gets a refusal that guarantees that nothing has run.
     assert_eq!(answer.status, 503);
     assert!(answer.header("retry-after").is_some());
     assert!(answer.header("x-carobwheel-server-seal").is_none());
@@ -237,16 +244,16 @@
 
 #[test]
 fn a_stream_is_passed_on_whole() {
-    let stage = stage();
-    stage.script_all(&Script::Events {
+    let fixture = fixture();
+    fixture.script_all(&Script::Events {
         until: 5,
         pause_ms: 5,
-        is_whole: true,
+        is_complete: true,
     });
-    let mut caller = stage.instance.caller();
+    let mut caller = fixture.instance.caller();
     caller.send("POST", "/chat/x", "a-1", "", "question");
     let answer = caller.answer();
-    assert!(answer.is_whole);
+    assert!(answer.is_complete);
     let expected: String = (1..=5)
         .map(|n| format!("id: {n}\ndata: piece {n}\n\n"))
         .collect();
@@ -254,24 +261,24 @@
 }
 
 #[test]
-fn a_stream_that_breaks_is_continued_where_the_route_allows_it() {
-    let stage = stage();
-    for engine in &stage.model {
+fn a_broken_stream_is_resumed_if_the_route_allows_it() {
+    let fixture = fixture();
+    for engine in &fixture.model {
         engine.script([
             Script::Events {
                 until: 3,
                 pause_ms: 5,
-                is_whole: false,
+                is_complete: false,
             },
             Script::Events {
                 until: 6,
                 pause_ms: 5,
-                is_whole: true,
+                is_complete: true,
             },
         ]);
     }
-    // The second upstream continues from its first script, which ends at 3: nothing is doubled.
-    let mut caller = stage.instance.caller();
+    // The second upstream starts with its own first script, which ends at 3: no event is repeated.
+    let mut caller = fixture.instance.caller();
     caller.send("POST", "/brief/x", "a-1", "", "question");
     let answer = caller.answer();
     let expected: String = (1..=3)
@@ -282,15 +289,15 @@
         "{answer:?}"
     );
     assert!(
-        !answer.is_whole,
-        "the second upstream broke off as well: {answer:?}"
+        !answer.is_complete,
+        "the stream of the second upstream broke as well: {answer:?}"
     );
     assert_eq!(
         answer.body.matches("id: 3").count(),
         expected.matches("id: 3").count()
     );
-    assert_eq!(stage.model_seen(), 2);
-    let resumed = stage
+    assert_eq!(fixture.model_seen(), 2);
+    let resumed = fixture
         .model
         .iter()
         .flat_map(Engine::seen)
@@ -299,55 +306,55 @@
 }
 
 #[test]
-fn a_stream_that_breaks_is_visibly_cut_where_it_may_not_be_continued() {
-    let stage = stage();
-    stage.script_all(&Script::Events {
+fn a_broken_stream_is_cut_off_if_it_may_not_be_resumed() {
+    let fixture = fixture();
+    fixture.script_all(&Script::Events {
         until: 3,
         pause_ms: 5,
-        is_whole: false,
+        is_complete: false,
     });
-    let mut caller = stage.instance.caller();
+    let mut caller = fixture.instance.caller();
     caller.send("POST", "/chat/x", "a-1", "", "question");
     let answer = caller.answer();
-    assert!(!answer.is_whole);
+    assert!(!answer.is_complete);
     assert!(
         !answer.body.contains("99"),
         "part of an event was passed on: {answer:?}"
     );
-    assert_eq!(stage.model_seen(), 1);
+    assert_eq!(fixture.model_seen(), 1);
 }
 
 #[test_case("/brief/x"; "resumable stream")]
 #[test_case("/read/x"; "idempotent")]
-fn the_upstream_is_left_when_the_caller_leaves(path: &str) {
-    let stage = stage();
+fn the_upstream_connection_is_closed_when_the_caller_disconnects(path: &str) {
+    let fixture = fixture();
     if path.starts_with("/read/") {
-        stage.script_all(&Script::Silent);
+        fixture.script_all(&Script::Silent);
     } else {
-        stage.script_all(&Script::Events {
+        fixture.script_all(&Script::Events {
             until: 1_000,
             pause_ms: 20,
-            is_whole: true,
+            is_complete: true,
         });
     }
-    let mut caller = stage.instance.caller();
+    let mut caller = fixture.instance.caller();
     caller.send("POST", path, "a-1", "", "question");
-    wait_until("the request runs", || {
-        stage.registry_seen() + stage.model_seen() > 0
+    wait_until("the request is running", || {
+        fixture.registry_seen() + fixture.model_seen() > 0
     });
     drop(caller);
-    let engines = || stage.registry.iter().chain(&stage.model);
-    wait_until("the upstream is left", || {
+    let engines = || fixture.registry.iter().chain(&fixture.model);
+    wait_until("the upstream connection is closed", || {
         engines().any(|engine| engine.abandoned() > 0)
     });
 }
 
 #[test]
-fn an_account_over_its_limit_is_refused_with_a_time_to_come_back() {
+fn an_account_over_its_limit_gets_429_with_retry_after() {
     let account = json!({"name": "valuers", "apiKeys": [KEY], "plainTokens": 200,
         "ratePerS": 1_000, "burst": 1_000});
-    let stage = stage_with(&ConfigBuilder::new(1).account(account));
-    let mut caller = stage.instance.caller();
+    let fixture = fixture_with(&ConfigBuilder::new(1).account(account));
+    let mut caller = fixture.instance.caller();
     let mut answers = Vec::new();
     for n in 0..12 {
         caller.send("GET", "/read/x", &format!("a-{n}"), "", "");
@@ -367,67 +374,69 @@
 }
 
 #[test]
-fn a_draining_upstream_gets_nothing_and_an_unreadable_entry_names_none() {
-    let stage = stage();
-    stage.registry[0].register(&stage.store, "registry", "north-a", "draining");
-    stage
+fn a_draining_upstream_gets_no_requests_and_an_invalid_entry_is_ignored() {
+    let fixture = fixture();
+    fixture.registry[0].register(&fixture.store, "registry", "north-a", "draining");
+    fixture
         .store
         .put("servers/i-x", &json!({"service": "registry", "address": 7}));
     wait_until("the entry is ignored", || {
-        !stage.instance.logged("entry_ignored").is_empty()
+        !fixture.instance.logged("entry_ignored").is_empty()
     });
-    let before = stage.registry[0].seen().len();
-    let mut caller = stage.instance.caller();
+    let before = fixture.registry[0].seen().len();
+    let mut caller = fixture.instance.caller();
     for n in 0..10 {
         caller.send("GET", "/read/x", &format!("a-{n}"), "", "");
         assert_eq!(caller.answer().status, 200);
     }
-    assert_eq!(stage.registry[0].seen().len(), before);
+    assert_eq!(fixture.registry[0].seen().len(), before);
 }
 
 #[test]
 fn an_older_configuration_is_never_applied() {
-    let stage = stage();
-    stage
+    let fixture = fixture();
+    fixture
         .store
         .publish(&ConfigBuilder::new(7).without("/read/"));
     let status = |id: &str| {
-        let mut caller = stage.instance.caller();
+        let mut caller = fixture.instance.caller();
         caller.send("GET", "/read/x", id, "", "");
         caller.answer().status
     };
     wait_until("version 7 is in force", || status("a-1") == 404);
-    stage.store.publish(&ConfigBuilder::new(6));
-    stage
+    fixture.store.publish(&ConfigBuilder::new(6));
+    fixture
         .store
         .publish(&ConfigBuilder::new(8).without("/read/").without("/chat/"));
-    let versions = || stage.instance.logged("config_in_force").len();
+    let versions = || fixture.instance.logged("config_in_force").len();
     wait_until("version 8 is in force", || versions() == 3);
     assert_eq!(status("a-2"), 404);
 }
 
 #[test]
-fn a_change_is_heard_after_the_store_forgot_its_history() {
-    let stage = stage();
-    stage.store.publish(&ConfigBuilder::new(2));
-    stage.store.forget_history();
-    stage
+fn a_change_is_applied_after_the_store_compacted_its_history() {
+    let fixture = fixture();
+    fixture.store.publish(&ConfigBuilder::new(2));
+    fixture.store.compact_history();
+    fixture
         .store
         .publish(&ConfigBuilder::new(3).without("/read/"));
     wait_until("version 3 is in force", || {
-        let logged = stage.instance.logged("config_in_force");
+        let logged = fixture.instance.logged("config_in_force");
         logged.last().is_some_and(|line| line["version"] == 3)
     });
 }
 
 #[test]
 fn a_withdrawn_key_stops_working_on_an_open_connection() {
-    let stage = stage();
-    let mut caller = stage.instance.caller();
+    let fixture = fixture();
+    let mut caller = fixture.instance.caller();
     caller.send("GET", "/read/x", "a-1", "", "");
     assert_eq!(caller.answer().status, 200);
     let account = json!({"name": "valuers", "apiKeys": [], "ratePerS": 0, "burst": 0});
-    stage.store.publish(&ConfigBuilder::new(2).account(account));
+    fixture
+        .store
+        .publish(&ConfigBuilder::new(2).account(account));
     wait_until("the key is refused", || {
         caller.send("GET", "/read/x", "a-2", "", "");
         caller.answer().status == 401
@@ -435,29 +444,29 @@
 }
 
 #[test]
-fn a_stop_lets_a_stream_end_and_refuses_late_requests() {
-    let mut stage = stage();
-    for engine in &stage.model {
+fn a_graceful_stop_completes_a_stream_and_refuses_new_requests() {
+    let mut fixture = fixture();
+    for engine in &fixture.model {
         engine.script([Script::Events {
             until: 40,
             pause_ms: 100,
-            is_whole: true,
+            is_complete: true,
         }]);
     }
-    let mut stream = stage.instance.caller();
+    let mut stream = fixture.instance.caller();
     stream.write(&format!(
         "POST /chat/x HTTP/1.1\r\nHost: {HOST}\r\nX-Carobwheel-Attempt-Id: a-1\r\nX-Carobwheel-Key: {KEY}\r\nContent-Length: 0\r\n\r\n"
     ));
-    wait_until("the stream runs", || stage.model_seen() > 0);
-    // Its route allows 4 s, so it has to be over before the process ends.
-    stage.instance.signal("-TERM");
+    wait_until("the stream is running", || fixture.model_seen() > 0);
+    // The route allows 4 s, so the stream has to end before the process exits.
+    fixture.instance.signal("-TERM");
     wait_until("the instance is no longer ready", || {
-        !stage.instance.is_ready()
+        !fixture.instance.is_ready()
     });
     let started = Instant::now();
     let mut refused = None;
     while started.elapsed() < Duration::from_secs(4) && refused.is_none() {
-        let mut late = stage.instance.caller();
+        let mut late = fixture.instance.caller();
         late.send("GET", "/read/x", "late", "", "");
         let answer = late.answer();
         assert!(matches!(answer.status, 200 | 503), "{answer:?}");
@@ -467,54 +476,57 @@
     assert!(refused.unwrap().header("retry-after").is_some());
     let answer = stream.answer();
     assert!(answer.body.contains("id: 30"), "{}", answer.body.len());
-    assert_eq!(stage.instance.wait(), Some(0));
+    assert_eq!(fixture.instance.wait(), Some(0));
 }
 
 #[test]
-fn calls_to_a_silent_store_are_few() {
-    let stage = stage();
-    let before = stage.store.calls();
-    stage.store.set_refusing(true);
+fn calls_to_a_refusing_store_are_limited() {
+    let fixture = fixture();
+    let before = fixture.store.calls();
+    fixture.store.set_refusing(true);
     std::thread::sleep(Duration::from_secs(6));
-    // Three followed prefixes and the lease, each at most once in a second after the first pauses.
-    let calls = stage.store.calls() - before;
+    // Three followed prefixes and the lease, each at most once per second after the first pauses.
+    let calls = fixture.store.calls() - before;
     assert!(calls <= 40, "{calls} calls in 6 s");
-    assert!(stage.instance.is_ready(), "requests do not need the store");
+    assert!(
+        fixture.instance.is_ready(),
+        "requests do not need the store"
+    );
 }
 
 #[test]
-fn changes_of_entries_are_gathered() {
-    let stage = stage();
+fn changes_of_entries_are_batched() {
+    let fixture = fixture();
     let engines: Vec<Engine> = (0..40)
         .map(|n| Engine::start(&format!("i-new-{n}")))
         .collect();
-    let before = stage.store.calls();
+    let before = fixture.store.calls();
     for engine in &engines {
-        engine.register(&stage.store, "registry", "north-a", "ready");
+        engine.register(&fixture.store, "registry", "north-a", "ready");
         std::thread::sleep(Duration::from_millis(100));
     }
-    // One watch tells of the changes of at least 0.7 s; the lease is renewed beside it.
-    let calls = stage.store.calls() - before;
+    // One watch response covers the changes of at least 0.7 s; lease renewals count as calls too.
+    let calls = fixture.store.calls() - before;
     assert!(calls <= 12, "{calls} calls in 4 s");
     wait_until("all upstreams are known", || {
-        stage.instance.logged("upstream_seen").len() >= engines.len()
+        fixture.instance.logged("upstream_seen").len() >= engines.len()
     });
 }
 
 #[test]
-fn metrics_and_logs_tell_of_a_request() {
-    let stage = stage();
-    let mut caller = stage.instance.caller();
+fn a_request_is_recorded_in_metrics_and_logs() {
+    let fixture = fixture();
+    let mut caller = fixture.instance.caller();
     caller.send("GET", "/read/x", "a-77", "", "");
     assert_eq!(caller.answer().status, 200);
-    let text = stage.instance.metrics_text();
+    let text = fixture.instance.metrics_text();
     assert!(text.contains("carobwheel_requests_total{account=\"valuers\",route=\"r/read/\",outcome=\"answered\"} 1"), "{text}");
     wait_until("the log is written", || {
-        !stage.instance.logged("answered").is_empty()
+        !fixture.instance.logged("answered").is_empty()
     });
     for event in ["admitted", "placed", "answered"] {
         assert!(
-            stage
+            fixture
                 .instance
                 .logged(event)
                 .iter()
@@ -525,7 +537,7 @@
 }
 
 #[test]
-fn a_settings_file_with_faults_names_them_all() {
+fn a_faulty_settings_file_is_rejected() {
     let folder = std::env::temp_dir().join(format!("carobwheel-faults-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("settings.json");
--- a/crates/gateway/tests/platform_support/caller.rs
+++ b/crates/gateway/tests/platform_support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that writes its requests byte by byte.
+//! Caller that writes raw requests.
 
 use super::{HOST, KEY};
 use std::{
@@ -7,14 +7,14 @@
     time::Duration,
 };
 
-/// An answer as it came.
+/// Response as received.
 #[derive(Clone, Debug)]
 pub(crate) struct Answer {
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: String,
-    /// The body reached its stated end.
-    pub(crate) is_whole: bool,
+    /// Whether the body reached its announced end.
+    pub(crate) is_complete: bool,
 }
 
 impl Answer {
@@ -25,7 +25,7 @@
     }
 }
 
-/// One connection.
+/// Connection to an instance.
 pub(crate) struct Caller {
     pub(crate) stream: TcpStream,
 }
@@ -44,16 +44,16 @@
     }
 
     /// Sends a request with the usual headers.
-    pub(crate) fn send(&mut self, method: &str, path: &str, id: &str, more: &str, body: &str) {
+    pub(crate) fn send(&mut self, method: &str, path: &str, id: &str, extra: &str, body: &str) {
         self.write(&format!(
             "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Carobwheel-Attempt-Id: {id}\r\n\
-             X-Carobwheel-Deadline-Ms: 3000\r\nX-Carobwheel-Key: {KEY}\r\n{more}\
+             X-Carobwheel-Deadline-Ms: 3000\r\nX-Carobwheel-Key: {KEY}\r\n{extra}\
              Content-Length: {}\r\n\r\n{body}",
             body.len()
         ));
     }
 
-    /// Reads one answer; status 0 if the connection was closed before its head.
+    /// Reads one response; status 0 if the connection was closed before the end of the head.
     pub(crate) fn answer(&mut self) -> Answer {
         let mut bytes = Vec::new();
         let head_end = loop {
@@ -65,7 +65,7 @@
                     status: 0,
                     head: String::new(),
                     body: String::new(),
-                    is_whole: false,
+                    is_complete: false,
                 };
             }
         };
@@ -75,7 +75,7 @@
             status,
             head,
             body: String::new(),
-            is_whole: false,
+            is_complete: false,
         };
         let mut rest = bytes.split_off(head_end);
         let length = answer
@@ -83,13 +83,13 @@
             .map(|text| text.parse::<usize>().unwrap());
         if let Some(length) = length {
             while rest.len() < length && self.read_more(&mut rest) {}
-            answer.is_whole = rest.len() >= length;
+            answer.is_complete = rest.len() >= length;
             answer.body = String::from_utf8_lossy(&rest).into_owned();
             return answer;
         }
         loop {
             if let Some(body) = unchunk(&rest) {
-                answer.is_whole = true;
+                answer.is_complete = true;
                 answer.body = body;
                 return answer;
             }
@@ -100,13 +100,14 @@
         }
     }
 
-    /// Reads until the other end closes, and returns what came.
+    /// Reads until the other end closes the connection, and returns the bytes.
     pub(crate) fn read_to_close(&mut self) -> Vec<u8> {
         let mut bytes = Vec::new();
         while self.read_more(&mut bytes) {}
         bytes
     }
 
+    /// Reads more bytes. Returns false at the end of the stream or on an error.
     pub(crate) fn read_more(&mut self, bytes: &mut Vec<u8>) -> bool {
         let mut piece = [0; 4096];
         match self.stream.read(&mut piece) {
@@ -123,7 +124,7 @@
     bytes.windows(what.len()).position(|window| window == what)
 }
 
-/// The body of a whole chunked answer.
+/// Decodes a chunked body; `None` if it is incomplete.
 fn unchunk(mut rest: &[u8]) -> Option<String> {
     let mut body = Vec::new();
     loop {
--- a/crates/gateway/tests/platform_support/config.rs
+++ b/crates/gateway/tests/platform_support/config.rs
@@ -1,13 +1,13 @@
-//! A small configuration.
+//! Builder of a small configuration.
 
 use serde_json::{json, Value};
 
 /// Host of all routes.
 pub(crate) const HOST: &str = "rugs.example";
-/// Key of the account `valuers`.
+/// API key of the account `valuers`.
 pub(crate) const KEY: &str = "key-of-valuers";
 
-/// Builds a configuration.
+/// Builder of a configuration document.
 pub(crate) struct ConfigBuilder {
     version: u64,
     routes: Vec<Value>,
@@ -17,6 +17,7 @@
 }
 
 impl ConfigBuilder {
+    /// Configuration with one route per kind and one account.
     pub(crate) fn new(version: u64) -> Self {
         let builder = Self {
             version,
@@ -41,18 +42,19 @@
             .route("/chat/", "streaming", "model", 1, json!({}))
     }
 
+    /// Adds a route, or replaces the one with the same prefix. `extra` overrides its fields.
     pub(crate) fn route(
         mut self,
         prefix: &str,
         kind: &str,
         service: &str,
         attempts: u32,
-        more: Value,
+        extra: Value,
     ) -> Self {
         let mut route = json!({"name": format!("r{prefix}"), "host": HOST, "pathPrefix": prefix,
             "routeType": kind, "timeoutMs": 4_000, "targetLatencyMs": 800, "priority": 1,
             "service": service, "maxAttempts": attempts, "gapAimMs": 300});
-        for (name, value) in more.as_object().unwrap() {
+        for (name, value) in extra.as_object().unwrap() {
             route[name] = value.clone();
         }
         self.routes.retain(|known| known["pathPrefix"] != prefix);
@@ -60,16 +62,19 @@
         self
     }
 
+    /// Removes a route.
     pub(crate) fn without(mut self, prefix: &str) -> Self {
         self.routes.retain(|known| known["pathPrefix"] != prefix);
         self
     }
 
+    /// Replaces all accounts.
     pub(crate) fn account(mut self, account: Value) -> Self {
         self.accounts = vec![account];
         self
     }
 
+    /// Configuration document.
     pub(crate) fn value(&self) -> Value {
         let engine = json!({"slots": 64, "kvCapacity": 200_000});
         json!({"version": self.version, "routes": self.routes, "tenants": self.accounts,
--- a/crates/gateway/tests/platform_support/engine.rs
+++ b/crates/gateway/tests/platform_support/engine.rs
@@ -1,4 +1,4 @@
-//! A scripted upstream: each request is answered as the next line of its script says.
+//! Scripted upstream that answers each request as the next entry of its script says.
 
 use super::Store;
 use serde_json::json;
@@ -14,52 +14,52 @@
     time::Duration,
 };
 
-/// How one request is answered.
+/// Scripted answer to one request.
 #[derive(Clone, Debug)]
 pub(crate) enum Script {
-    /// With this status and body, sealed.
+    /// Response with this status and body, and the seal header.
     Answer(u16, &'static str),
-    /// With this body and no seal.
+    /// Response with this body and without the seal header.
     Unsealed(&'static str),
-    /// With the identifier of another request.
-    Crossed,
-    /// With bytes that are no answer.
+    /// Response with the id of another request.
+    WrongRequestId,
+    /// Bytes that are not HTTP.
     Garbage,
-    /// By closing the connection.
+    /// Closes the connection without a response.
     Close,
-    /// With 503 and the word that it has not run.
+    /// 503 with the header that states that the request has not run.
     NotRun,
-    /// With 421.
+    /// 421.
     Misdirected,
-    /// With a length that the body does not reach.
-    Short,
-    /// Not at all, until the caller closes the connection.
+    /// Response whose body is shorter than its `Content-Length`.
+    Truncated,
+    /// No response until the caller closes the connection.
     Silent,
-    /// With events from the number after the caller's last one up to the second number, a pause in
-    /// milliseconds after each, then an end or a break.
+    /// Events with the ids after the caller's last one up to `until`, with a pause after each, and
+    /// then the end of the stream or a break within an event.
     Events {
         until: u64,
         pause_ms: u64,
-        is_whole: bool,
+        is_complete: bool,
     },
 }
 
-/// One request as the upstream saw it.
+/// Request as the upstream received it.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct ReceivedRequest {
     pub(crate) line: String,
     pub(crate) headers: Vec<(String, String)>,
     pub(crate) body: Vec<u8>,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let header = self.headers.iter().find(|(known, _)| known == name);
         header.map(|(_, value)| value.as_str())
     }
 }
 
-/// A running upstream.
+/// Running upstream.
 pub(crate) struct Engine {
     pub(crate) id: String,
     pub(crate) address: SocketAddr,
@@ -69,7 +69,7 @@
 #[derive(Default)]
 struct Shared {
     scripts: Mutex<VecDeque<Script>>,
-    seen: Mutex<Vec<Seen>>,
+    seen: Mutex<Vec<ReceivedRequest>>,
     abandoned: AtomicUsize,
 }
 
@@ -91,7 +91,7 @@
         engine
     }
 
-    /// Registers it in the store.
+    /// Registers the upstream in the store.
     pub(crate) fn register(&self, store: &Store, service: &str, zone: &str, state: &str) {
         let entry = json!({"service": service, "address": self.address, "zone": zone,
             "version": "v1", "slots": 6, "state": state, "coldRemainingMs": 0, "sequence": 1,
@@ -99,16 +99,16 @@
         store.put(&format!("servers/{}", self.id), &entry);
     }
 
-    /// Answers the next requests so; after that all with 200 and `ok`.
+    /// Appends answers to the script. Requests beyond the script get a 200 with the body `ok`.
     pub(crate) fn script(&self, scripts: impl IntoIterator<Item = Script>) {
         self.shared.scripts.lock().unwrap().extend(scripts);
     }
 
-    pub(crate) fn seen(&self) -> Vec<Seen> {
+    pub(crate) fn seen(&self) -> Vec<ReceivedRequest> {
         self.shared.seen.lock().unwrap().clone()
     }
 
-    /// Requests whose caller has closed the connection before their end.
+    /// Number of requests whose caller closed the connection before the end of the response.
     pub(crate) fn abandoned(&self) -> usize {
         self.shared.abandoned.load(Ordering::SeqCst)
     }
@@ -135,7 +135,7 @@
     }
 }
 
-/// Answers; `None` if the connection is over.
+/// Answers a request; `None` if the connection has to be closed.
 fn answer(
     mut stream: &TcpStream,
     script: &Script,
@@ -143,9 +143,9 @@
     last: u64,
     shared: &Shared,
 ) -> Option<()> {
-    let whole = |status: u16, id: &str, more: &str, body: &str| {
+    let whole = |status: u16, id: &str, extra: &str, body: &str| {
         format!(
-            "HTTP/1.1 {status} X\r\nx-carobwheel-attempt-id: {id}\r\n{more}content-length: {}\r\n\r\n{body}",
+            "HTTP/1.1 {status} X\r\nx-carobwheel-attempt-id: {id}\r\n{extra}content-length: {}\r\n\r\n{body}",
             body.len()
         )
     };
@@ -154,11 +154,11 @@
     let text = match script {
         Script::Answer(status, body) => whole(*status, id, seal, body),
         Script::Unsealed(body) => whole(200, id, "", body),
-        Script::Crossed => whole(200, "another", seal, "not yours"),
+        Script::WrongRequestId => whole(200, "another", seal, "not yours"),
         Script::Garbage => "%%%% no answer\r\n\r\n".to_owned(),
         Script::NotRun => whole(503, id, not_run, ""),
         Script::Misdirected => whole(421, id, "", ""),
-        Script::Short => {
+        Script::Truncated => {
             let text = format!("HTTP/1.1 200 X\r\nx-carobwheel-attempt-id: {id}\r\n{seal}content-length: 50\r\n\r\nshort");
             stream.write_all(text.as_bytes()).ok()?;
             return None;
@@ -171,7 +171,7 @@
         Script::Events {
             until,
             pause_ms,
-            is_whole,
+            is_complete,
         } => {
             let head = format!("HTTP/1.1 200 X\r\nx-carobwheel-attempt-id: {id}\r\n{seal}content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n");
             stream.write_all(head.as_bytes()).ok()?;
@@ -184,7 +184,7 @@
                 }
                 thread::sleep(Duration::from_millis(*pause_ms));
             }
-            if !is_whole {
+            if !is_complete {
                 let _ = stream.write_all(b"a\r\nid: 99\nda");
                 return None;
             }
@@ -206,7 +206,7 @@
     shared.abandoned.fetch_add(1, Ordering::SeqCst);
 }
 
-fn read_request(reader: &mut BufReader<TcpStream>) -> Option<Seen> {
+fn read_request(reader: &mut BufReader<TcpStream>) -> Option<ReceivedRequest> {
     let mut line = String::new();
     reader.read_line(&mut line).ok().filter(|read| *read > 0)?;
     let mut headers = Vec::new();
@@ -222,7 +222,7 @@
     let mut body = vec![0; length.map_or(0, |(_, text)| text.parse().unwrap())];
     reader.read_exact(&mut body).ok()?;
     let line = line.trim_end().to_owned();
-    Some(Seen {
+    Some(ReceivedRequest {
         line,
         headers,
         body,
--- a/crates/gateway/tests/platform_support/instance.rs
+++ b/crates/gateway/tests/platform_support/instance.rs
@@ -1,4 +1,4 @@
-//! One real `carobwheel edge` process.
+//! A `carobwheel edge` process.
 
 use super::{wait_until, Caller};
 use serde_json::json;
@@ -10,19 +10,20 @@
     sync::atomic::{AtomicU64, Ordering},
 };
 
+/// Number of the next instance in this process.
 static NEXT: AtomicU64 = AtomicU64::new(0);
 
-/// Ports of an instance follow this one.
+/// Base of an instance's ports.
 const FIRST_PORT: u16 = 21_000;
 
-/// An address of its own on loopback, so that no other process takes an instance's ports.
+/// Loopback address that is unique to the instance, so that no other process takes its ports.
 fn own_ip(number: u64) -> IpAddr {
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let number = u8::try_from(number).unwrap();
     IpAddr::V4(Ipv4Addr::new(127, 100 + high % 100, low, number + 1))
 }
 
-/// Where an instance runs.
+/// Running instance; it is killed when dropped.
 pub(crate) struct InstanceOptions {
     pub(crate) name: &'static str,
     pub(crate) region: &'static str,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Starts one and waits until it is ready.
+    /// Starts an instance and waits until it is ready.
     pub(crate) fn start_ready(options: &InstanceOptions) -> Self {
         let instance = Self::start(options);
         wait_until("the instance is ready", || instance.is_ready());
@@ -98,6 +99,7 @@
         Caller::connect(self.callers)
     }
 
+    /// Queries the directory.
     pub(crate) fn resolve(&self, region: &str) -> super::Answer {
         get(
             self.directory,
@@ -109,7 +111,7 @@
         get(self.metrics, "/metrics").body
     }
 
-    /// Lines of the log with this event.
+    /// Log lines with this event.
     pub(crate) fn logged(&self, event: &str) -> Vec<serde_json::Value> {
         let text = fs::read_to_string(&self.log).unwrap();
         let lines = text
@@ -129,7 +131,7 @@
             .success());
     }
 
-    /// Waits for the end; returns the exit code.
+    /// Waits for the process to exit, and returns its exit code.
     pub(crate) fn wait(&mut self) -> Option<i32> {
         self.child.wait().unwrap().code()
     }
@@ -137,7 +139,7 @@
 
 impl Drop for Instance {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = fs::remove_dir_all(&self.folder);
--- a/crates/gateway/tests/platform_support/mod.rs
+++ b/crates/gateway/tests/platform_support/mod.rs
@@ -1,4 +1,5 @@
-//! Real `carobwheel edge` processes between raw callers and small stand-ins of the platform.
+//! Fixtures that run real `carobwheel edge` processes between scripted callers, upstreams and a
+//! store.
 
 #![allow(clippy::unwrap_used, dead_code, unused_imports)]
 
@@ -10,7 +11,7 @@
 
 pub(crate) use caller::{Answer, Caller};
 pub(crate) use config::{ConfigBuilder, HOST, KEY};
-pub(crate) use engine::{Engine, Script, Seen};
+pub(crate) use engine::{Engine, ReceivedRequest, Script};
 pub(crate) use instance::{Instance, InstanceOptions};
 pub(crate) use store::Store;
 
@@ -20,11 +21,11 @@
 };
 
 /// Longest wait for a condition before a test fails.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Waits until a condition holds.
 pub(crate) fn wait_until(what: &str, mut is_met: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !is_met() {
         assert!(Instant::now() < end, "waited too long until {what}");
         thread::sleep(Duration::from_millis(10));
--- a/crates/gateway/tests/platform_support/store.rs
+++ b/crates/gateway/tests/platform_support/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's store: one thread a connection, everything in memory.
+//! In-memory stand-in for the platform's store, with one thread per connection.
 
 use super::config::ConfigBuilder;
 use base64::{engine::general_purpose::STANDARD, Engine as _};
@@ -15,6 +15,7 @@
     time::{Duration, Instant},
 };
 
+/// Items as Base64 value, revision and lease, and the history of changes.
 #[derive(Default)]
 struct State {
     revision: u64,
@@ -24,6 +25,7 @@
     next_lease: u64,
 }
 
+/// State that is shared by the threads.
 #[derive(Default)]
 struct Shared {
     state: Mutex<State>,
@@ -33,7 +35,7 @@
     calls: AtomicUsize,
 }
 
-/// A running store.
+/// Running store.
 pub(crate) struct Store {
     pub(crate) address: SocketAddr,
     shared: Arc<Shared>,
@@ -51,21 +53,24 @@
         store
     }
 
-    /// Another address of the same store, with switches of its own.
-    pub(crate) fn door(&self) -> Door {
+    /// Opens another address of the same store, which can be blocked separately.
+    pub(crate) fn second_address(&self) -> StoreAddress {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let door = Door {
+        let second_address = StoreAddress {
             address: listener.local_addr().unwrap(),
-            is_shut: Arc::default(),
+            is_blocked: Arc::default(),
         };
-        let (shared, is_shut) = (Arc::clone(&self.shared), Arc::clone(&door.is_shut));
+        let (shared, is_blocked) = (
+            Arc::clone(&self.shared),
+            Arc::clone(&second_address.is_blocked),
+        );
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (shared, is_shut) = (Arc::clone(&shared), Arc::clone(&is_shut));
-                thread::spawn(move || serve(stream, &shared, &is_shut));
+                let (shared, is_blocked) = (Arc::clone(&shared), Arc::clone(&is_blocked));
+                thread::spawn(move || serve(stream, &shared, &is_blocked));
             }
         });
-        door
+        second_address
     }
 
     pub(crate) fn put(&self, key: &str, value: &Value) {
@@ -90,36 +95,37 @@
         serde_json::from_slice(&STANDARD.decode(text).unwrap()).ok()
     }
 
-    /// Forgets what has changed; watches behind it have to list again.
-    pub(crate) fn forget_history(&self) {
+    /// Discards the history of changes, so that watches of older revisions have to list again.
+    pub(crate) fn compact_history(&self) {
         self.shared.state.lock().unwrap().history.clear();
     }
 
-    /// Takes calls and never answers them.
+    /// Makes the store accept calls without ever answering them.
     pub(crate) fn set_silent(&self, is_silent: bool) {
         self.shared.is_silent.store(is_silent, Ordering::SeqCst);
     }
 
-    /// Answers every call with 503.
+    /// Makes the store answer every call with 503.
     pub(crate) fn set_refusing(&self, is_refusing: bool) {
         self.shared.is_refusing.store(is_refusing, Ordering::SeqCst);
     }
 
+    /// Number of calls that were received.
     pub(crate) fn calls(&self) -> usize {
         self.shared.calls.load(Ordering::SeqCst)
     }
 }
 
-/// One more address of a store.
-pub(crate) struct Door {
+/// Additional address of a store.
+pub(crate) struct StoreAddress {
     pub(crate) address: SocketAddr,
-    is_shut: Arc<AtomicBool>,
+    is_blocked: Arc<AtomicBool>,
 }
 
-impl Door {
-    /// Refuses all calls that come this way.
-    pub(crate) fn shut(&self) {
-        self.is_shut.store(true, Ordering::SeqCst);
+impl StoreAddress {
+    /// Answers all further calls at this address with 503.
+    pub(crate) fn block(&self) {
+        self.is_blocked.store(true, Ordering::SeqCst);
     }
 }
 
@@ -155,24 +161,24 @@
     }
 }
 
-fn serve(stream: TcpStream, shared: &Shared, is_shut: &AtomicBool) {
+fn serve(stream: TcpStream, shared: &Shared, is_blocked: &AtomicBool) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let mut stream = stream;
     while let Some((method, target, body)) = read_call(&mut reader) {
         shared.calls.fetch_add(1, Ordering::SeqCst);
-        let is_off = || shared.is_silent.load(Ordering::SeqCst);
-        if is_off() {
+        let is_silent = || shared.is_silent.load(Ordering::SeqCst);
+        if is_silent() {
             thread::sleep(Duration::from_secs(600));
             return;
         }
         let is_refused =
-            shared.is_refusing.load(Ordering::SeqCst) || is_shut.load(Ordering::SeqCst);
+            shared.is_refusing.load(Ordering::SeqCst) || is_blocked.load(Ordering::SeqCst);
         let (status, body) = if is_refused {
             (503, Value::Null)
         } else {
-            answer(shared, &method, &target, &body, is_shut)
+            answer(shared, &method, &target, &body, is_blocked)
         };
-        if is_off() {
+        if is_silent() {
             return;
         }
         let text = if body.is_null() {
@@ -217,7 +223,7 @@
     method: &str,
     target: &str,
     body: &[u8],
-    is_shut: &AtomicBool,
+    is_blocked: &AtomicBool,
 ) -> (u16, Value) {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let query: HashMap<&str, &str> = query
@@ -242,7 +248,7 @@
                 json!({"items": items, "morePages": false, "currentRev": state.revision}),
             )
         }
-        ("GET", "/kv-watch") => watch(shared, prefix, &query, is_shut),
+        ("GET", "/kv-watch") => watch(shared, prefix, &query, is_blocked),
         ("POST", "/kv-txn") => commit(shared, body),
         ("POST", "/kv-lease") => {
             let mut state = shared.state.lock().unwrap();
@@ -269,7 +275,7 @@
     shared: &Shared,
     prefix: &str,
     query: &HashMap<&str, &str>,
-    is_shut: &AtomicBool,
+    is_blocked: &AtomicBool,
 ) -> (u16, Value) {
     let after: u64 = query["after"].parse().unwrap();
     let wait = Duration::from_millis(query["waitMs"].parse().unwrap());
@@ -282,13 +288,13 @@
         if after + 1 < first {
             return (410, Value::Null);
         }
-        let is_news = |event: &&Value| {
+        let is_newer = |event: &&Value| {
             event["revision"].as_u64().unwrap() > after
                 && event["key"].as_str().unwrap().starts_with(prefix)
         };
-        let events: Vec<Value> = state.history.iter().filter(is_news).cloned().collect();
+        let events: Vec<Value> = state.history.iter().filter(is_newer).cloned().collect();
         let is_over = Instant::now() >= end;
-        if is_shut.load(Ordering::SeqCst) {
+        if is_blocked.load(Ordering::SeqCst) {
             return (503, Value::Null);
         }
         if !events.is_empty() || is_over {
