--- a/crates/edge/src/daemon/mod.rs
+++ b/crates/edge/src/daemon/mod.rs
@@ -80,8 +80,9 @@
 /// Starts all tasks, waits for the signal to stop, and stops gracefully.
 async fn serve(settings: Settings, deployment: Deployment) -> anyhow::Result<usize> {
     let clock = Clock::default();
-    let (log, log_end) = Log::start(&settings.instance, clock).context("cannot start the logs")?;
-    let identity = Identity::generate().context("cannot make a certificate")?;
+    let (log, log_end) =
+        Log::start(&settings.instance, clock).context("cannot start the log writer")?;
+    let identity = Identity::generate().context("cannot generate a certificate")?;
     let entry = entry(&settings, clock, &identity);
     let (links, dialled) = Links::bind(identity, settings.listen.peers)
         .with_context(|| format!("cannot listen on {}", settings.listen.peers))?;
@@ -97,7 +98,7 @@
         },
         stop_store.clone(),
     )
-    .context("cannot start the thread of the store")?;
+    .context("cannot start the store thread")?;
     let node = Rc::new(Node {
         name: entry.name,
         region: entry.region,
--- a/crates/edge/src/front/aux_endpoint.rs
+++ b/crates/edge/src/front/aux_endpoint.rs
@@ -92,12 +92,12 @@
     let now = node.now();
     let mut by_region: BTreeMap<String, Vec<SocketAddr>> = BTreeMap::new();
     let state = node.state.borrow();
-    let up = state
+    let reachable = state
         .members
         .by_name
         .values()
         .filter(|member| member.is_up(now));
-    for member in up {
+    for member in reachable {
         let addresses = by_region
             .entry(member.entry.region.to_string())
             .or_default();
@@ -152,7 +152,7 @@
         .upstreams
         .by_id
         .values()
-        .filter(|up| up.health.is_usable(now))
+        .filter(|upstream| upstream.health.is_usable(now))
         .count();
     let lost_ms = state.store_lost_at.map_or(0, |at| now.since(at));
     let gauges = [
--- a/crates/edge/src/front/body.rs
+++ b/crates/edge/src/front/body.rs
@@ -37,21 +37,21 @@
         let frame =
             frame.map_err(|_| Refusal::new(StatusCode::BAD_REQUEST, "the body is broken"))?;
         // Trailers are dropped.
-        let Ok(piece) = frame.into_data() else {
+        let Ok(chunk) = frame.into_data() else {
             continue;
         };
-        if first.len() + rest.len() + piece.len() > max_bytes {
+        if first.len() + rest.len() + chunk.len() > max_bytes {
             return Err(too_large());
         }
         // Most bodies arrive in one chunk, which needs no copy.
         if first.is_empty() && rest.is_empty() {
-            first = piece;
+            first = chunk;
         } else {
             if rest.is_empty() {
                 rest.extend_from_slice(&first);
                 first = Bytes::new();
             }
-            rest.extend_from_slice(&piece);
+            rest.extend_from_slice(&chunk);
         }
     }
     Ok(if rest.is_empty() {
--- a/crates/edge/src/node/state.rs
+++ b/crates/edge/src/node/state.rs
@@ -379,9 +379,9 @@
 /// Priority of a request for the upstream, from 0 (highest) to 9.
 pub fn urgency(route: &Route, account: Option<&Account>) -> u8 {
     /// Priority of requests of the highest rank.
-    const FIRST: u8 = 3;
+    const HIGHEST_RANK_URGENCY: u8 = 3;
     let rank = account
         .and_then(|account| account.rank)
         .unwrap_or(route.rank);
-    (FIRST + rank).min(9)
+    (HIGHEST_RANK_URGENCY + rank).min(9)
 }
--- a/crates/edge/src/node/tick.rs
+++ b/crates/edge/src/node/tick.rs
@@ -47,19 +47,19 @@
         self.advance_trials();
     }
 
-    /// Prefixes for which another instance has been ahead for [`PULL_DELAY_MS`].
+    /// Prefixes for which another instance has been ahead for `PULL_DELAY_MS`.
     pub fn due_pulls(&self) -> Vec<Pull> {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let own = state.replica.revisions();
         let mut pulls = Vec::new();
         for (prefix, after) in own.into_iter().enumerate() {
-            let up = state
+            let reachable = state
                 .members
                 .by_name
                 .values()
                 .filter(|member| member.is_heard(PULL_DELAY_MS, now));
-            let ahead = up.filter_map(|member| {
+            let ahead = reachable.filter_map(|member| {
                 let revision = *member.revisions.get(prefix)?;
                 (revision > after).then(|| (revision, Arc::clone(&member.entry.name)))
             });
@@ -117,7 +117,7 @@
                     verdict,
                 };
                 if self.record.try_send(recorded).is_err() {
-                    let reason = "too many verdicts are waiting";
+                    let reason = "the verdict queue is full";
                     self.log.event(Event::VerdictNotRecorded {
                         service: &service,
                         reason,
@@ -131,11 +131,13 @@
     fn verdict_position(&self) -> u64 {
         let now = self.now();
         let state = self.state.borrow();
-        let up = state
+        let reachable = state
             .members
             .by_name
             .values()
             .filter(|member| member.is_up(now));
-        up.filter(|member| member.entry.name < self.name).count() as u64
+        reachable
+            .filter(|member| member.entry.name < self.name)
+            .count() as u64
     }
 }
