--- a/crates/edge/src/pipeline/send_once.rs
+++ b/crates/edge/src/pipeline/send_once.rs
@@ -246,8 +246,8 @@
                 clippy::cast_precision_loss,
                 clippy::cast_sign_loss
             )]
-            let head_timeout_ms = (ctx.meta.aim_ms as f64 * SILENCE_TARGET_SHARE) as u64;
-            left_ms.min(head_timeout_ms.max(MIN_SILENCE_MS).max(2 * wait_ms))
+            let timeout_ms = (ctx.meta.aim_ms as f64 * SILENCE_TARGET_SHARE) as u64;
+            left_ms.min(timeout_ms.max(MIN_SILENCE_MS).max(2 * wait_ms))
         }
         RouteKind::Stream { is_resumable: true } => {
             left_ms.min((2 * ctx.meta.aim_ms).max(2 * wait_ms))
