--- a/crates/edge/src/daemon/mod.rs
+++ b/crates/edge/src/daemon/mod.rs
@@ -1,8 +1,8 @@
-//! One instance from its start to its end.
+//! Lifecycle of an instance: start-up, checks of the settings file on request, and graceful stop.
 
 use crate::{
     dispatch::Pools,
-    front::{bind, serve_callers, serve_side, Connections, Interface, SideHandler},
+    front::{bind, serve_aux, serve_callers, AuxEndpoint, AuxInterface, Connections},
     log::{Event, Log},
     member::MemberEntry,
     metrics::Metrics,
@@ -30,43 +30,45 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Time between two looks at what changes with time alone.
-const TICK: Duration = Duration::from_millis(100);
-/// Ticks between two sweeps of connections.
-const SWEEP_TICKS: u64 = 10;
-/// Time after a signal to stop in which callers learn that the instance leaves.
-const LEAVING: Duration = Duration::from_millis(1_500);
-/// Shortest time from a signal to stop to the end, while no requests are left.
-const QUIET_END: Duration = Duration::from_millis(3_200);
-/// Time between two looks for requests that are left.
-const END_LOOK: Duration = Duration::from_millis(50);
-/// Time for the last bytes to reach another region, also if they are sent twice.
-const LAST_WAY: Duration = Duration::from_millis(500);
-/// Part of the time to stop after which requests that are left are cut.
-const GRACE_PART: f64 = 0.89;
+/// Interval of periodic work.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of ticks between two sweeps of connections.
+const TICKS_PER_SWEEP: u64 = 10;
+/// Time after the signal to stop during which the instance is only announced as leaving, so that
+/// callers switch to others.
+const ANNOUNCE_LEAVING: Duration = Duration::from_millis(1_500);
+/// Shortest time from the signal to stop until the exit, even if no requests are left.
+const MIN_STOP_TIME: Duration = Duration::from_millis(3_200);
+/// Interval between checks for open requests while draining.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for the last bytes to reach another region, including one retransmission.
+const LINK_FLUSH_TIME: Duration = Duration::from_millis(500);
+/// Share of the configured grace period after which open requests are cut.
+const GRACE_SHARE: f64 = 0.89;
 
-/// What a deployment's adapter supplies.
+/// Parts that the adapter of a deployment supplies.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// Header names.
     pub names: HeaderNames,
-    /// The directory's spelling.
-    pub interface: Interface,
-    /// Makes the store's operations.
+    /// Paths and encoding of the auxiliary endpoints.
+    pub interface: AuxInterface,
+    /// Creates the client of the store.
     pub connect: fn(SocketAddr) -> StoreOps,
-    /// Turns items of the store into news.
+    /// Decodes items of the store.
     pub decoder: Decoder,
-    /// Where things stand in the store.
+    /// Key layout of the store.
     pub keys: StoreKeys,
-    /// Settings file, read again when it may have changed.
+    /// Settings file, which is read again on SIGHUP.
     pub settings_path: PathBuf,
 }
 
-/// Runs one instance until it is told to stop. Returns the number of requests that were cut.
+/// Runs an instance until it receives a signal to stop. Returns the number of requests that were
+/// cut.
 ///
 /// # Errors
 ///
-/// Fails if the instance cannot start.
+/// Fails if the instance cannot be started.
 pub fn run(settings: Settings, deployment: Deployment) -> anyhow::Result<usize> {
     let event_loop = runtime::Builder::new_current_thread()
         .enable_all()
@@ -75,16 +77,18 @@
     LocalSet::new().block_on(&event_loop, serve(settings, deployment))
 }
 
+/// Starts all tasks, waits for the signal to stop, and stops gracefully.
 async fn serve(settings: Settings, deployment: Deployment) -> anyhow::Result<usize> {
     let clock = Clock::default();
-    let (log, log_end) = Log::start(&settings.instance, clock).context("cannot start the logs")?;
-    let identity = Identity::generate().context("cannot make a certificate")?;
+    let (log, log_end) =
+        Log::start(&settings.instance, clock).context("cannot start the log writer")?;
+    let identity = Identity::generate().context("cannot generate a certificate")?;
     let entry = entry(&settings, clock, &identity);
     let (links, dialled) = Links::bind(identity, settings.listen.peers)
         .with_context(|| format!("cannot listen on {}", settings.listen.peers))?;
     let listeners = Listeners::bind(&settings)?;
     let stop_store = CancellationToken::new();
-    let asks = store::start(
+    let store_handle = store::start(
         StoreSettings {
             connect: deployment.connect,
             address: settings.store,
@@ -94,7 +98,7 @@
         },
         stop_store.clone(),
     )
-    .context("cannot start the thread of the store")?;
+    .context("cannot start the store thread")?;
     let node = Rc::new(Node {
         name: entry.name,
         region: entry.region,
@@ -105,8 +109,8 @@
         metrics: Metrics::default(),
         pools: Pools::default(),
         links,
-        record: asks.record,
-        is_watcher: asks.is_watcher,
+        record: store_handle.record,
+        is_watcher: store_handle.is_watcher,
         in_flight: Cell::new(0),
         peer_exchanges: Cell::new(0),
         decoder: deployment.decoder,
@@ -122,7 +126,7 @@
     });
     let drain = CancellationToken::new();
     let connections = Rc::new(Connections::default());
-    tokio::task::spawn_local(apply_all(Rc::clone(&node), asks.events));
+    tokio::task::spawn_local(apply_all(Rc::clone(&node), store_handle.events));
     tokio::task::spawn_local(Links::dial_all(Rc::clone(&node), dialled));
     tokio::task::spawn_local(Links::accept_all(Rc::clone(&node)));
     tokio::task::spawn_local(tick_all(Rc::clone(&node), Rc::clone(&connections)));
@@ -135,6 +139,7 @@
     Ok(cut)
 }
 
+/// Entry of this instance in the store.
 fn entry(settings: &Settings, clock: Clock, identity: &Identity) -> MemberEntry {
     MemberEntry {
         name: settings.instance.as_str().into(),
@@ -147,9 +152,10 @@
     }
 }
 
+/// Listening sockets of callers and auxiliary endpoints.
 struct Listeners {
     callers: tokio::net::TcpListener,
-    sides: Vec<(tokio::net::TcpListener, SideHandler)>,
+    aux_listeners: Vec<(tokio::net::TcpListener, AuxEndpoint)>,
 }
 
 impl Listeners {
@@ -160,10 +166,10 @@
         };
         Ok(Self {
             callers: open(listen.callers)?,
-            sides: vec![
-                (open(listen.ready)?, SideHandler::Ready),
-                (open(listen.directory)?, SideHandler::Directory),
-                (open(listen.metrics)?, SideHandler::Metrics),
+            aux_listeners: vec![
+                (open(listen.ready)?, AuxEndpoint::Ready),
+                (open(listen.directory)?, AuxEndpoint::Directory),
+                (open(listen.metrics)?, AuxEndpoint::Metrics),
             ],
         })
     }
@@ -173,7 +179,7 @@
         node: &Rc<Node>,
         connections: &Rc<Connections>,
         drain: &CancellationToken,
-        interface: Interface,
+        interface: AuxInterface,
     ) {
         let callers = serve_callers(
             Rc::clone(node),
@@ -182,30 +188,32 @@
             drain.clone(),
         );
         tokio::task::spawn_local(callers);
-        for (listener, handler) in self.sides {
-            tokio::task::spawn_local(serve_side(Rc::clone(node), listener, interface, handler));
+        for (listener, handler) in self.aux_listeners {
+            tokio::task::spawn_local(serve_aux(Rc::clone(node), listener, interface, handler));
         }
     }
 }
 
+/// Applies the events of the store's thread.
 async fn apply_all(node: Rc<Node>, mut events: Receiver<StoreEvent>) {
     while let Some(event) = events.recv().await {
-        node.store_event(event);
+        node.apply_store_event(event);
     }
 }
 
+/// Runs the periodic work.
 async fn tick_all(node: Rc<Node>, connections: Rc<Connections>) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut count: u64 = 0;
     loop {
         ticks.tick().await;
         node.tick();
-        for pull in node.pulls() {
+        for pull in node.due_pulls() {
             tokio::task::spawn_local(peers::pull(Rc::clone(&node), pull));
         }
         count += 1;
-        if count.is_multiple_of(SWEEP_TICKS) {
+        if count.is_multiple_of(TICKS_PER_SWEEP) {
             let now = node.now();
             let limits = node.config().unwrap_or_default().limits;
             connections.sweep(limits.head_timeout_ms, limits.idle_timeout_ms, now);
@@ -214,7 +222,7 @@
     }
 }
 
-/// Waits for a signal to stop, and reads the settings again when told to.
+/// Waits for SIGTERM or SIGINT; checks the settings file on SIGHUP.
 async fn wait_for_stop(node: &Node, deployment: &Deployment) -> anyhow::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -228,11 +236,13 @@
     }
 }
 
+/// Followed prefixes of the store.
 fn prefixes(keys: &StoreKeys) -> Vec<String> {
-    let watched = keys.all_watched().into_iter();
-    watched.map(|watched| watched.prefix).collect()
+    let followed = keys.all_watched().into_iter();
+    followed.map(|followed| followed.prefix).collect()
 }
 
+/// Validates the settings file and logs whether it has changed.
 fn reload(node: &Node, deployment: &Deployment) {
     match Settings::read(&deployment.settings_path) {
         Ok(settings) => {
@@ -245,7 +255,7 @@
     }
 }
 
-/// Leaves the fleet and ends the requests under way. Returns how many were cut.
+/// Leaves the fleet and drains open requests. Returns the number of requests that were cut.
 async fn leave(
     node: &Node,
     connections: &Connections,
@@ -258,21 +268,21 @@
     });
     node.state.borrow_mut().leaving_at = Some(started_at);
     stop_store.cancel();
-    sleep(LEAVING).await;
+    sleep(ANNOUNCE_LEAVING).await;
     drain.cancel();
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    let grace_ms = (node.settings.bounds.stop_grace_s * GRACE_PART * 1_000.0) as u64;
+    let grace_ms = (node.settings.bounds.stop_grace_s * GRACE_SHARE * 1_000.0) as u64;
     loop {
         let passed_ms = node.now().since(started_at);
         let open = connections.count() + node.peer_exchanges.get();
-        let is_quiet = open == 0 && u128::from(passed_ms) >= QUIET_END.as_millis();
+        let is_quiet = open == 0 && u128::from(passed_ms) >= MIN_STOP_TIME.as_millis();
         if is_quiet || passed_ms >= grace_ms {
             break;
         }
-        sleep(END_LOOK).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
-    // The end of the last answer may still be on its way over a link.
-    sleep(LAST_WAY).await;
+    // The last response may still be in transit on a link.
+    sleep(LINK_FLUSH_TIME).await;
     let in_flight = connections.count() + node.peer_exchanges.get();
     node.log.event(Event::Stopped { in_flight });
     in_flight
--- a/crates/edge/src/front/side.rs
+++ b/crates/edge/src/front/aux_endpoint.rs
@@ -1,4 +1,4 @@
-//! Readiness, the directory and metrics.
+//! Auxiliary endpoints: readiness checks, the directory of instances, and metrics.
 
 use crate::node::Node;
 use bytes::Bytes;
@@ -6,14 +6,14 @@
 use hyper::{header, Request, Response, StatusCode};
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc};
 
-/// Lifetime of a directory answer, in seconds.
+/// Upper bound of the lifetime of a directory response, in seconds.
 const DIRECTORY_TTL_S: f64 = 2.0;
-/// Addresses that a directory answer names at most.
-const MAX_NAMED: usize = 64;
+/// Maximum number of addresses in a directory response.
+const MAX_ADDRESSES: usize = 64;
 
-/// A question to the directory.
+/// Query to the directory.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Question {
+pub struct DirectoryQuery {
     /// Host that the caller wants to reach.
     pub host: String,
     /// Region of the caller.
@@ -22,40 +22,40 @@
     pub data_centre: String,
 }
 
-/// How the deployment spells questions to the directory and its answers.
+/// Paths and encoding of the auxiliary endpoints in a deployment.
 #[derive(Clone, Copy, Debug)]
-pub struct Interface {
+pub struct AuxInterface {
     /// Path of readiness checks.
     pub ready_path: &'static str,
-    /// Path of questions to the directory.
+    /// Path of the directory.
     pub directory_path: &'static str,
-    /// Reads a question from the query.
-    pub decode_question: fn(&str) -> Question,
-    /// Writes an answer: addresses and lifetime in seconds.
+    /// Decodes the query string of a directory request.
+    pub decode_query: fn(&str) -> DirectoryQuery,
+    /// Encodes a directory response: addresses and lifetime in seconds.
     pub encode_answer: fn(&[SocketAddr], f64) -> Vec<u8>,
 }
 
-type SideAnswer = Response<Full<Bytes>>;
+type AuxAnswer = Response<Full<Bytes>>;
 
-/// What a side address answers.
+/// Auxiliary endpoint.
 #[derive(Clone, Copy, Debug)]
-pub enum SideHandler {
+pub enum AuxEndpoint {
     /// Readiness checks.
     Ready,
-    /// Questions to the directory.
+    /// Directory of instances.
     Directory,
     /// Metrics.
     Metrics,
 }
 
-impl SideHandler {
-    /// Answers a request.
+impl AuxEndpoint {
+    /// Responds to a request.
     pub fn answer<B>(
         self,
         node: &Rc<Node>,
-        interface: &Interface,
+        interface: &AuxInterface,
         request: &Request<B>,
-    ) -> SideAnswer {
+    ) -> AuxAnswer {
         let path = request.uri().path();
         match self {
             Self::Ready if path == interface.ready_path => {
@@ -68,7 +68,7 @@
             }
             Self::Directory if path == interface.directory_path => {
                 let query = request.uri().query().unwrap_or_default();
-                directory(node, interface, &(interface.decode_question)(query))
+                directory(node, interface, &(interface.decode_query)(query))
             }
             Self::Metrics => Response::new(Full::new(metrics(node).into())),
             Self::Ready | Self::Directory => status(StatusCode::NOT_FOUND),
@@ -76,23 +76,28 @@
     }
 }
 
-fn status(status: StatusCode) -> SideAnswer {
+/// Response with a status and an empty body.
+fn status(status: StatusCode) -> AuxAnswer {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
-/// Names the ready instances of the caller's region, or those of all others if there is none.
-fn directory(node: &Rc<Node>, interface: &Interface, question: &Question) -> SideAnswer {
+/// Addresses of the ready instances in the caller's region, or in other regions if it has none.
+fn directory(
+    node: &Rc<Node>,
+    interface: &AuxInterface,
+    directory_query: &DirectoryQuery,
+) -> AuxAnswer {
     let now = node.now();
     let mut by_region: BTreeMap<String, Vec<SocketAddr>> = BTreeMap::new();
     let state = node.state.borrow();
-    let up = state
+    let reachable = state
         .members
         .by_name
         .values()
         .filter(|member| member.is_up(now));
-    for member in up {
+    for member in reachable {
         let addresses = by_region
             .entry(member.entry.region.to_string())
             .or_default();
@@ -103,24 +108,26 @@
         let own = by_region.entry(node.region.to_string()).or_default();
         own.push(node.settings.listen.callers);
     }
-    let mut named = match by_region.remove(&question.region) {
+    let mut addresses = match by_region.remove(&directory_query.region) {
         Some(addresses) => addresses,
-        None => in_other_regions(node, by_region, &question.host),
+        None => in_other_regions(node, by_region, &directory_query.host),
     };
-    named.sort_unstable();
-    named.truncate(MAX_NAMED);
-    if named.is_empty() {
+    addresses.sort_unstable();
+    addresses.truncate(MAX_ADDRESSES);
+    if addresses.is_empty() {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
     let ttl_s = DIRECTORY_TTL_S.min(node.settings.bounds.directory_ttl_s);
-    let mut response = Response::new(Full::new((interface.encode_answer)(&named, ttl_s).into()));
+    let mut response = Response::new(Full::new(
+        (interface.encode_answer)(&addresses, ttl_s).into(),
+    ));
     let json = header::HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
     response
 }
 
-/// Instances of the regions that may serve the most routes of the host. Callers that were sent
-/// elsewhere would ask for what no instance there may serve.
+/// Addresses in the regions that may serve the most routes of the host. Callers directed to any
+/// other region would send requests that no instance there may serve.
 fn in_other_regions(
     node: &Node,
     by_region: BTreeMap<String, Vec<SocketAddr>>,
@@ -130,12 +137,13 @@
     let served = |region: &String| config.routes_at_home(region, host);
     let all = node.settings.regions.values();
     let most = all.map(served).max().unwrap_or_default();
-    let named = by_region
+    let addresses = by_region
         .into_iter()
         .filter(|(region, _)| served(region) == most);
-    named.flat_map(|(_, addresses)| addresses).collect()
+    addresses.flat_map(|(_, addresses)| addresses).collect()
 }
 
+/// Metrics in the text format of Prometheus.
 fn metrics(node: &Rc<Node>) -> String {
     let now = node.now();
     let state = node.state.borrow();
@@ -144,7 +152,7 @@
         .upstreams
         .by_id
         .values()
-        .filter(|up| up.health.is_usable(now))
+        .filter(|upstream| upstream.health.is_usable(now))
         .count();
     let lost_ms = state.store_lost_at.map_or(0, |at| now.since(at));
     let gauges = [
--- a/crates/edge/src/front/conn.rs
+++ b/crates/edge/src/front/connections.rs
@@ -1,4 +1,4 @@
-//! Callers' connections, and the time that they may take.
+//! Callers' connections and their timeouts.
 
 use carobwheel_core::time::{Clock, Millis};
 use std::{
@@ -15,43 +15,45 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// What a connection is doing.
+/// Phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Waits for a request since then.
+    /// Waiting for a request since this time.
     Idle(Millis),
-    /// Reads a head since then.
+    /// Reading the head of a request since this time.
     Head(Millis),
-    /// Serves a request.
+    /// Serving a request.
     Busy,
 }
 
-/// One connection as the sweep sees it.
+/// Activity of one connection, which the sweep checks for timeouts.
 #[derive(Debug)]
-pub(super) struct Track {
+pub(super) struct ConnectionActivity {
     phase: Cell<Phase>,
     clock: Clock,
-    /// Cancelled when the connection has to be closed.
+    /// Cancelled to close the connection.
     pub(super) close: CancellationToken,
 }
 
-impl Track {
-    /// Takes note that a head was read.
-    pub(super) fn busy(&self) {
+impl ConnectionActivity {
+    /// Records that the head of a request was read.
+    pub(super) fn set_busy(&self) {
         self.phase.set(Phase::Busy);
     }
 
-    /// Takes note that an answer's head was handed over.
-    pub(super) fn answered(&self) {
+    /// Records that the response was handed to the connection.
+    pub(super) fn set_idle(&self) {
         self.phase.set(Phase::Idle(self.clock.now()));
     }
 
+    /// Records that bytes were read; the first ones start the head of a request.
     fn bytes_read(&self) {
         if let Phase::Idle(_) = self.phase.get() {
             self.phase.set(Phase::Head(self.clock.now()));
         }
     }
 
+    /// Records that bytes were written, which restarts the idle timeout.
     fn bytes_written(&self) {
         if let Phase::Idle(_) = self.phase.get() {
             self.phase.set(Phase::Idle(self.clock.now()));
@@ -59,59 +61,59 @@
     }
 }
 
-/// All open connections of callers.
+/// Open connections of callers.
 #[derive(Debug, Default)]
 pub struct Connections {
-    open: RefCell<HashMap<u64, Rc<Track>>>,
+    open: RefCell<HashMap<u64, Rc<ConnectionActivity>>>,
     opened: Cell<u64>,
 }
 
 impl Connections {
-    /// Takes note of a new connection.
-    pub(super) fn open(&self, clock: Clock) -> (u64, Rc<Track>) {
+    /// Registers a new connection.
+    pub(super) fn open(&self, clock: Clock) -> (u64, Rc<ConnectionActivity>) {
         let id = self.opened.get();
         self.opened.set(id + 1);
-        let track = Rc::new(Track {
+        let activity = Rc::new(ConnectionActivity {
             phase: Cell::new(Phase::Idle(clock.now())),
             clock,
             close: CancellationToken::new(),
         });
-        self.open.borrow_mut().insert(id, Rc::clone(&track));
-        (id, track)
+        self.open.borrow_mut().insert(id, Rc::clone(&activity));
+        (id, activity)
     }
 
-    /// Takes note that a connection is closed.
+    /// Removes a closed connection.
     pub(super) fn closed(&self, id: u64) {
         self.open.borrow_mut().remove(&id);
     }
 
-    /// How many connections are open.
+    /// Number of open connections.
     pub fn count(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Closes connections that have been idle, or have taken time over a head, for too long.
+    /// Closes connections that have exceeded the idle timeout or the timeout for a request's head.
     pub fn sweep(&self, head_timeout_ms: u64, idle_timeout_ms: u64, now: Millis) {
-        for track in self.open.borrow().values() {
-            let is_over = match track.phase.get() {
+        for activity in self.open.borrow().values() {
+            let is_over = match activity.phase.get() {
                 Phase::Idle(since) => now.since(since) > idle_timeout_ms,
                 Phase::Head(since) => now.since(since) > head_timeout_ms,
                 Phase::Busy => false,
             };
             if is_over {
-                track.close.cancel();
+                activity.close.cancel();
             }
         }
     }
 }
 
-/// A caller's stream that tells its track when bytes pass.
-pub(super) struct Tracked {
+/// Caller's stream that records reads and writes in its [`ConnectionActivity`].
+pub(super) struct TrackedStream {
     pub(super) stream: TcpStream,
-    pub(super) track: Rc<Track>,
+    pub(super) activity: Rc<ConnectionActivity>,
 }
 
-impl AsyncRead for Tracked {
+impl AsyncRead for TrackedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -120,19 +122,19 @@
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.track.bytes_read();
+            self.activity.bytes_read();
         }
         polled
     }
 }
 
-impl AsyncWrite for Tracked {
+impl AsyncWrite for TrackedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.track.bytes_written();
+        self.activity.bytes_written();
         Pin::new(&mut self.stream).poll_write(cx, bytes)
     }
 
@@ -141,7 +143,7 @@
         cx: &mut Context<'_>,
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.track.bytes_written();
+        self.activity.bytes_written();
         Pin::new(&mut self.stream).poll_write_vectored(cx, slices)
     }
 
--- a/crates/edge/src/front/handler.rs
+++ b/crates/edge/src/front/handler.rs
@@ -1,18 +1,19 @@
-//! One request of a caller, from its head to its answer.
+//! Handling of one request from a caller.
 
 use super::read_body;
 use crate::{
     log::Event,
     node::Node,
-    pipeline::{identify, run_anywhere, Answer, Caller, Identified, Refusal},
+    pipeline::{identify, run_in_allowed_region, Admission, Answer, Identified, Refusal},
 };
 use hyper::{body::Incoming, http::request::Parts, Request, StatusCode};
 use std::rc::Rc;
 
-/// Time after which a caller may ask another instance when this one is stopping, in milliseconds.
-const STOPPING_RETRY_MS: u64 = 50;
+/// `Retry-After` while this instance is stopping, in milliseconds. Short, since another instance
+/// can take the request at once.
+const STOPPING_RETRY_AFTER_MS: u64 = 50;
 
-/// Counts a request for as long as it is under way.
+/// Guard that counts a request as in flight until it is dropped.
 struct InFlight(Rc<Node>);
 
 impl InFlight {
@@ -28,14 +29,14 @@
     }
 }
 
-/// What is logged of a request when it ends.
+/// Labels of the request in logs and metrics.
 struct Labels {
     request: String,
     route: String,
     account: String,
 }
 
-/// Answers a request.
+/// Handles a request and records its outcome in logs and metrics.
 pub async fn handle(node: Rc<Node>, request: Request<Incoming>) -> Answer {
     let in_flight = InFlight::new(&node);
     let started_at = node.now();
@@ -83,6 +84,7 @@
     }
 }
 
+/// Identifies, admits and runs a request.
 async fn serve(
     node: &Rc<Node>,
     head: Parts,
@@ -90,10 +92,10 @@
     labels: &mut Labels,
 ) -> Result<Answer, Refusal> {
     let started_at = node.now();
-    if node.is_closed() {
+    if node.is_refusing_requests() {
         return Err(Refusal::not_run(
             "the instance is stopping",
-            STOPPING_RETRY_MS,
+            STOPPING_RETRY_AFTER_MS,
         ));
     }
     let Identified {
@@ -107,15 +109,16 @@
         .map_or_else(String::new, |account| account.name.to_string());
     check_head(&head, config.limits.max_head_bytes)?;
     let body = read_body(node, body, started_at.plus(route.timeout_ms)).await?;
-    let caller = Caller::admit(node, &head, route, account)?;
-    let ticket = caller.ticket(node, &config, head, body, started_at)?;
-    let outcome = run_anywhere(node, ticket, &caller).await;
+    let admission = Admission::admit(node, &head, route, account)?;
+    let ctx = admission.context(node, &config, head, body, started_at)?;
+    let outcome = run_in_allowed_region(node, ctx, &admission).await;
     if outcome.as_ref().is_err_and(Refusal::is_not_run) {
-        caller.give_back(node);
+        admission.refund(node);
     }
     outcome
 }
 
+/// Refuses heads that are too large, and bodies with two lengths, which could smuggle a request.
 fn check_head(head: &Parts, max_head_bytes: usize) -> Result<(), Refusal> {
     let fields = head
         .headers
--- a/crates/edge/src/node/apply.rs
+++ b/crates/edge/src/node/apply.rs
@@ -1,4 +1,4 @@
-//! Applying news from the store.
+//! Application of changes in the store to the instance's state.
 
 use super::Node;
 use crate::{
@@ -11,11 +11,12 @@
 };
 use std::{rc::Rc, sync::Arc};
 
-/// Time after an outage of the store in which missing entries may come back, in milliseconds.
-const AFTER_OUTAGE_MS: u64 = 2_500;
+/// Time after an outage of the store during which missing entries may still be registered again, in
+/// milliseconds.
+const OUTAGE_GRACE_MS: u64 = 2_500;
 
 impl Node {
-    /// Applies one piece of news.
+    /// Applies one decoded change.
     pub fn apply(&self, news: StoreUpdate) {
         match news {
             StoreUpdate::Config(parts) => self.apply_config(*parts),
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Takes note of an event of the store.
-    pub fn store_event(&self, event: StoreEvent) {
+    /// Handles an event of the store's thread.
+    pub fn apply_store_event(&self, event: StoreEvent) {
         match event {
             StoreEvent::Listed(prefix, listing) => {
                 let fresh = self.with_replica(&prefix, |replica, at| {
@@ -73,24 +74,26 @@
         }
     }
 
+    /// Updates the replica of a prefix. Returns the facts that are new.
     fn with_replica(
         &self,
         prefix: &str,
-        learn: impl FnOnce(&mut Replica, usize) -> Vec<Fact>,
+        update: impl FnOnce(&mut Replica, usize) -> Vec<Fact>,
     ) -> Vec<Fact> {
         let mut state = self.state.borrow_mut();
         let Some(at) = state.replica.prefix(prefix) else {
             return Vec::new();
         };
-        learn(&mut state.replica, at)
+        update(&mut state.replica, at)
     }
 
-    /// Takes facts that another instance has told.
-    pub fn learn(&self, prefix: usize, facts: Facts) {
+    /// Applies facts that were pulled from another instance.
+    pub fn apply_pulled_facts(&self, prefix: usize, facts: Facts) {
         let fresh = self.state.borrow_mut().replica.merge(prefix, facts);
         self.apply_facts(&fresh);
     }
 
+    /// Decodes new facts and applies them.
     fn apply_facts(&self, facts: &[Fact]) {
         for fact in facts {
             let news = match &fact.value {
@@ -103,6 +106,7 @@
         }
     }
 
+    /// Applies a configuration unless it is older than the one in force.
     fn apply_config(&self, parts: ConfigParts) {
         let config = Rc::new(Config::from(parts));
         let mut state = self.state.borrow_mut();
@@ -130,6 +134,7 @@
         state.config = Some(config);
     }
 
+    /// Marks or unmarks a data centre as evacuated.
     fn set_evacuated(&self, data_centre: &Arc<str>, is_evacuated: bool) {
         let mut state = self.state.borrow_mut();
         let is_change = if is_evacuated {
@@ -145,6 +150,7 @@
         }
     }
 
+    /// Starts the trial that a rollout order asks for, unless it is already running.
     fn apply_order(&self, order: RolloutOrder) {
         let mut state = self.state.borrow_mut();
         let known = state.trials.get(&order.service);
@@ -164,7 +170,7 @@
         state.trials.insert(key.0, trial);
     }
 
-    /// Takes note of a verdict that stands, or that another instance tells of.
+    /// Applies a verdict from the store (`is_own`) or from another instance's gossip.
     pub(super) fn apply_verdict(
         &self,
         service: &Arc<str>,
@@ -200,6 +206,7 @@
         });
     }
 
+    /// Adds or updates an upstream from its entry in the store.
     fn apply_upstream(&self, seen: UpstreamEntry) {
         let now = self.now();
         let data_centre: &str = &seen.data_centre;
@@ -247,13 +254,14 @@
         }
     }
 
+    /// Marks an upstream whose entry was removed as missing.
     fn upstream_gone(&self, id: &str) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let is_after_outage = state.store_lost_at.is_some()
             || state
                 .store_back_at
-                .is_some_and(|at| now.since(at) < AFTER_OUTAGE_MS);
+                .is_some_and(|at| now.since(at) < OUTAGE_GRACE_MS);
         state.upstreams.entry_removed(id, is_after_outage, now);
         self.log.event(Event::UpstreamMissing {
             upstream: id,
@@ -261,6 +269,7 @@
         });
     }
 
+    /// Adds or updates another instance, and dials it if its entry is new.
     fn apply_member(&self, entry: MemberEntry) {
         if entry.name == self.name {
             return;
@@ -280,6 +289,7 @@
         }
     }
 
+    /// Records the start of an outage of the store.
     fn store_lost(&self, reason: &str) {
         self.state
             .borrow_mut()
@@ -291,6 +301,7 @@
         });
     }
 
+    /// Records the end of an outage of the store.
     fn store_back(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
--- a/crates/edge/src/node/gossip.rs
+++ b/crates/edge/src/node/gossip.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other.
+//! Gossip between instances: construction of messages and handling of received ones.
 
 use super::Node;
 use crate::hash::short_hash;
@@ -12,41 +12,41 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, sync::Arc};
 
-/// Largest figure of an outlook that is told.
-const MOST_TOLD: f64 = 1_000_000.0;
+/// Upper bound of the values in an [`OutlookReport`].
+const MAX_OUTLOOK_VALUE: f64 = 1_000_000.0;
 
-/// State of one move as an instance sees it.
+/// Sender's state of one rollout.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TrialNews {
+pub struct TrialReport {
     /// Hash of the service's name.
     pub service: u32,
-    /// Hash of the target's name.
+    /// Hash of the target version's name.
     pub target: u32,
-    /// The instance has found the new version bad.
+    /// Whether the sender suspects the new version to be bad.
     pub is_suspect: bool,
-    /// The verdict that stands, if any: true for `complete`.
+    /// Verdict known to the sender, if any: true for `complete`, false for `reverted`.
     pub verdict: Option<bool>,
-    /// Evidence by hash of the route's name.
+    /// Sender's own evidence, by hash of the route's name.
     pub routes: Vec<(u32, RouteEvidence)>,
 }
 
-/// What jobs of one kind have to expect of a service in a region.
+/// Expected latency of jobs of one kind for a service in the sender's region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OutlookNews {
+pub struct OutlookReport {
     /// Hash of the service's name.
     pub service: u32,
     /// Kind of job.
     pub kind: JobKind,
-    /// Wait for the first token, in milliseconds.
+    /// Expected time to the first token, in milliseconds.
     pub wait_ms: u32,
-    /// Time for each token, in microseconds.
+    /// Expected time per token, in microseconds.
     pub pace_us: u32,
 }
 
-impl OutlookNews {
+impl OutlookReport {
     fn new(service: &str, kind: JobKind, outlook: LatencyForecast) -> Self {
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let bounded = |value: f64| value.clamp(0.0, MOST_TOLD) as u32;
+        let bounded = |value: f64| value.clamp(0.0, MAX_OUTLOOK_VALUE) as u32;
         Self {
             service: short_hash(service),
             kind,
@@ -63,35 +63,36 @@
     }
 }
 
-/// One message between instances.
+/// Gossip message. Instances of a region exchange loads, instances of different regions outlooks.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Gossip {
-    /// Lifetime of the sender.
+    /// Start time of the sender's process, which identifies its lifetime.
     pub life: u64,
-    /// The sender takes requests.
+    /// Whether the sender takes requests.
     pub is_ready: bool,
-    /// The store answers the sender.
+    /// Whether the sender has a complete replica and is connected to the store.
     pub has_store: bool,
-    /// Revisions up to which the sender knows the followed parts of the store.
+    /// Revision of the sender's replica, by position of the prefix.
     pub revisions: Vec<u64>,
-    /// Work of the sender, by hash of the upstream's identifier; only within a region.
+    /// Load that the sender has placed on upstreams, by hash of the upstream's id; empty between
+    /// regions.
     pub loads: Vec<(u32, Load)>,
-    /// Tokens that callers have asked of the sender, by hash of the account's name.
+    /// Tokens that callers have requested from the sender, by hash of the account's name.
     pub asked: Vec<(u32, u64)>,
-    /// What jobs have to expect in the sender's region; only to other regions.
-    pub outlooks: Vec<OutlookNews>,
-    /// Moves.
-    pub trials: Vec<TrialNews>,
+    /// Expected latencies in the sender's region; empty within a region.
+    pub outlooks: Vec<OutlookReport>,
+    /// State of rollouts.
+    pub trials: Vec<TrialReport>,
 }
 
 impl Node {
-    /// Time between two messages to an instance, in milliseconds.
-    pub fn gossip_period_ms(&self, is_near: bool) -> u64 {
+    /// Interval between two messages to an instance, in milliseconds.
+    pub fn gossip_period_ms(&self, is_same_region: bool) -> u64 {
         let state = self.state.borrow();
-        state.members.period_ms(&self.region, is_near)
+        state.members.period_ms(&self.region, is_same_region)
     }
 
-    /// What another instance should hear; loads only within the region.
+    /// Builds the message for instances of the own region, or of other regions.
     pub fn gossip(&self, is_same_region: bool) -> Gossip {
         let is_ready = self.is_ready();
         let services: Vec<Arc<str>> = {
@@ -105,7 +106,7 @@
         let outlooks = services.iter().flat_map(|service| {
             JobKind::ALL.into_iter().filter_map(move |kind| {
                 let outlook = self.region_outlook(service, kind)?;
-                Some(OutlookNews::new(service, kind, outlook))
+                Some(OutlookReport::new(service, kind, outlook))
             })
         });
         let outlooks = if is_same_region {
@@ -118,7 +119,7 @@
         let loads = state.upstreams.by_id.iter();
         let loads = loads.map(|(_, up)| (up.hash, up.own_load(now)));
         let loads = loads.filter(|(_, load)| !load.is_idle());
-        let trials = state.trials.values().map(|trial| TrialNews {
+        let trials = state.trials.values().map(|trial| TrialReport {
             service: short_hash(&trial.order.service),
             target: short_hash(&trial.order.target),
             is_suspect: trial.is_suspect(),
@@ -155,8 +156,8 @@
         }
     }
 
-    /// Takes note of what the instance `name` tells.
-    pub fn hear(&self, name: &Arc<str>, gossip: Gossip) {
+    /// Applies a message from the instance `name`. Messages of an earlier lifetime are ignored.
+    pub fn receive_gossip(&self, name: &Arc<str>, gossip: Gossip) {
         let now = self.now();
         let verdicts = {
             let mut state = self.state.borrow_mut();
@@ -166,11 +167,11 @@
             {
                 return;
             }
-            state.hear_loads(name, &gossip, now);
+            state.apply_loads(name, &gossip, now);
             if let Some(member) = state.members.by_name.get_mut(name) {
-                let told = gossip.outlooks.iter();
-                member.forecasts = told
-                    .map(|news| ((news.service, news.kind), news.outlook()))
+                let reports = gossip.outlooks.iter();
+                member.forecasts = reports
+                    .map(|report| ((report.service, report.kind), report.outlook()))
                     .collect();
                 member.revisions.clone_from(&gossip.revisions);
                 member.has_store = gossip.has_store;
@@ -182,7 +183,7 @@
                     bucket.update_peer_demand(name, gossip.life, *asked, now);
                 }
             }
-            state.hear_trials(self, name, gossip.trials)
+            state.apply_trial_reports(self, name, gossip.trials)
         };
         for (service, target, verdict) in verdicts {
             self.apply_verdict(&service, &target, verdict, false);
@@ -191,7 +192,8 @@
 }
 
 impl super::State {
-    fn hear_loads(&mut self, name: &Arc<str>, gossip: &Gossip, now: Millis) {
+    /// Replaces the sender's load on each upstream.
+    fn apply_loads(&mut self, name: &Arc<str>, gossip: &Gossip, now: Millis) {
         let loads: HashMap<u32, Load> = gossip.loads.iter().copied().collect();
         for upstream in self.upstreams.by_id.values_mut() {
             match loads.get(&upstream.hash) {
@@ -205,26 +207,27 @@
         }
     }
 
-    fn hear_trials(
+    /// Merges the sender's evidence and suspicions. Returns the verdicts that it reports.
+    fn apply_trial_reports(
         &mut self,
         node: &Node,
         name: &Arc<str>,
-        news: Vec<TrialNews>,
+        reports: Vec<TrialReport>,
     ) -> Vec<(Arc<str>, Arc<str>, Verdict)> {
         let mut verdicts = Vec::new();
-        for told in news {
+        for report in reports {
             let is_it = |trial: &&mut crate::rollout::Trial| {
-                short_hash(&trial.order.service) == told.service
-                    && short_hash(&trial.order.target) == told.target
+                short_hash(&trial.order.service) == report.service
+                    && short_hash(&trial.order.target) == report.target
             };
             let Some(trial) = self.trials.values_mut().find(is_it) else {
                 continue;
             };
             trial
                 .evidence
-                .update_peer(name, told.routes.into_iter().collect());
+                .update_peer(name, report.routes.into_iter().collect());
             let (service, target) = (&trial.order.service, &trial.order.target);
-            if told.is_suspect && !trial.is_suspect() {
+            if report.is_suspect && !trial.is_suspect() {
                 let ended = trial.evidence.new_ended();
                 node.log.event(Event::TrialSuspected {
                     service,
@@ -233,7 +236,7 @@
                 });
                 trial.mark_suspect();
             }
-            if let Some(is_complete) = told.verdict {
+            if let Some(is_complete) = report.verdict {
                 let verdict = if is_complete {
                     Verdict::Complete
                 } else {
--- a/crates/edge/src/node/mod.rs
+++ b/crates/edge/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! One instance: its state, and what changes it.
+//! State of the instance, and the operations that read and change it.
 
 mod apply;
 mod evidence;
@@ -6,7 +6,7 @@
 mod state;
 mod tick;
 
-pub use evidence::Sent;
+pub use evidence::SendIds;
 pub use gossip::Gossip;
-pub use state::{urgency, Node, Offered, State};
+pub use state::{urgency, Node, PlacementRequest, State};
 pub use tick::Pull;
--- a/crates/edge/src/node/tick.rs
+++ b/crates/edge/src/node/tick.rs
@@ -1,28 +1,29 @@
-//! What the instance does from time to time.
+//! Periodic work of the instance.
 
 use super::Node;
 use crate::{log::Event, rollout::Verdict, store::VerdictRecord};
 use std::sync::Arc;
 
-/// Time that an instance leaves to those before it to record a verdict, in milliseconds.
-const VERDICT_TURN_MS: u64 = 300;
+/// Delay per preceding instance before an instance records a verdict itself, in milliseconds.
+const VERDICT_STAGGER_MS: u64 = 300;
 
-/// Time for which another instance has to know more before it is asked, in milliseconds.
-const BEHIND_MS: u64 = 400;
+/// Time for which another instance has to be ahead before changes are pulled from it, in
+/// milliseconds.
+const PULL_DELAY_MS: u64 = 400;
 
-/// A question to another instance for a part of the store.
+/// Request to another instance for changes of a prefix of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pull {
-    /// Instance.
+    /// Name of the instance.
     pub member: Arc<str>,
     /// Position of the prefix.
     pub prefix: usize,
-    /// Revision up to which it is known here.
+    /// Revision of the own replica.
     pub after: u64,
 }
 
 impl Node {
-    /// Looks at everything that changes with time alone.
+    /// Removes expired upstreams and members, updates the watcher role and advances rollouts.
     pub fn tick(&self) {
         let now = self.now();
         let (upstreams, members) = {
@@ -43,22 +44,22 @@
         };
         self.is_watcher
             .send_if_modified(|known| std::mem::replace(known, is_watcher) != is_watcher);
-        self.step_trials();
+        self.advance_trials();
     }
 
-    /// Parts of the store of which another instance has known more for a while.
-    pub fn pulls(&self) -> Vec<Pull> {
+    /// Prefixes for which another instance has been ahead for `PULL_DELAY_MS`.
+    pub fn due_pulls(&self) -> Vec<Pull> {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let own = state.replica.revisions();
         let mut pulls = Vec::new();
         for (prefix, after) in own.into_iter().enumerate() {
-            let up = state
+            let reachable = state
                 .members
                 .by_name
                 .values()
-                .filter(|member| member.has_message_within(BEHIND_MS, now));
-            let ahead = up.filter_map(|member| {
+                .filter(|member| member.has_message_within(PULL_DELAY_MS, now));
+            let ahead = reachable.filter_map(|member| {
                 let revision = *member.revisions.get(prefix)?;
                 (revision > after).then(|| (revision, Arc::clone(&member.entry.name)))
             });
@@ -67,7 +68,7 @@
                 continue;
             };
             let since = *state.behind.entry(prefix).or_insert(now);
-            if now.since(since) >= BEHIND_MS {
+            if now.since(since) >= PULL_DELAY_MS {
                 state.behind.insert(prefix, now);
                 pulls.push(Pull {
                     member,
@@ -79,9 +80,10 @@
         pulls
     }
 
-    fn step_trials(&self) {
+    /// Advances all rollouts, and queues the verdicts that this instance has to record.
+    fn advance_trials(&self) {
         let now = self.now();
-        let turn = self.verdict_turn();
+        let position = self.verdict_position();
         let mut state = self.state.borrow_mut();
         for trial in state.trials.values_mut() {
             let was_suspect = trial.is_suspect();
@@ -108,14 +110,14 @@
             let Some(verdict) = wanted else {
                 continue;
             };
-            if trial.try_record(verdict, VERDICT_TURN_MS * turn, now) {
+            if trial.try_record(verdict, VERDICT_STAGGER_MS * position, now) {
                 let recorded = VerdictRecord {
                     service: Arc::clone(&service),
                     target,
                     verdict,
                 };
                 if self.record.try_send(recorded).is_err() {
-                    let reason = "too many verdicts are waiting";
+                    let reason = "the verdict queue is full";
                     self.log.event(Event::VerdictNotRecorded {
                         service: &service,
                         reason,
@@ -125,15 +127,17 @@
         }
     }
 
-    /// How many ready instances come before this one in recording verdicts.
-    fn verdict_turn(&self) -> u64 {
+    /// Number of ready instances that precede this one in recording verdicts.
+    fn verdict_position(&self) -> u64 {
         let now = self.now();
         let state = self.state.borrow();
-        let up = state
+        let reachable = state
             .members
             .by_name
             .values()
             .filter(|member| member.is_up(now));
-        up.filter(|member| member.entry.name < self.name).count() as u64
+        reachable
+            .filter(|member| member.entry.name < self.name)
+            .count() as u64
     }
 }
--- a/crates/edge/src/pipeline/mod.rs
+++ b/crates/edge/src/pipeline/mod.rs
@@ -1,17 +1,17 @@
-//! The way of one request: identify, admit, place, send, relay.
+//! Request pipeline: identification, admission, placement, sending and relaying of the response.
 
 mod answer;
+mod attempts;
+mod context;
 mod forward;
 mod identify;
 mod refusal;
 mod run;
 mod send_once;
 mod stream;
-mod take;
-mod ticket;
 
 pub use answer::Answer;
-pub use identify::{identify, Caller, Identified};
+pub use context::{RequestContext, RequestMeta};
+pub use identify::{identify, Admission, Identified};
 pub use refusal::Refusal;
-pub use run::{run_anywhere, run_here};
-pub use ticket::{FarTicket, Ticket};
+pub use run::{run_in_allowed_region, run_in_own_region};
--- a/crates/edge/src/relay/mod.rs
+++ b/crates/edge/src/relay/mod.rs
@@ -1,7 +1,7 @@
-//! Bodies of answers on their way to the caller.
+//! Response bodies and event streams.
 
 mod body;
 mod events;
 
-pub use body::{AnswerBody, Broken};
+pub use body::{AnswerBody, AnswerBroken};
 pub use events::{EventSplitter, StreamEvent};
