--- a/crates/core/src/evidence/counts.rs
+++ b/crates/core/src/evidence/counts.rs
@@ -62,19 +62,19 @@
 }
 
 impl Counts {
-    /// The larger of each counter.
+    /// Returns the larger value of each counter.
     #[must_use]
     pub fn max(&self, other: &Self) -> Self {
         self.zip(other, u64::max)
     }
 
-    /// The sum of each counter.
+    /// Returns the sum of each counter.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         self.zip(other, u64::saturating_add)
     }
 
-    /// The growth of each counter since `earlier`.
+    /// Returns the growth of each counter since `earlier`.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         self.zip(earlier, u64::saturating_sub)
@@ -120,7 +120,7 @@
 }
 
 impl VersionCounts {
-    /// The larger of each counter.
+    /// Returns the larger value of each counter.
     #[must_use]
     pub fn max(&self, other: &Self) -> Self {
         Self {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The sum of each counter.
+    /// Returns the sum of each counter.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         Self {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The growth of each counter since `earlier`.
+    /// Returns the growth of each counter since `earlier`.
     #[must_use]
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
