--- a/crates/edge/src/node/gossip.rs
+++ b/crates/edge/src/node/gossip.rs
@@ -12,8 +12,8 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, sync::Arc};
 
-/// Upper bound of the values in an [`OutlookReport`].
-const MAX_OUTLOOK_VALUE: f64 = 1_000_000.0;
+/// Upper bound of the values in a [`ForecastReport`].
+const MAX_FORECAST_VALUE: f64 = 1_000_000.0;
 
 /// Sender's state of one rollout.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
 
 /// Expected latency of jobs of one kind for a service in the sender's region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OutlookReport {
+pub struct ForecastReport {
     /// Hash of the service's name.
     pub service: u32,
     /// Kind of job.
@@ -43,19 +43,19 @@
     pub pace_us: u32,
 }
 
-impl OutlookReport {
-    fn new(service: &str, kind: JobKind, outlook: LatencyForecast) -> Self {
+impl ForecastReport {
+    fn new(service: &str, kind: JobKind, forecast: LatencyForecast) -> Self {
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let bounded = |value: f64| value.clamp(0.0, MAX_OUTLOOK_VALUE) as u32;
+        let bounded = |value: f64| value.clamp(0.0, MAX_FORECAST_VALUE) as u32;
         Self {
             service: short_hash(service),
             kind,
-            wait_ms: bounded(outlook.wait_ms),
-            pace_us: bounded(outlook.time_per_token_ms * 1_000.0),
+            wait_ms: bounded(forecast.wait_ms),
+            pace_us: bounded(forecast.time_per_token_ms * 1_000.0),
         }
     }
 
-    fn outlook(self) -> LatencyForecast {
+    fn forecast(self) -> LatencyForecast {
         LatencyForecast {
             wait_ms: f64::from(self.wait_ms),
             time_per_token_ms: f64::from(self.pace_us) / 1_000.0,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Gossip message. Instances of a region exchange loads, instances of different regions outlooks.
+/// Gossip message. Instances of a region exchange loads, instances of different regions forecasts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Gossip {
     /// Start time of the sender's process, which identifies its lifetime.
@@ -80,7 +80,7 @@
     /// Tokens that callers have requested from the sender, by hash of the account's name.
     pub asked: Vec<(u32, u64)>,
     /// Expected latencies in the sender's region; empty within a region.
-    pub outlooks: Vec<OutlookReport>,
+    pub forecasts: Vec<ForecastReport>,
     /// State of rollouts.
     pub trials: Vec<TrialReport>,
 }
@@ -103,16 +103,16 @@
                 .flat_map(|config| config.services.keys().cloned())
                 .collect()
         };
-        let outlooks = services.iter().flat_map(|service| {
+        let forecasts = services.iter().flat_map(|service| {
             JobKind::ALL.into_iter().filter_map(move |kind| {
-                let outlook = self.region_outlook(service, kind)?;
-                Some(OutlookReport::new(service, kind, outlook))
+                let forecast = self.region_forecast(service, kind)?;
+                Some(ForecastReport::new(service, kind, forecast))
             })
         });
-        let outlooks = if is_same_region {
+        let forecasts = if is_same_region {
             Vec::new()
         } else {
-            outlooks.collect()
+            forecasts.collect()
         };
         let state = self.state.borrow();
         let now = self.now();
@@ -151,7 +151,7 @@
             asked: buckets
                 .map(|(name, bucket)| (short_hash(name), bucket.requested_tokens()))
                 .collect(),
-            outlooks,
+            forecasts,
             trials: trials.collect(),
         }
     }
@@ -169,9 +169,9 @@
             }
             state.apply_loads(name, &gossip, now);
             if let Some(member) = state.members.by_name.get_mut(name) {
-                let reports = gossip.outlooks.iter();
+                let reports = gossip.forecasts.iter();
                 member.forecasts = reports
-                    .map(|report| ((report.service, report.kind), report.outlook()))
+                    .map(|report| ((report.service, report.kind), report.forecast()))
                     .collect();
                 member.revisions.clone_from(&gossip.revisions);
                 member.has_store = gossip.has_store;
--- a/crates/edge/src/node/state.rs
+++ b/crates/edge/src/node/state.rs
@@ -162,7 +162,7 @@
     }
 
     /// Expected latency of a job of the service in the own region.
-    pub fn region_outlook(&self, service: &Arc<str>, kind: JobKind) -> Option<LatencyForecast> {
+    pub fn region_forecast(&self, service: &Arc<str>, kind: JobKind) -> Option<LatencyForecast> {
         let now = self.now();
         let state = self.state.borrow();
         let placement_request = PlacementRequest {
--- a/crates/edge/src/pipeline/forward.rs
+++ b/crates/edge/src/pipeline/forward.rs
@@ -70,14 +70,14 @@
     let mut best: Option<(f64, RemoteCandidate)> = None;
     for region in regions.iter().filter(|region| ***region != *node.region) {
         for member in state.members.up_in(region, now) {
-            let Some(outlook) = member.forecasts.get(&(service, kind)) else {
+            let Some(forecast) = member.forecasts.get(&(service, kind)) else {
                 continue;
             };
             let is_linked = node.links.connection(&member.entry.name).is_some();
             if !is_linked || tried.contains(&member.entry.name) {
                 continue;
             }
-            let cost_ms = cost_ms(&ctx.job, outlook.wait_ms, outlook.time_per_token_ms);
+            let cost_ms = cost_ms(&ctx.job, forecast.wait_ms, forecast.time_per_token_ms);
             // Instances of a region report similar costs; the random term spreads requests over
             // them.
             let rank = cost_ms + rand::random::<f64>() * (10.0 + cost_ms / 4.0);
@@ -85,7 +85,7 @@
                 let remote = RemoteCandidate {
                     member: Arc::clone(&member.entry.name),
                     region: Arc::clone(&member.entry.region),
-                    wait_ms: outlook.wait_ms,
+                    wait_ms: forecast.wait_ms,
                     cost_ms,
                 };
                 best = Some((rank, remote));
