--- a/crates/core/src/route/hops.rs
+++ b/crates/core/src/route/hops.rs
@@ -30,9 +30,9 @@
 impl fmt::Display for HopError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooMany(Hop::WithinRegion) => f.write_str("already forwarded within its region"),
-            Self::TooMany(Hop::AcrossRegions) => f.write_str("already forwarded across regions"),
-            Self::Visited(instance) => write!(f, "already visited instance `{instance}`"),
+            Self::TooMany(Hop::WithinRegion) => f.write_str("no second forward inside a region"),
+            Self::TooMany(Hop::AcrossRegions) => f.write_str("no second forward across regions"),
+            Self::Visited(instance) => write!(f, "instance `{instance}` was visited before"),
         }
     }
 }
--- a/crates/core/src/route/request.rs
+++ b/crates/core/src/route/request.rs
@@ -124,18 +124,15 @@
             Self::OutsideBoundRegion(region) => {
                 write!(
                     f,
-                    "the request is bound to region `{region}`, not to that of this instance"
+                    "the request is bound to region `{region}`, this instance is not in it"
                 )
             }
-            Self::NoUpstream => f.write_str("no eligible upstream serves the request"),
-            Self::Full { wait_ms } => write!(
-                f,
-                "all eligible upstreams are full; a slot is expected in about {wait_ms} ms"
-            ),
+            Self::NoUpstream => f.write_str("no upstream serves the request here"),
+            Self::Full { wait_ms } => write!(f, "every upstream is full for about {wait_ms} ms"),
             Self::TooLate { first_token_ms } => {
                 write!(
                     f,
-                    "the first token is predicted after {first_token_ms} ms, past the deadline"
+                    "the first token would come in {first_token_ms} ms, past the deadline"
                 )
             }
         }
