--- a/crates/edge/src/node/apply.rs
+++ b/crates/edge/src/node/apply.rs
@@ -1,44 +1,45 @@
-//! Applying news from the store.
+//! Application of changes in the store to the instance's state.
 
 use super::Node;
 use crate::{
     log::Event,
     member::MemberEntry,
     model::{Config, ConfigParts},
-    rollout::{Order, Trial, Verdict},
-    store::{Fact, Facts, MemberChange, News, Replica, StoreEvent},
-    upstream::{Sighting, Stage},
+    rollout::{RolloutOrder, Trial, Verdict},
+    store::{Fact, Facts, MemberChange, Replica, StoreEvent, StoreUpdate},
+    upstream::{Stage, UpstreamEntry},
 };
 use std::{rc::Rc, sync::Arc};
 
-/// Time after an outage of the store in which missing entries may come back, in milliseconds.
-const AFTER_OUTAGE_MS: u64 = 2_500;
+/// Time after an outage of the store during which missing entries may still be registered again, in
+/// milliseconds.
+const OUTAGE_GRACE_MS: u64 = 2_500;
 
 impl Node {
-    /// Applies one piece of news.
-    pub fn apply(&self, news: News) {
+    /// Applies one decoded change.
+    pub fn apply(&self, news: StoreUpdate) {
         match news {
-            News::Config(parts) => self.apply_config(*parts),
-            News::ConfigUnusable(reason) => {
+            StoreUpdate::Config(parts) => self.apply_config(*parts),
+            StoreUpdate::ConfigInvalid(reason) => {
                 self.log.event(Event::ConfigRefused { reason: &reason })
             }
-            News::Evacuated(data_centre, is_evacuated) => {
+            StoreUpdate::Evacuated(data_centre, is_evacuated) => {
                 self.set_evacuated(&data_centre, is_evacuated)
             }
-            News::Ordered(order) => self.apply_order(order),
-            News::OrderGone(service) => {
+            StoreUpdate::Ordered(order) => self.apply_order(order),
+            StoreUpdate::OrderRemoved(service) => {
                 self.state.borrow_mut().trials.remove(&service);
             }
-            News::Verdict(service, target, verdict) => {
+            StoreUpdate::Verdict(service, target, verdict) => {
                 self.apply_verdict(&service, &target, verdict, true);
             }
-            News::Upstream(seen) => self.apply_upstream(seen),
-            News::UpstreamGone(id) => self.upstream_gone(&id),
-            News::Member(MemberChange::Seen(entry)) => self.apply_member(entry),
-            News::Member(MemberChange::Gone(name)) => {
-                self.state.borrow_mut().members.entry_gone(&name);
+            StoreUpdate::Upstream(seen) => self.apply_upstream(seen),
+            StoreUpdate::UpstreamRemoved(id) => self.upstream_gone(&id),
+            StoreUpdate::Member(MemberChange::Written(entry)) => self.apply_member(entry),
+            StoreUpdate::Member(MemberChange::Removed(name)) => {
+                self.state.borrow_mut().members.entry_removed(&name);
             }
-            News::Ignored(key, reason) => {
+            StoreUpdate::Ignored(key, reason) => {
                 self.log.event(Event::EntryIgnored {
                     key: &key,
                     reason: &reason,
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Takes note of an event of the store.
-    pub fn store_event(&self, event: StoreEvent) {
+    /// Handles an event of the store's thread.
+    pub fn apply_store_event(&self, event: StoreEvent) {
         match event {
             StoreEvent::Listed(prefix, listing) => {
                 let fresh = self.with_replica(&prefix, |replica, at| {
@@ -63,7 +64,7 @@
                 self.apply_facts(&fresh);
             }
             StoreEvent::Lost(reason) => self.store_lost(&reason),
-            StoreEvent::Back => self.store_back(),
+            StoreEvent::Recovered => self.store_back(),
             StoreEvent::LeaseLost(reason) => self.log.event(Event::LeaseLost { reason: &reason }),
             StoreEvent::Recorded(news) => self.apply(news),
             StoreEvent::NotRecorded(service, err) => self.log.event(Event::VerdictNotRecorded {
@@ -73,24 +74,26 @@
         }
     }
 
+    /// Updates the replica of a prefix. Returns the facts that are new.
     fn with_replica(
         &self,
         prefix: &str,
-        learn: impl FnOnce(&mut Replica, usize) -> Vec<Fact>,
+        update: impl FnOnce(&mut Replica, usize) -> Vec<Fact>,
     ) -> Vec<Fact> {
         let mut state = self.state.borrow_mut();
         let Some(at) = state.replica.prefix(prefix) else {
             return Vec::new();
         };
-        learn(&mut state.replica, at)
+        update(&mut state.replica, at)
     }
 
-    /// Takes facts that another instance has told.
-    pub fn learn(&self, prefix: usize, facts: Facts) {
-        let fresh = self.state.borrow_mut().replica.learn(prefix, facts);
+    /// Applies facts that were pulled from another instance.
+    pub fn apply_pulled_facts(&self, prefix: usize, facts: Facts) {
+        let fresh = self.state.borrow_mut().replica.merge(prefix, facts);
         self.apply_facts(&fresh);
     }
 
+    /// Decodes new facts and applies them.
     fn apply_facts(&self, facts: &[Fact]) {
         for fact in facts {
             let news = match &fact.value {
@@ -103,6 +106,7 @@
         }
     }
 
+    /// Applies a configuration unless it is older than the one in force.
     fn apply_config(&self, parts: ConfigParts) {
         let config = Rc::new(Config::from(parts));
         let mut state = self.state.borrow_mut();
@@ -121,15 +125,16 @@
             .buckets
             .retain(|name, _| config.accounts.contains_key(name));
         for upstream in state.upstreams.by_id.values_mut() {
-            let service = config.services.get(&upstream.seen.service);
+            let service = config.services.get(&upstream.entry.service);
             let engine = service.and_then(|service| service.engine);
             upstream
                 .cache
-                .set_capacity(engine.map_or(0, |engine| engine.memory_tokens));
+                .set_capacity(engine.map_or(0, |engine| engine.kv_cache_tokens));
         }
         state.config = Some(config);
     }
 
+    /// Marks or unmarks a data centre as evacuated.
     fn set_evacuated(&self, data_centre: &Arc<str>, is_evacuated: bool) {
         let mut state = self.state.borrow_mut();
         let is_change = if is_evacuated {
@@ -145,7 +150,8 @@
         }
     }
 
-    fn apply_order(&self, order: Order) {
+    /// Starts the trial that a rollout order asks for, unless it is already running.
+    fn apply_order(&self, order: RolloutOrder) {
         let mut state = self.state.borrow_mut();
         let known = state.trials.get(&order.service);
         if known.is_some_and(|known| known.order == order) {
@@ -164,7 +170,7 @@
         state.trials.insert(key.0, trial);
     }
 
-    /// Takes note of a verdict that stands, or that another instance tells of.
+    /// Applies a verdict from the store (`is_own`) or from another instance's gossip.
     pub(super) fn apply_verdict(
         &self,
         service: &Arc<str>,
@@ -200,7 +206,8 @@
         });
     }
 
-    fn apply_upstream(&self, seen: Sighting) {
+    /// Adds or updates an upstream from its entry in the store.
+    fn apply_upstream(&self, seen: UpstreamEntry) {
         let now = self.now();
         let data_centre: &str = &seen.data_centre;
         let Some(region) = self.settings.regions.get(data_centre) else {
@@ -216,7 +223,7 @@
         let engine = state
             .service(&seen.service)
             .and_then(|service| service.engine);
-        let memory_tokens = engine.map_or(0, |engine| engine.memory_tokens);
+        let kv_cache_tokens = engine.map_or(0, |engine| engine.kv_cache_tokens);
         let version = (Arc::clone(&seen.service), Arc::clone(&seen.version));
         let first_at = if state.replica.is_complete() {
             now
@@ -226,7 +233,10 @@
         state.versions.entry(version).or_insert(first_at);
         let logged = seen.clone();
         let is_new = !state.upstreams.by_id.contains_key(&seen.id);
-        if state.upstreams.saw(seen, &region, memory_tokens, now) {
+        if state
+            .upstreams
+            .update_entry(seen, &region, kv_cache_tokens, now)
+        {
             self.log.event(Event::UpstreamSeen {
                 upstream: &logged.id,
                 service: &logged.service,
@@ -244,20 +254,22 @@
         }
     }
 
+    /// Marks an upstream whose entry was removed as missing.
     fn upstream_gone(&self, id: &str) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let is_after_outage = state.store_lost_at.is_some()
             || state
                 .store_back_at
-                .is_some_and(|at| now.since(at) < AFTER_OUTAGE_MS);
-        state.upstreams.missing(id, is_after_outage, now);
+                .is_some_and(|at| now.since(at) < OUTAGE_GRACE_MS);
+        state.upstreams.entry_removed(id, is_after_outage, now);
         self.log.event(Event::UpstreamMissing {
             upstream: id,
             is_after_outage,
         });
     }
 
+    /// Adds or updates another instance, and dials it if its entry is new.
     fn apply_member(&self, entry: MemberEntry) {
         if entry.name == self.name {
             return;
@@ -267,7 +279,7 @@
             .state
             .borrow_mut()
             .members
-            .saw(entry.clone(), self.now());
+            .update_entry(entry.clone(), self.now());
         if is_new {
             self.log.event(Event::MemberSeen {
                 member: &name,
@@ -277,6 +289,7 @@
         }
     }
 
+    /// Records the start of an outage of the store.
     fn store_lost(&self, reason: &str) {
         self.state
             .borrow_mut()
@@ -288,6 +301,7 @@
         });
     }
 
+    /// Records the end of an outage of the store.
     fn store_back(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
--- a/crates/edge/src/node/evidence.rs
+++ b/crates/edge/src/node/evidence.rs
@@ -1,41 +1,43 @@
-//! How the ends of requests change what the instance believes of upstreams and versions.
+//! Recording of request outcomes, which feed the health of upstreams and the evidence on new
+//! versions.
 
 use super::Node;
 use crate::{
     hash::short_hash,
     log::Event,
-    rollout::Counts,
+    rollout::VersionCounts,
     upstream::{Load, Outcome},
 };
 use std::sync::Arc;
 
-/// A send of one request to one upstream, as far as evidence is concerned.
+/// Identifiers of one send of a request to an upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent<'a> {
-    /// Request.
+pub struct SendIds<'a> {
+    /// Request id.
     pub request: &'a str,
-    /// Route.
+    /// Name of the route.
     pub route: &'a str,
-    /// Upstream.
+    /// Id of the upstream.
     pub upstream: &'a str,
 }
 
 impl Node {
-    /// Takes note of how a send ended.
-    pub fn note_outcome(&self, sent: Sent<'_>, outcome: Outcome) {
+    /// Records the outcome of a send.
+    pub fn note_outcome(&self, sent: SendIds<'_>, outcome: Outcome) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let Some(upstream) = state.upstreams.by_id.get_mut(sent.upstream) else {
             return;
         };
         let (service, version) = (
-            Arc::clone(&upstream.seen.service),
-            Arc::clone(&upstream.seen.version),
+            Arc::clone(&upstream.entry.service),
+            Arc::clone(&upstream.entry.version),
         );
-        let is_ejected = upstream.health.note(outcome, now);
+        let is_ejected = upstream.health.record_outcome(outcome, now);
         let error_share = upstream.health.error_share();
         if outcome == Outcome::Unreachable {
-            // A process that starts again at this address starts cold.
+            // An unreachable upstream may be restarting, and the new process at its address starts
+            // cold.
             let cold_ms = state.service(&service).map_or(0, |service| service.cold_ms);
             if let Some(upstream) = state.upstreams.by_id.get_mut(sent.upstream) {
                 if cold_ms > 0 {
@@ -70,30 +72,31 @@
         }
     }
 
-    /// Takes note that an upstream is cold for `left_ms` milliseconds more.
+    /// Sets the time for which an upstream states that it stays cold.
     pub fn note_cold(&self, id: &str, left_ms: u64) {
         let now = self.now();
         if let Some(upstream) = self.state.borrow_mut().upstreams.by_id.get_mut(id) {
-            upstream.cold.set_left(left_ms, now);
+            upstream.cold.set_remaining(left_ms, now);
         }
     }
 
-    /// Takes work from an upstream's load.
-    pub fn note_done(&self, id: &str, load: Load) {
+    /// Subtracts completed work from the upstream's load.
+    pub fn remove_load(&self, id: &str, load: Load) {
         if let Some(upstream) = self.state.borrow_mut().upstreams.by_id.get_mut(id) {
             upstream.own -= load;
         }
     }
 
-    /// Takes note of the speed at which an upstream read prompts.
+    /// Records a sample of an upstream's prefill speed.
     pub fn note_speed(&self, id: &str, tokens: f64, ms: f64) {
         if let Some(upstream) = self.state.borrow_mut().upstreams.by_id.get_mut(id) {
-            upstream.note_speed(tokens, ms);
+            upstream.record_prefill_speed(tokens, ms);
         }
     }
 }
 
-fn add(counts: &mut Counts, outcome: Outcome) {
+/// Adds an outcome to the counts of a version.
+fn add(counts: &mut VersionCounts, outcome: Outcome) {
     counts.sent += 1;
     match outcome {
         Outcome::Answered { ms } => {
@@ -102,7 +105,7 @@
             let ms = ms.max(0.0) as u32;
             counts.time_sum_ms = counts.time_sum_ms.saturating_add(ms);
         }
-        Outcome::Failed | Outcome::Unreachable => counts.bad += 1,
+        Outcome::Failed | Outcome::Unreachable => counts.failed += 1,
         Outcome::Refused => {}
     }
 }
--- a/crates/edge/src/node/state.rs
+++ b/crates/edge/src/node/state.rs
@@ -1,7 +1,7 @@
-//! What one instance knows.
+//! State of an instance, and the decisions that are based on it.
 
 use crate::{
-    cold::{ColdRate, COLD_USERS},
+    cold::{ColdRate, MAX_COLD_USERS},
     dispatch::Pools,
     hash::short_hash,
     limit::{AccountLimit, Bucket},
@@ -11,11 +11,14 @@
     model::{Account, Config, Route, Service},
     names::HeaderNames,
     peers::Links,
-    place::{choose, region_outlook, Choice, Job, Kind, Mix, Outlook, Placed, Rules},
+    place::{
+        choose, forecast_region, Choice, InferenceJob, JobKind, JobMix, LatencyForecast, Placement,
+        PlacementRules,
+    },
     retry::{RetryBounds, RetryBudget},
     rollout::{Trial, TrialBounds, Verdict},
     settings::Settings,
-    store::{Decoder, Recorded, Replica},
+    store::{Decoder, Replica, VerdictRecord},
     upstream::Upstreams,
 };
 use carobwheel_core::time::{Clock, Millis};
@@ -27,102 +30,102 @@
 };
 use tokio::sync::mpsc::Sender;
 
-/// Time after a signal to stop in which requests are still taken, in milliseconds.
-const LEAVING_TAKES_MS: u64 = 2_700;
-/// Other instances of a region below which each looks at all upstreams.
-const SMALL_REGION: usize = 6;
-/// Upstreams that an instance of a larger region looks at by chance.
-const SAMPLED: usize = 3;
-/// Part of the deployment's slack on limits that is used; the rest covers lateness.
-const SLACK_PART: f64 = 0.5;
-/// Time for which a version without an order is not used, in milliseconds.
-const UNORDERED_MS: u64 = 3_000;
+/// Time after the signal to stop during which new requests are still accepted, in milliseconds.
+const ACCEPT_WHILE_LEAVING_MS: u64 = 2_700;
+/// Number of other instances in the region below which each instance considers all upstreams.
+const SMALL_REGION_INSTANCES: usize = 6;
+/// Number of upstreams that an instance of a larger region samples at random.
+const SAMPLED_UPSTREAMS: usize = 3;
+/// Share of the deployment's slack on limits that is used; the rest covers the delay of gossip.
+const LIMIT_SLACK_SHARE: f64 = 0.5;
+/// Time for which a version that no rollout order names is not used, in milliseconds.
+const UNORDERED_VERSION_HOLD_MS: u64 = 3_000;
 
-/// One instance.
+/// State and services of this instance, shared by all its tasks.
 pub struct Node {
     /// Settings.
     pub settings: Settings,
     /// Name of the instance.
     pub name: Arc<str>,
-    /// Own region.
+    /// Region of the instance.
     pub region: Arc<str>,
-    /// Start of the process in civil time, in milliseconds.
+    /// Start time of the process in Unix milliseconds, which identifies its lifetime.
     pub life: u64,
     /// Header names.
     pub names: HeaderNames,
-    /// Turns items of the store into news.
+    /// Decodes items of the store.
     pub decoder: Decoder,
     /// Clock.
     pub clock: Clock,
-    /// Logs.
+    /// Log.
     pub log: Log,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Connections to upstreams.
+    /// Pooled connections to upstreams.
     pub pools: Pools,
     /// Links to other instances.
     pub links: Links,
-    /// States of moves to record in the store.
-    pub record: Sender<Recorded>,
-    /// Whether this instance watches the store for others of its region.
+    /// Queue of verdicts to write to the store.
+    pub record: Sender<VerdictRecord>,
+    /// Whether this instance watches the store on behalf of its region.
     pub is_watcher: tokio::sync::watch::Sender<bool>,
-    /// Requests of callers that wait for the head of their answer.
+    /// Number of callers' requests whose response head has not been sent yet.
     pub in_flight: Cell<usize>,
-    /// Exchanges with other instances that are under way.
+    /// Number of exchanges with other instances that are in progress.
     pub peer_exchanges: Cell<usize>,
-    /// Everything that decisions look at.
+    /// Mutable state.
     pub state: RefCell<State>,
 }
 
-/// Everything that decisions look at.
+/// Mutable state of the instance.
 #[derive(Debug, Default)]
 pub struct State {
-    /// Configuration in force, once one is known.
+    /// Configuration in force; `None` until the first one is loaded.
     pub config: Option<Rc<Config>>,
-    /// Upstreams.
+    /// Known upstreams.
     pub upstreams: Upstreams,
     /// Other instances.
     pub members: Members,
-    /// Tokens of accounts.
+    /// Token buckets by account.
     pub buckets: HashMap<Arc<str>, Bucket>,
-    /// Work that callers have asked for lately, by service.
-    pub mixes: HashMap<Arc<str>, Mix>,
-    /// Budgets of repeats by service.
+    /// Recent mix of requested work, by service.
+    pub mixes: HashMap<Arc<str>, JobMix>,
+    /// Retry budgets by service.
     pub budgets: HashMap<Arc<str>, RetryBudget>,
-    /// Data centres that must get nothing.
+    /// Data centres that receive no requests.
     pub evacuated: HashSet<Arc<str>>,
-    /// Moves by service.
+    /// Rollouts by service.
     pub trials: HashMap<Arc<str>, Trial>,
-    /// Verdicts that stood before their order was seen, by service and target.
+    /// Verdicts by service and target; also those that were read before their rollout order.
     pub verdicts: HashMap<(Arc<str>, Arc<str>), Verdict>,
-    /// Versions of services and when they were first seen.
+    /// Time at which each version was first seen, by service and version.
     pub versions: HashMap<(Arc<str>, Arc<str>), Millis>,
-    /// Copy of the followed parts of the store.
+    /// Replica of the followed prefixes of the store.
     pub replica: Replica,
-    /// Prefixes of which another instance knows more, and since when.
+    /// Time since which another instance has had a newer revision, by position of the prefix.
     pub behind: HashMap<usize, Millis>,
-    /// The store does not answer since then.
+    /// Start of the current outage of the store.
     pub store_lost_at: Option<Millis>,
-    /// The store answered again then.
+    /// End of the last outage of the store.
     pub store_back_at: Option<Millis>,
-    /// The instance was told to stop then.
+    /// Time of the signal to stop.
     pub leaving_at: Option<Millis>,
 }
 
-/// What is asked of the upstreams of a region.
-pub struct Offered<'a> {
-    /// Service.
+/// Input of a placement decision.
+pub struct PlacementRequest<'a> {
+    /// Name of the service.
     pub service: &'a Arc<str>,
-    /// Request.
-    pub job: &'a Job,
-    /// Upstreams that have had it.
+    /// Prompt and expected answer.
+    pub job: &'a InferenceJob,
+    /// Upstreams to exclude, since the request was already offered to them.
     pub tried: &'a [Arc<str>],
-    /// Whether it goes to the version on trial, by a draw from 0 up to 1.
+    /// Random number in `[0, 1)` that decides whether the request goes to the version on trial.
     pub draw: f64,
 }
 
 impl Node {
-    /// The current time.
+    /// Current time.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
@@ -133,51 +136,51 @@
         state.config.is_some() && state.replica.is_complete() && state.leaving_at.is_none()
     }
 
-    /// Whether the instance was told to stop.
+    /// Whether the instance has received the signal to stop.
     pub fn is_leaving(&self) -> bool {
         self.state.borrow().leaving_at.is_some()
     }
 
-    /// Whether the instance was told to stop so long ago that a new request might be cut.
-    pub fn is_closed(&self) -> bool {
+    /// Whether the signal to stop was so long ago that a new request might not complete.
+    pub fn is_refusing_requests(&self) -> bool {
         let leaving_at = self.state.borrow().leaving_at;
-        leaving_at.is_some_and(|at| self.now().since(at) >= LEAVING_TAKES_MS)
+        leaving_at.is_some_and(|at| self.now().since(at) >= ACCEPT_WHILE_LEAVING_MS)
     }
 
-    /// The configuration in force.
+    /// Configuration in force.
     pub fn config(&self) -> Option<Rc<Config>> {
         self.state.borrow().config.clone()
     }
 
     /// Chooses an upstream of the own region.
-    pub fn place(&self, offered: &Offered<'_>) -> Choice {
+    pub fn place(&self, placement_request: &PlacementRequest<'_>) -> Choice {
         let now = self.now();
         let state = self.state.borrow();
-        state.with_rules(self, offered, now, |rules| {
-            choose(&state.upstreams, offered.job, rules, now)
+        state.with_rules(self, placement_request, now, |rules| {
+            choose(&state.upstreams, placement_request.job, rules, now)
         })
     }
 
-    /// What a job of the service has to expect in the own region.
-    pub fn region_outlook(&self, service: &Arc<str>, kind: Kind) -> Option<Outlook> {
+    /// Expected latency of a job of the service in the own region.
+    pub fn region_forecast(&self, service: &Arc<str>, kind: JobKind) -> Option<LatencyForecast> {
         let now = self.now();
         let state = self.state.borrow();
-        let offered = Offered {
+        let placement_request = PlacementRequest {
             service,
-            job: &Job::default(),
+            job: &InferenceJob::default(),
             tried: &[],
             draw: 1.0,
         };
-        state.with_rules(self, &offered, now, |rules| {
-            region_outlook(&state.upstreams, kind, rules, now)
+        state.with_rules(self, &placement_request, now, |rules| {
+            forecast_region(&state.upstreams, kind, rules, now)
         })
     }
 
-    /// Takes tokens of the account for a request.
+    /// Charges tokens to an account's bucket.
     ///
     /// # Errors
     ///
-    /// Returns the milliseconds until they will be there.
+    /// Returns the time until enough tokens are available, in milliseconds.
     pub fn charge(&self, account: &Account, tokens: u64) -> Result<(), u64> {
         if account.tokens_per_s <= 0.0 {
             return Ok(());
@@ -188,7 +191,7 @@
         let limit = AccountLimit {
             tokens_per_s: account.tokens_per_s,
             burst_tokens: account.burst_tokens,
-            slack_tokens: SLACK_PART
+            slack_tokens: LIMIT_SLACK_SHARE
                 * self
                     .settings
                     .bounds
@@ -202,13 +205,14 @@
         bucket.take(tokens, &limit, fleet, now)
     }
 
-    /// Gives back tokens of a request that did not run.
-    pub fn give_back(&self, account: &Account, tokens: u64) {
+    /// Refunds the tokens of a request that has not run.
+    pub fn refund(&self, account: &Account, tokens: u64) {
         if let Some(bucket) = self.state.borrow_mut().buckets.get_mut(&account.name) {
-            bucket.give_back(tokens);
+            bucket.refund(tokens);
         }
     }
 
+    /// Bounds of the retry budgets, from the settings.
     fn retry_bounds(&self) -> RetryBounds {
         let bounds = &self.settings.bounds;
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
@@ -220,12 +224,12 @@
         }
     }
 
-    /// Takes note of a request to `service` that is to run in the own region.
-    pub fn note_request(&self, service: &Arc<str>, job: &Job) {
+    /// Counts a request to `service` that is about to run in the own region.
+    pub fn note_request(&self, service: &Arc<str>, job: &InferenceJob) {
         let (bounds, now) = (self.retry_bounds(), self.now());
         let mut state = self.state.borrow_mut();
         let budget = state.budgets.entry(Arc::clone(service)).or_default();
-        budget.note_request(&bounds, now);
+        budget.record_request(&bounds, now);
         let engine = state.service(service).and_then(|service| service.engine);
         if let Some(engine) = engine {
             let mix = state.mixes.entry(Arc::clone(service)).or_default();
@@ -233,7 +237,7 @@
         }
     }
 
-    /// Takes one repeat to `service`; false if none is left.
+    /// Takes one retry from the service's budget. Returns false if the budget is exhausted.
     pub fn try_repeat(&self, service: &Arc<str>) -> bool {
         let (bounds, now) = (self.retry_bounds(), self.now());
         let mut state = self.state.borrow_mut();
@@ -242,21 +246,21 @@
         budget.try_take(&bounds, instances, now)
     }
 
-    /// Takes note that a request goes to an upstream.
-    pub fn note_sent(&self, placed: &Placed, job: &Job, cold_per_s: f64) {
+    /// Records that a request is sent to an upstream.
+    pub fn note_sent(&self, placed: &Placement, job: &InferenceJob, cold_per_s: f64) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let users = state.cold_users(self, now);
         if let Some(upstream) = state.upstreams.by_id.get_mut(&placed.id) {
             #[allow(clippy::cast_precision_loss)]
             let per_s = cold_per_s / users as f64;
-            upstream.cold.sent(ColdRate { per_s }, now);
+            upstream.cold.record_sent(ColdRate { per_s }, now);
             #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
             let expected_ms = placed.wait_ms.max(0.0) as u64;
-            upstream.health.sent(expected_ms * 2 + 500, now);
+            upstream.health.record_sent(expected_ms * 2 + 500, now);
             upstream.own += placed.load;
             upstream
-                .reads
+                .prefill_rate
                 .add(f64::from(placed.load.unread_tokens), now);
             upstream.cache.insert(&job.parts);
         }
@@ -264,27 +268,29 @@
 }
 
 impl State {
-    /// The service of this name.
+    /// Service with this name.
     pub fn service(&self, name: &str) -> Option<Rc<Service>> {
         self.config
             .as_ref()
             .and_then(|config| config.services.get(name).cloned())
     }
 
-    /// What takes most of an upstream's time for a job.
-    pub fn kind_of(&self, service: &str, job: &Job) -> Kind {
+    /// Kind of a job: the phase that takes most of an upstream's time for it.
+    pub fn kind_of(&self, service: &str, job: &InferenceJob) -> JobKind {
         let service = self.service(service);
         let engine = service.as_ref().and_then(|service| service.engine);
-        engine.map_or(Kind::Reading, |engine| Kind::of(job, engine.slots))
+        engine.map_or(JobKind::PrefillHeavy, |engine| {
+            JobKind::of(job, engine.slots)
+        })
     }
 
-    /// How many instances of the region use one cold upstream.
+    /// Number of instances of the region that share one cold upstream.
     fn cold_users(&self, node: &Node, now: Millis) -> usize {
         let others = self.region_members(node, now).len();
-        (others + 1).min(COLD_USERS)
+        (others + 1).min(MAX_COLD_USERS)
     }
 
-    /// Other instances of the region that may be at work, heard or not.
+    /// Other instances of the region that may be running, whether or not their gossip arrives.
     fn region_members(&self, node: &Node, _: Millis) -> Vec<&Arc<str>> {
         let members = self.members.by_name.values();
         members
@@ -293,91 +299,94 @@
             .collect()
     }
 
-    /// Whether this instance is one of those that use the cold upstream `id`.
+    /// Whether this instance is one of those that use the cold upstream `id`, by rendezvous
+    /// hashing.
     fn is_cold_user(&self, node: &Node, id: &str, now: Millis) -> bool {
-        let weight = |name: &str| short_pair_hash(name, id);
+        let weight = |name: &str| name_pair_hash(name, id);
         let own = weight(&node.name);
         let ahead = self.region_members(node, now);
-        ahead.iter().filter(|name| weight(name) > own).count() < COLD_USERS
+        ahead.iter().filter(|name| weight(name) > own).count() < MAX_COLD_USERS
     }
 
+    /// Builds the placement rules for a request and passes them to `decide`.
     fn with_rules<T>(
         &self,
         node: &Node,
-        offered: &Offered<'_>,
+        placement_request: &PlacementRequest<'_>,
         now: Millis,
-        decide: impl FnOnce(&Rules<'_>) -> T,
+        decide: impl FnOnce(&PlacementRules<'_>) -> T,
     ) -> T {
         let is_version_allowed =
-            |version: &str| self.is_version_allowed(node, offered, version, now);
+            |version: &str| self.is_version_allowed(node, placement_request, version, now);
         let is_cold_user = |id: &str| self.is_cold_user(node, id, now);
-        let service = self.service(offered.service);
+        let service = self.service(placement_request.service);
         let engine = service.as_ref().and_then(|service| service.engine);
-        let rules = Rules {
-            service: offered.service,
+        let rules = PlacementRules {
+            service: placement_request.service,
             region: &node.region,
             evacuated: &self.evacuated,
             is_version_allowed: &is_version_allowed,
             is_cold_user: &is_cold_user,
-            memory_tokens: engine.map_or(0, |engine| engine.memory_tokens),
-            tried: offered.tried,
-            answering_part: self
+            kv_cache_tokens: engine.map_or(0, |engine| engine.kv_cache_tokens),
+            tried: placement_request.tried,
+            decode_share: self
                 .mixes
-                .get(offered.service)
-                .and_then(Mix::answering_part),
-            sampled: if self.region_members(node, now).len() < SMALL_REGION {
+                .get(placement_request.service)
+                .and_then(JobMix::decode_share),
+            sample_size: if self.region_members(node, now).len() < SMALL_REGION_INSTANCES {
                 0
             } else {
-                SAMPLED
+                SAMPLED_UPSTREAMS
             },
         };
         decide(&rules)
     }
 
+    /// Whether the request may go to this version, by the rollout of the service.
     fn is_version_allowed(
         &self,
         node: &Node,
-        offered: &Offered<'_>,
+        placement_request: &PlacementRequest<'_>,
         version: &str,
         now: Millis,
     ) -> bool {
-        if let Some(trial) = self.trials.get(offered.service) {
+        if let Some(trial) = self.trials.get(placement_request.service) {
             let bounds = TrialBounds {
                 share: node.settings.bounds.trial_share,
             };
-            let is_new = offered.draw < trial.share(bounds);
+            let is_new = placement_request.draw < trial.share(bounds);
             return is_new == (*trial.order.target == *version);
         }
-        let key = (Arc::clone(offered.service), Arc::from(version));
+        let key = (Arc::clone(placement_request.service), Arc::from(version));
         if self.verdicts.get(&key) == Some(&Verdict::Reverted) {
             return false;
         }
-        // A version may show up shortly before the order that concerns it.
+        // Instances of a new version may register shortly before the rollout order is written.
         let is_only = self
             .versions
             .keys()
-            .filter(|(service, _)| service == offered.service)
+            .filter(|(service, _)| service == placement_request.service)
             .count()
             <= 1;
         is_only
             || self
                 .versions
                 .get(&key)
-                .is_none_or(|at| now.since(*at) >= UNORDERED_MS)
+                .is_none_or(|at| now.since(*at) >= UNORDERED_VERSION_HOLD_MS)
     }
 }
 
-/// Hash of a pair of names, alike on all instances.
-fn short_pair_hash(a: &str, b: &str) -> u32 {
+/// Hash of a pair of names, equal on all instances.
+fn name_pair_hash(a: &str, b: &str) -> u32 {
     short_hash(&format!("{a}/{b}"))
 }
 
-/// How urgent a request is to an upstream, from 0 (first) to 9.
+/// Priority of a request for the upstream, from 0 (highest) to 9.
 pub fn urgency(route: &Route, account: Option<&Account>) -> u8 {
-    /// Urgency of a request of the highest rank.
-    const FIRST: u8 = 3;
+    /// Priority of requests of the highest rank.
+    const HIGHEST_RANK_URGENCY: u8 = 3;
     let rank = account
-        .and_then(|account| account.rank)
-        .unwrap_or(route.rank);
-    (FIRST + rank).min(9)
+        .and_then(|account| account.priority)
+        .unwrap_or(route.priority);
+    (HIGHEST_RANK_URGENCY + rank).min(9)
 }
--- /dev/null
+++ b/crates/edge/src/pipeline/attempts.rs
@@ -0,0 +1,198 @@
+//! Retry loop: places a request, sends it, and retries until an upstream has answered.
+
+use super::{
+    refusal::Refusal,
+    run::NO_UPSTREAM_RETRY_AFTER_MS,
+    send_once::{send_once, SendResult},
+    RequestContext,
+};
+use crate::{
+    dispatch::{ConnectionCheckout, LoadGuard},
+    log::Event,
+    node::{Node, PlacementRequest},
+    place::{Choice, Placement},
+};
+use bytes::Bytes;
+use hyper::{body::Incoming, http::response::Parts};
+use std::{rc::Rc, sync::Arc, time::Duration};
+
+/// Maximum number of upstreams that one request is offered to, whether it ran there or not.
+const MAX_UPSTREAMS_TRIED: u32 = 4;
+/// Pause before placement is retried when no upstream is usable, in milliseconds.
+const PLACE_RETRY_PAUSE_MS: u64 = 40;
+/// Maximum wait for a usable upstream, in milliseconds.
+const NO_UPSTREAM_WAIT_MS: u64 = 300;
+/// Divisor of the first-byte target that gives the maximum wait while all upstreams are crowded.
+const CROWDED_WAIT_DIVISOR: u64 = 2;
+/// `Retry-After` when all upstreams are crowded, in milliseconds.
+const CROWDED_RETRY_AFTER_MS: u64 = 1_200;
+
+/// Attempts made for one request so far.
+#[derive(Debug, Default)]
+pub(super) struct Attempts {
+    /// Upstreams that the request was offered to.
+    pub(super) tried: Vec<Arc<str>>,
+    /// Number of attempts in which the request was sent.
+    pub(super) sends: u32,
+    /// Number of sends after which the request may have run.
+    pub(super) runs: u32,
+}
+
+/// Response of an upstream, with its body buffered or still to be read.
+pub(super) struct UpstreamAnswer {
+    pub(super) head: Parts,
+    pub(super) body: UpstreamBody,
+    pub(super) load_guard: LoadGuard,
+    pub(super) upstream: Arc<str>,
+}
+
+/// Body of an upstream's response.
+pub(super) enum UpstreamBody {
+    /// Not read yet; the connection returns to the pool after the end of the body.
+    Unread(Incoming, ConnectionCheckout),
+    /// Read completely.
+    Buffered(Bytes),
+}
+
+/// Sends a request, with retries on other upstreams, until there is a response for the caller.
+pub(super) async fn send_until_answered(
+    node: &Rc<Node>,
+    ctx: &RequestContext,
+    attempts: &mut Attempts,
+) -> Result<UpstreamAnswer, Refusal> {
+    let mut error_answer = None;
+    let last_refusal = loop {
+        let placed = match place(node, ctx, attempts).await {
+            Ok(placed) => placed,
+            Err(refusal) => break refusal,
+        };
+        if attempts.sends > 0 && !node.try_repeat(&ctx.meta.service) {
+            break refusal_unless_run(
+                attempts,
+                Refusal::not_run("no repeats are left", NO_UPSTREAM_RETRY_AFTER_MS),
+            );
+        }
+        let attempt = attempts.sends + 1;
+        let started_at = node.now();
+        let result = send_once(node, ctx, &placed, attempt).await;
+        attempts.tried.push(Arc::clone(&placed.id));
+        let (reason, may_have_run) = match result {
+            SendResult::Answer(answer) => return Ok(answer),
+            SendResult::Unreachable(reason) => (reason, false),
+            SendResult::NotRun => {
+                attempts.sends += 1;
+                ("the upstream refused".to_owned(), false)
+            }
+            SendResult::Failed(reason, answer) => {
+                attempts.sends += 1;
+                attempts.runs += 1;
+                error_answer = answer.or(error_answer);
+                (reason, true)
+            }
+        };
+        let will_retry = may_retry(node, ctx, attempts);
+        node.log.event(Event::SendFailed {
+            request: &ctx.meta.request,
+            upstream: &placed.id,
+            attempt,
+            reason: &reason,
+            may_have_run,
+            will_retry,
+            after_ms: node.now().since(started_at),
+        });
+        if !will_retry {
+            break refusal_unless_run(
+                attempts,
+                Refusal::not_run("the upstreams refused", NO_UPSTREAM_RETRY_AFTER_MS),
+            );
+        }
+    };
+    error_answer.ok_or(last_refusal)
+}
+
+/// Returns `refusal` if the request has certainly not run, and otherwise one that says it may have
+/// run.
+fn refusal_unless_run(attempts: &Attempts, refusal: Refusal) -> Refusal {
+    if attempts.runs == 0 {
+        refusal
+    } else {
+        Refusal::may_have_run("the upstream failed")
+    }
+}
+
+/// Whether another attempt is allowed.
+fn may_retry(node: &Node, ctx: &RequestContext, attempts: &Attempts) -> bool {
+    let may_run_again = attempts.runs == 0
+        || (ctx.meta.kind.is_repeatable() && attempts.runs < ctx.meta.max_attempts);
+    may_run_again && attempts.tried.len() < MAX_UPSTREAMS_TRIED as usize && ctx.left_ms(node) > 0
+}
+
+/// Placement request that excludes the upstreams in `tried`.
+pub(super) fn placement_request<'a>(
+    ctx: &'a RequestContext,
+    tried: &'a [Arc<str>],
+) -> PlacementRequest<'a> {
+    PlacementRequest {
+        service: &ctx.meta.service,
+        job: &ctx.job,
+        tried,
+        draw: ctx.meta.draw,
+    }
+}
+
+/// Chooses an upstream that can answer in time. Waits briefly while none is usable.
+async fn place(
+    node: &Node,
+    ctx: &RequestContext,
+    attempts: &Attempts,
+) -> Result<Placement, Refusal> {
+    let wait_until = node.now().plus(NO_UPSTREAM_WAIT_MS.min(ctx.left_ms(node)));
+    loop {
+        match node
+            .place(&placement_request(ctx, &attempts.tried))
+            .reject_long_queue(&ctx.job, ctx.meta.aim_ms)
+        {
+            Choice::Placed(placed) => return check_wait(node, ctx, attempts, placed),
+            Choice::Saturated => {
+                let waited_ms = node.now().since(ctx.started_at);
+                if waited_ms >= ctx.meta.aim_ms / CROWDED_WAIT_DIVISOR {
+                    let refusal =
+                        Refusal::not_run("all upstreams are crowded", CROWDED_RETRY_AFTER_MS);
+                    return Err(refusal_unless_run(attempts, refusal));
+                }
+                tokio::time::sleep(Duration::from_millis(PLACE_RETRY_PAUSE_MS)).await;
+            }
+            Choice::NoUpstream if attempts.tried.is_empty() && node.now() < wait_until => {
+                tokio::time::sleep(Duration::from_millis(PLACE_RETRY_PAUSE_MS)).await;
+            }
+            Choice::NoUpstream => {
+                let refusal =
+                    Refusal::not_run("no upstream can be used", NO_UPSTREAM_RETRY_AFTER_MS);
+                return Err(refusal_unless_run(attempts, refusal));
+            }
+        }
+    }
+}
+
+/// Refuses the request if the expected wait at the chosen upstream exceeds the remaining time.
+fn check_wait(
+    node: &Node,
+    ctx: &RequestContext,
+    attempts: &Attempts,
+    placed: Placement,
+) -> Result<Placement, Refusal> {
+    let spent_ms = node.now().since(ctx.started_at);
+    let max_first_byte_ms = ctx.max_first_byte_ms();
+    #[allow(clippy::cast_precision_loss)]
+    let left_ms = max_first_byte_ms.saturating_sub(spent_ms) as f64;
+    if placed.wait_ms < left_ms {
+        return Ok(placed);
+    }
+    #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
+    let late_ms = (placed.wait_ms - left_ms).max(0.0) as u64;
+    let retry_after_ms = late_ms.clamp(300, 3_000);
+    Err(refusal_unless_run(
+        attempts,
+        Refusal::not_run("no upstream can answer in time", retry_after_ms),
+    ))
+}
--- a/crates/edge/src/pipeline/identify.rs
+++ b/crates/edge/src/pipeline/identify.rs
@@ -1,65 +1,64 @@
-//! Whose request it is, on which route, and whether it may run.
+//! Identification of the caller and the route, and admission by the account's rate limit.
 
-use super::{FarTicket, Refusal, Ticket};
+use super::{Refusal, RequestContext, RequestMeta};
 use crate::{
     dispatch::is_hop_header,
     log::Event,
     model::{allowed_regions, split_service, Account, Config, Route, RouteMatch},
     names::HeaderNames,
     node::{urgency, Node},
-    place::{Job, Part},
+    place::{InferenceJob, PromptPart},
 };
 use bytes::Bytes;
 use carobwheel_core::time::Millis;
 use hyper::{header::HeaderName, http::request::Parts, HeaderMap, StatusCode};
 use std::{rc::Rc, sync::Arc};
 
-/// Time for a request whose caller states none, in milliseconds.
-const DEFAULT_LEFT_MS: u64 = 30_000;
-/// Time after which a caller may come back that was refused before any configuration is known, in
-/// milliseconds.
-const NO_CONFIG_RETRY_MS: u64 = 500;
-/// Longest time that a caller over its limit is told to wait, in milliseconds.
-const LONGEST_LIMIT_WAIT_MS: u64 = 4_000;
+/// Deadline of a request whose caller states none, in milliseconds.
+const DEFAULT_DEADLINE_MS: u64 = 30_000;
+/// `Retry-After` of requests that arrive before the first configuration, in milliseconds.
+const NO_CONFIG_RETRY_AFTER_MS: u64 = 500;
+/// Upper bound of the `Retry-After` of requests over the account's limit, in milliseconds.
+const MAX_LIMIT_RETRY_AFTER_MS: u64 = 4_000;
 
-/// What a request's head says.
+/// Route and account of a request, determined from its head.
 #[derive(Clone, Debug)]
 pub struct Identified {
-    /// Configuration by which it was identified.
+    /// Configuration by which the request was identified.
     pub config: Rc<Config>,
-    /// Route.
+    /// Matching route.
     pub route: Rc<Route>,
-    /// Account of its key, where the route needs one.
+    /// Account of the key; `None` on routes that need no key.
     pub account: Option<Rc<Account>>,
 }
 
-/// Who sent a request and where it may be served.
+/// Admission of a request: the charged account and the regions that may serve it.
 #[derive(Clone, Debug)]
-pub struct Caller {
-    /// Route.
+pub struct Admission {
+    /// Matching route.
     pub route: Rc<Route>,
-    /// Account, where the route needs a key.
+    /// Charged account; `None` on routes that need no key.
     pub account: Option<Rc<Account>>,
-    /// Regions that may serve it.
+    /// Regions that may serve the request.
     pub regions: Vec<String>,
-    /// Tokens that were charged.
+    /// Tokens charged to the account.
     pub tokens: u64,
 }
 
-/// Identifies a request by its head.
+/// Determines the route and the account of a request from its head.
 ///
 /// # Errors
 ///
-/// Returns the answer for a request that may not run.
+/// Returns a refusal if no configuration is loaded yet, no route matches, or the key is unknown.
 pub fn identify(node: &Node, head: &Parts) -> Result<Identified, Refusal> {
     let Some(config) = node.config() else {
         return Err(Refusal::not_run(
             "no configuration is known yet",
-            NO_CONFIG_RETRY_MS,
+            NO_CONFIG_RETRY_AFTER_MS,
         ));
     };
-    let host = text(&head.headers, &hyper::header::HOST).unwrap_or_default();
-    let key = text(&head.headers, &node.names.key);
+    let host = header_text(&head.headers, &hyper::header::HOST).unwrap_or_default();
+    let key = header_text(&head.headers, &node.names.key);
     match config.find(host, head.uri.path(), key) {
         RouteMatch::Found(route, account) => Ok(Identified {
             config,
@@ -71,12 +70,12 @@
     }
 }
 
-impl Caller {
-    /// Admits a request: charges its account.
+impl Admission {
+    /// Charges the account for a request and determines the regions that may serve it.
     ///
     /// # Errors
     ///
-    /// Returns the answer for a request beyond its account's limit.
+    /// Returns a refusal if the request exceeds the account's limit.
     pub fn admit(
         node: &Node,
         head: &Parts,
@@ -92,7 +91,8 @@
         let regions = allowed_regions(all, &route, account.as_deref());
         let regions = regions.into_iter().map(str::to_owned).collect();
         let tokens = account.as_ref().map_or(0, |account| {
-            let stated = text(&head.headers, &node.names.token_use).and_then(parse_token_use);
+            let stated =
+                header_text(&head.headers, &node.names.token_use).and_then(parse_token_use);
             stated.map_or(account.plain_tokens, |(prompt, answer)| {
                 u64::from(prompt) + u64::from(answer)
             })
@@ -101,7 +101,7 @@
             node.charge(account, tokens).map_err(|wait_ms| Refusal {
                 status: StatusCode::TOO_MANY_REQUESTS,
                 reason: "over the account's limit",
-                retry_after_ms: Some(wait_ms.clamp(100, LONGEST_LIMIT_WAIT_MS)),
+                retry_after_ms: Some(wait_ms.clamp(100, MAX_LIMIT_RETRY_AFTER_MS)),
             })?;
         }
         Ok(Self {
@@ -112,55 +112,55 @@
         })
     }
 
-    /// Gives back what was charged for a request that did not run.
-    pub fn give_back(&self, node: &Node) {
+    /// Refunds the charge of a request that has not run.
+    pub fn refund(&self, node: &Node) {
         if let Some(account) = &self.account {
-            node.give_back(account, self.tokens);
+            node.refund(account, self.tokens);
         }
     }
 
-    /// Name of the account, empty on open routes.
+    /// Account name; empty on routes that need no key.
     pub fn account_name(&self) -> Arc<str> {
         self.account
             .as_ref()
             .map_or_else(|| "".into(), |account| Arc::clone(&account.name))
     }
 
-    /// The request as it goes to an upstream.
+    /// Builds the context with which the request is sent to an upstream.
     ///
     /// # Errors
     ///
-    /// Returns the answer for a route without a service.
-    pub fn ticket(
+    /// Returns a refusal if the route has no service.
+    pub fn context(
         &self,
         node: &Node,
         config: &Config,
         head: Parts,
         body: Bytes,
         started_at: Millis,
-    ) -> Result<Ticket, Refusal> {
+    ) -> Result<RequestContext, Refusal> {
         let Some(service) = split_service(&self.route, rand::random()) else {
             return Err(Refusal::not_run(
                 "the route has no service",
-                NO_CONFIG_RETRY_MS,
+                NO_CONFIG_RETRY_AFTER_MS,
             ));
         };
         let names = &node.names;
-        let stated_ms = text(&head.headers, &names.time_left_ms)
+        let stated_ms = header_text(&head.headers, &names.time_left_ms)
             .and_then(|text| text.trim().parse::<f64>().ok())
             .filter(|ms| *ms >= 0.0);
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let stated_ms = stated_ms.map_or(DEFAULT_LEFT_MS, |ms| ms as u64);
+        let stated_ms = stated_ms.map_or(DEFAULT_DEADLINE_MS, |ms| ms as u64);
         let total_ms = stated_ms.min(self.route.timeout_ms);
-        let request = text(&head.headers, &names.request_id)
+        let request = header_text(&head.headers, &names.request_id)
             .unwrap_or_default()
             .to_owned();
-        let last_event =
-            text(&head.headers, &names.last_event_id).and_then(|text| text.trim().parse().ok());
-        let first_rank = config.first_ranks.get(&service).copied();
-        let is_yielding = first_rank.is_some_and(|first| self.route.rank > first);
+        let last_event = header_text(&head.headers, &names.last_event_id)
+            .and_then(|text| text.trim().parse().ok());
+        let first_rank = config.highest_priorities.get(&service).copied();
+        let is_yielding = first_rank.is_some_and(|first| self.route.priority > first);
         let job = job(names, &head.headers, is_yielding);
-        let far = FarTicket {
+        let meta = RequestMeta {
             request,
             route: Arc::clone(&self.route.name),
             service,
@@ -176,14 +176,14 @@
             config: config.version,
         };
         node.log.event(Event::Admitted {
-            request: &far.request,
-            route: &far.route,
-            account: &far.account,
+            request: &meta.request,
+            route: &meta.route,
+            account: &meta.account,
             config: config.version,
             tokens: self.tokens,
         });
-        Ok(Ticket {
-            far,
+        Ok(RequestContext {
+            meta,
             method: head.method,
             uri: head.uri,
             headers: upstream_headers(names, head.headers),
@@ -196,25 +196,25 @@
     }
 }
 
-/// The prompt that a request's headers describe.
-pub(super) fn job(names: &HeaderNames, headers: &HeaderMap, is_yielding: bool) -> Job {
-    let (prompt_tokens, answer_tokens) = text(headers, &names.token_use)
+/// Reads the prompt size and the cacheable prompt parts from the headers.
+pub(super) fn job(names: &HeaderNames, headers: &HeaderMap, is_yielding: bool) -> InferenceJob {
+    let (prompt_tokens, max_output_tokens) = header_text(headers, &names.token_use)
         .and_then(parse_token_use)
         .unwrap_or_default();
-    let parts = text(headers, &names.prompt_parts)
+    let parts = header_text(headers, &names.prompt_parts)
         .map(parse_parts)
         .unwrap_or_default();
-    Job {
+    InferenceJob {
         parts,
         prompt_tokens,
-        answer_tokens,
+        max_output_tokens,
         is_yielding,
     }
 }
 
-/// The caller's headers without those that concern its connection or that the gateway sets.
+/// The caller's headers, without hop-by-hop headers and those that the gateway sets or withholds.
 fn upstream_headers(names: &HeaderNames, headers: HeaderMap) -> HeaderMap {
-    let listed: Vec<HeaderName> = headers
+    let connection_headers: Vec<HeaderName> = headers
         .get_all(hyper::header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -231,7 +231,7 @@
             || *name == names.urgency
             || *name == names.time_left_ms
             || names.gateway_only.contains(name)
-            || listed.contains(name)
+            || connection_headers.contains(name)
     };
     let mut kept = HeaderMap::with_capacity(headers.len() + 4);
     for (name, value) in &headers {
@@ -242,20 +242,24 @@
     kept
 }
 
-pub(super) fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+/// Value of a header as text.
+pub(super) fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
+/// Parses `prompt,answer` token counts.
 fn parse_token_use(text: &str) -> Option<(u32, u32)> {
     let (prompt, answer) = text.split_once(',')?;
     Some((prompt.trim().parse().ok()?, answer.trim().parse().ok()?))
 }
 
-fn parse_parts(text: &str) -> Vec<Part> {
+/// Parses comma-separated `id:tokens` entries, with the id in hexadecimal; stops at the first
+/// malformed one.
+fn parse_parts(text: &str) -> Vec<PromptPart> {
     let part = |entry: &str| {
         let (id, tokens) = entry.trim().split_once(':')?;
         let id = u64::from_str_radix(id, 16).ok()?;
-        Some(Part {
+        Some(PromptPart {
             id,
             tokens: tokens.parse().ok()?,
         })
--- a/crates/edge/src/store/verdict.rs
+++ b/crates/edge/src/store/verdict.rs
@@ -1,33 +1,34 @@
-//! Recording the state of a move to a new version.
+//! Recording of verdicts on rollouts.
 
 use super::{
-    backoff::Backoff, task::Context, Commit, Expected, Item, News, StoreError, StoreEvent, Write,
+    backoff::Backoff, task::Context, Commit, Expected, Item, StoreError, StoreEvent, StoreUpdate,
+    Write,
 };
 use crate::rollout::Verdict;
 use std::{sync::Arc, time::Duration};
 use tokio::time::sleep;
 
-/// Times that a write is tried before the next decision about it.
-const TRIES: u32 = 6;
+/// Attempts of a write before it is left to the next periodic check of the trial.
+const MAX_ATTEMPTS: u32 = 6;
 
-/// One state to record.
+/// Verdict to record.
 #[derive(Clone, Debug)]
-pub struct Recorded {
-    /// Service.
+pub struct VerdictRecord {
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Version that it moves to.
+    /// Target version of the rollout.
     pub target: Arc<str>,
-    /// State.
+    /// Verdict on the rollout.
     pub verdict: Verdict,
 }
 
-/// Records a state, unless a verdict on the same target stands already.
-pub(super) async fn record(context: &Context, key: &str, wanted: &Recorded) {
+/// Records a verdict, unless a final one on the same target is recorded already.
+pub(super) async fn record(context: &Context, key: &str, wanted: &VerdictRecord) {
     let mut backoff = Backoff::default();
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match try_record(context, key, wanted).await {
-            Ok(news) => {
-                context.send(StoreEvent::Recorded(news)).await;
+            Ok(update) => {
+                context.send(StoreEvent::Recorded(update)).await;
                 return;
             }
             Err(StoreError::Conflict) => {}
@@ -40,17 +41,21 @@
     }
 }
 
-async fn try_record(context: &Context, key: &str, wanted: &Recorded) -> Result<News, StoreError> {
+async fn try_record(
+    context: &Context,
+    key: &str,
+    wanted: &VerdictRecord,
+) -> Result<StoreUpdate, StoreError> {
     let known = match (context.ops.get)(key).await {
         Ok(item) => Some(item),
         Err(StoreError::NotFound) => None,
         Err(err) => return Err(err),
     };
-    if let Some(standing) = known
+    if let Some(recorded) = known
         .as_ref()
-        .and_then(|item| standing(context, item, wanted))
+        .and_then(|item| recorded(context, item, wanted))
     {
-        return Ok(standing);
+        return Ok(recorded);
     }
     let expected = Expected {
         key: key.to_owned(),
@@ -68,16 +73,16 @@
     };
     (context.ops.commit)(commit).await?;
     let (service, target) = (Arc::clone(&wanted.service), Arc::clone(&wanted.target));
-    Ok(News::Verdict(service, target, wanted.verdict))
+    Ok(StoreUpdate::Verdict(service, target, wanted.verdict))
 }
 
-/// The news of what stands already, if it goes before what is wanted.
-fn standing(context: &Context, item: &Item, wanted: &Recorded) -> Option<News> {
-    let news = (context.decoder.written)(&item.key, &item.value);
-    match &news {
-        News::Verdict(_, target, verdict) if *target == wanted.target => {
+/// The recorded verdict as an update, if it takes precedence over `wanted`.
+fn recorded(context: &Context, item: &Item, wanted: &VerdictRecord) -> Option<StoreUpdate> {
+    let update = (context.decoder.written)(&item.key, &item.value);
+    match &update {
+        StoreUpdate::Verdict(_, target, verdict) if *target == wanted.target => {
             let is_final = *verdict != Verdict::Active || wanted.verdict == Verdict::Active;
-            is_final.then_some(news)
+            is_final.then_some(update)
         }
         _ => None,
     }
