--- a/crates/ctl/src/demo/fleet.rs
+++ b/crates/ctl/src/demo/fleet.rs
@@ -1,6 +1,6 @@
 //! The instances of the demonstration, as threads of this process.
 
-use super::stage::Stage;
+use super::environment::Stage;
 use anyhow::Context as _;
 use carobwheel_core::id::{InstanceId, RegionId};
 use carobwheel_gateway::daemon::{self, Daemon};
--- a/crates/ctl/src/demo/mod.rs
+++ b/crates/ctl/src/demo/mod.rs
@@ -3,14 +3,14 @@
 //! A newcomer's first command. It starts the platform's store and live list, the engines and
 //! services of a shipped example document, and two instances in each of three regions.
 
+mod environment;
 mod fleet;
-mod stage;
 mod text;
 
 use anyhow::Context as _;
 use clap::ValueEnum;
+use environment::Stage;
 use fleet::Fleet;
-use stage::Stage;
 use std::path::PathBuf;
 use tokio::runtime;
 
--- a/crates/ctl/src/demo/text.rs
+++ b/crates/ctl/src/demo/text.rs
@@ -1,8 +1,8 @@
 //! What the demonstration prints, and the requests that it sends itself.
 
 use super::{
+    environment::Stage,
     fleet::{Fleet, Member},
-    stage::Stage,
 };
 use anyhow::{ensure, Context as _};
 use carobwheel_core::{document::Account, id::RegionId};
--- a/crates/ctl/src/explain/mod.rs
+++ b/crates/ctl/src/explain/mod.rs
@@ -1,6 +1,6 @@
 //! `carobctl explain`: a request's way through the instances, from their logs.
 
-mod story;
+mod timeline;
 
 use crate::options::{print_line, EXIT_FAULTY_INPUT};
 use std::{fs, path::PathBuf, process::ExitCode};
@@ -23,14 +23,14 @@
     let mut lines = Vec::new();
     for path in &args.logs {
         match fs::read(path) {
-            Ok(bytes) => lines.extend(story::parse(&String::from_utf8_lossy(&bytes))),
+            Ok(bytes) => lines.extend(timeline::parse(&String::from_utf8_lossy(&bytes))),
             Err(err) => {
                 eprintln!("carobctl: {}: {err}", path.display());
                 return ExitCode::from(EXIT_FAULTY_INPUT);
             }
         }
     }
-    let told = story::tell(lines, &args.request);
+    let told = timeline::tell(lines, &args.request);
     if told.is_empty() {
         eprintln!(
             "carobctl: no line of request {}; lines_left_out may say why",
--- a/crates/wire/src/openai/mod.rs
+++ b/crates/wire/src/openai/mod.rs
@@ -3,14 +3,14 @@
 //! Requests are relayed as the bytes that came in; [`RequestView`] borrows from them only what
 //! placement, limits and accounting need.
 
-mod answer;
 mod request;
+mod response;
 
-pub use answer::{
+pub use request::{Content, Message, Part, Prompt, RequestView, StreamOptions};
+pub use response::{
     AssistantMessage, ChatAnswer, ChatChoice, ChatChunk, ChunkChoice, Completion, CompletionChoice,
     Delta, ErrorAnswer, ErrorDetail, ModelEntry, ModelList, Usage,
 };
-pub use request::{Content, Message, Part, Prompt, RequestView, StreamOptions};
 
 /// Path of chat requests.
 pub const CHAT_PATH: &str = "/v1/chat/completions";
