--- a/crates/gateway/src/peers/document.rs
+++ b/crates/gateway/src/peers/document.rs
@@ -9,7 +9,9 @@
 use super::shared::Shared;
 use bytes::Bytes;
 use carobwheel_core::{document::MAX_DOCUMENT_BYTES, id::InstanceId};
-use carobwheel_wire::peer::{assemble, common, encode_head, middle, Common, DocumentHead, Request};
+use carobwheel_wire::peer::{
+    apply_delta, changed_middle, common_ends, encode_head, CommonEnds, DocumentHead, Request,
+};
 use sha2::{Digest, Sha256};
 use std::{net::SocketAddr, rc::Rc, sync::Arc, time::Duration};
 use tokio::time::timeout;
@@ -55,13 +57,15 @@
     fn answer(&self, base: u64) -> (DocumentHead, Bytes) {
         let newest = &self.newest;
         let base = self.earlier.iter().find(|earlier| earlier.number == base);
-        let common = base.map_or_else(Common::default, |base| common(&base.bytes, &newest.bytes));
+        let common = base.map_or_else(CommonEnds::default, |base| {
+            common_ends(&base.bytes, &newest.bytes)
+        });
         let head = DocumentHead {
             revision: newest.number,
             sha256: self.sha256,
             common,
         };
-        let middle = middle(&newest.bytes, common).unwrap_or_default();
+        let middle = changed_middle(&newest.bytes, common).unwrap_or_default();
         (head, newest.bytes.slice_ref(middle))
     }
 }
@@ -154,7 +158,7 @@
     let middle = receive.read_to_end(MAX_DOCUMENT_BYTES).await.ok()?;
     link.note_received();
     let base = base.map_or(&[][..], |base| &base.newest.bytes);
-    let Some(bytes) = assemble(base, head.common, &middle) else {
+    let Some(bytes) = apply_delta(base, head.common, &middle) else {
         return Some(Fetched::Mismatch);
     };
     let is_whole = bytes.len() <= MAX_DOCUMENT_BYTES && Sha256::digest(&bytes)[..] == head.sha256;
--- a/crates/gateway/src/peers/settings.rs
+++ b/crates/gateway/src/peers/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of the links.
 
 use carobwheel_core::id::InstanceId;
-use carobwheel_wire::peer::VERSIONS;
+use carobwheel_wire::peer::PROTOCOL_VERSIONS;
 use std::{net::SocketAddr, ops::RangeInclusive};
 
 /// Time for which a link may carry nothing before it is closed, in milliseconds.
@@ -47,7 +47,7 @@
             instance,
             listen,
             tls,
-            versions: VERSIONS,
+            versions: PROTOCOL_VERSIONS,
             idle_ms: IDLE_MS,
             silent_ms: SILENT_MS,
             queue_commands: 1_024,
--- a/crates/gateway/tests/support/caller.rs
+++ b/crates/gateway/tests/support/caller.rs
@@ -2,7 +2,7 @@
 
 use super::key_of;
 use carobwheel_standin::engine::answer_text;
-use carobwheel_wire::openai::{ChatAnswer, ChatChunk, RequestView, CHAT_PATH, DONE};
+use carobwheel_wire::openai::{ChatChunk, ChatCompletion, RequestView, CHAT_PATH, DONE};
 use serde_json::json;
 
 /// Most output tokens that a request asks for.
@@ -29,7 +29,7 @@
     /// The text of a whole chat answer.
     pub(crate) fn whole_text(&self) -> Option<String> {
         let body = self.body.as_ref().ok()?;
-        let answer: ChatAnswer = serde_json::from_str(body).ok()?;
+        let answer: ChatCompletion = serde_json::from_str(body).ok()?;
         answer.choices.into_iter().next()?.message.content
     }
 
--- a/crates/standin/src/engine/api.rs
+++ b/crates/standin/src/engine/api.rs
@@ -8,7 +8,7 @@
 use carobwheel_core::route::prefix_hashes;
 use carobwheel_wire::{
     openai::{
-        ErrorAnswer, ModelEntry, ModelList, RequestView, CHAT_PATH, COMPLETIONS_PATH, MODELS_PATH,
+        ErrorResponse, ModelEntry, ModelList, RequestView, CHAT_PATH, COMPLETIONS_PATH, MODELS_PATH,
     },
     platform::{LoadReport, LOAD_PATH},
 };
@@ -67,7 +67,7 @@
 }
 
 async fn refuse(responder: Responder, status: u16, code: &str, message: &str) -> ConnectionState {
-    let body = ErrorAnswer::new("engine_error", code, message);
+    let body = ErrorResponse::new("engine_error", code, message);
     responder.send_json(status, &body).await
 }
 
--- a/crates/standin/src/engine/encoding.rs
+++ b/crates/standin/src/engine/encoding.rs
@@ -2,8 +2,8 @@
 
 use super::{completion::CompletionRequest, Shared};
 use carobwheel_wire::openai::{
-    AssistantMessage, ChatAnswer, ChatChoice, ChatChunk, ChunkChoice, Completion, CompletionChoice,
-    Delta, Usage, DONE,
+    AssistantMessage, ChatChoice, ChatChunk, ChatCompletion, ChunkChoice, Completion,
+    CompletionChoice, Delta, Usage, DONE,
 };
 use serde::Serialize;
 use std::io;
@@ -136,7 +136,7 @@
             message,
             finish_reason,
         };
-        return Ok(serde_json::to_vec(&ChatAnswer {
+        return Ok(serde_json::to_vec(&ChatCompletion {
             id,
             object: "chat.completion".to_owned(),
             created: 0,
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -10,7 +10,7 @@
     engine::{self, answer_text, EngineOptions, Fault, FaultRule},
 };
 use carobwheel_wire::{
-    openai::{ChatAnswer, ChatChunk, RequestView, CHAT_PATH, DONE},
+    openai::{ChatChunk, ChatCompletion, RequestView, CHAT_PATH, DONE},
     platform::{LoadReport, LOAD_PATH},
 };
 use futures::StreamExt;
@@ -66,7 +66,7 @@
 async fn non_streamed_answer_matches_the_prompt() {
     let engine = start(EngineOptions::default());
     let (status, body) = send_request(&engine, false).await.unwrap();
-    let answer: ChatAnswer = serde_json::from_str(&body).unwrap();
+    let answer: ChatCompletion = serde_json::from_str(&body).unwrap();
     assert_eq!(status, 200);
     assert_eq!(
         answer.choices[0].message.content.as_deref(),
@@ -273,7 +273,7 @@
         if stream {
             assert_eq!(streamed_text(&body), (expected_answer(), true));
         } else {
-            let answer: ChatAnswer = serde_json::from_str(&body).unwrap();
+            let answer: ChatCompletion = serde_json::from_str(&body).unwrap();
             let text = answer.choices[0].message.content.as_deref();
             assert_eq!(text, Some(expected_answer().as_str()));
         }
--- a/crates/wire/src/openai/mod.rs
+++ b/crates/wire/src/openai/mod.rs
@@ -8,8 +8,8 @@
 
 pub use request::{Content, Message, Part, Prompt, RequestView, StreamOptions};
 pub use response::{
-    AssistantMessage, ChatAnswer, ChatChoice, ChatChunk, ChunkChoice, Completion, CompletionChoice,
-    Delta, ErrorAnswer, ErrorDetail, ModelEntry, ModelList, Usage,
+    AssistantMessage, ChatChoice, ChatChunk, ChatCompletion, ChunkChoice, Completion,
+    CompletionChoice, Delta, ErrorDetail, ErrorResponse, ModelEntry, ModelList, Usage,
 };
 
 /// Path of chat requests.
--- a/crates/wire/src/openai/response.rs
+++ b/crates/wire/src/openai/response.rs
@@ -48,7 +48,7 @@
 
 /// A whole chat answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChatAnswer {
+pub struct ChatCompletion {
     /// Name of the answer.
     pub id: String,
     /// Always `chat.completion`.
@@ -137,7 +137,7 @@
 
 /// Body of a refusal or failure.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ErrorAnswer {
+pub struct ErrorResponse {
     /// What went wrong.
     pub error: ErrorDetail,
 }
@@ -158,7 +158,7 @@
     pub code: Option<String>,
 }
 
-impl ErrorAnswer {
+impl ErrorResponse {
     /// An error without a field at fault.
     pub fn new(kind: &str, code: &str, message: impl Into<String>) -> Self {
         Self {
--- a/crates/wire/src/peer/codec.rs
+++ b/crates/wire/src/peer/codec.rs
@@ -1,7 +1,7 @@
 //! Encoding of messages.
 
 use super::message::{Message, Opaque};
-use super::{MAX_MESSAGE_BYTES, VERSIONS};
+use super::{MAX_MESSAGE_BYTES, PROTOCOL_VERSIONS};
 use serde::{de::DeserializeOwned, Serialize};
 use std::{fmt, ops::RangeInclusive};
 
@@ -70,13 +70,13 @@
     (bytes.len() <= MAX_MESSAGE_BYTES).then_some(bytes)
 }
 
-/// Decodes a message from a peer that speaks one of [`VERSIONS`].
+/// Decodes a message from a peer that speaks one of [`PROTOCOL_VERSIONS`].
 ///
 /// # Errors
 ///
 /// Fails on bytes that are no message of a known version. A kind that is not known is no error.
 pub fn decode(bytes: &[u8]) -> Result<Decoded, DecodeError> {
-    decode_among(bytes, &VERSIONS)
+    decode_among(bytes, &PROTOCOL_VERSIONS)
 }
 
 fn decode_among(bytes: &[u8], versions: &RangeInclusive<u8>) -> Result<Decoded, DecodeError> {
--- a/crates/wire/src/peer/delta.rs
+++ b/crates/wire/src/peer/delta.rs
@@ -7,7 +7,7 @@
 
 /// How much of the older version stands at both ends of the newer one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Common {
+pub struct CommonEnds {
     /// Bytes in common at the beginning.
     pub prefix_bytes: u32,
     /// Bytes in common at the end.
@@ -15,7 +15,7 @@
 }
 
 /// What `newer` has in common with `older` at both ends, without overlap.
-pub fn common(older: &[u8], newer: &[u8]) -> Common {
+pub fn common_ends(older: &[u8], newer: &[u8]) -> CommonEnds {
     let same = |(a, b): &(&u8, &u8)| a == b;
     let prefix = older.iter().zip(newer).take_while(same).count();
     let (rest_of_older, rest_of_newer) = (&older[prefix..], &newer[prefix..]);
@@ -26,20 +26,20 @@
         .take_while(same)
         .count();
     let bound = |bytes: usize| u32::try_from(bytes).unwrap_or(0);
-    Common {
+    CommonEnds {
         prefix_bytes: bound(prefix),
         suffix_bytes: bound(suffix),
     }
 }
 
 /// The part of `newer` between what is in common.
-pub fn middle(newer: &[u8], common: Common) -> Option<&[u8]> {
+pub fn changed_middle(newer: &[u8], common: CommonEnds) -> Option<&[u8]> {
     let end = newer.len().checked_sub(common.suffix_bytes as usize)?;
     newer.get(common.prefix_bytes as usize..end)
 }
 
 /// The newer version, put together from the older one; none if the older one is too short.
-pub fn assemble(older: &[u8], common: Common, middle: &[u8]) -> Option<Vec<u8>> {
+pub fn apply_delta(older: &[u8], common: CommonEnds, middle: &[u8]) -> Option<Vec<u8>> {
     let prefix = older.get(..common.prefix_bytes as usize)?;
     let start = older.len().checked_sub(common.suffix_bytes as usize)?;
     Some([prefix, middle, &older[start..]].concat())
--- a/crates/wire/src/peer/frame.rs
+++ b/crates/wire/src/peer/frame.rs
@@ -3,7 +3,7 @@
 //! The side that opens a stream writes one length-prefixed head first. What follows depends on the
 //! head.
 
-use super::Common;
+use super::CommonEnds;
 use carobwheel_core::id::InstanceId;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
@@ -68,7 +68,7 @@
     /// SHA-256 digest of the whole document.
     pub sha256: [u8; 32],
     /// What the document has in common with the base; nothing if it comes whole.
-    pub common: Common,
+    pub common: CommonEnds,
 }
 
 /// What answers a [`Request::Forward`]; the answer's body follows.
--- a/crates/wire/src/peer/mod.rs
+++ b/crates/wire/src/peer/mod.rs
@@ -14,7 +14,7 @@
 mod tests;
 
 pub use codec::{decode, encode, DecodeError, Decoded};
-pub use delta::{assemble, common, middle, Common};
+pub use delta::{apply_delta, changed_middle, common_ends, CommonEnds};
 pub use frame::{
     decode_head, encode_head, DocumentHead, ForwardHead, Hello, Request, LENGTH_BYTES,
     MAX_HEAD_BYTES,
@@ -24,7 +24,7 @@
 use std::ops::RangeInclusive;
 
 /// Protocol versions that this build speaks.
-pub const VERSIONS: RangeInclusive<u8> = 1..=1;
+pub const PROTOCOL_VERSIONS: RangeInclusive<u8> = 1..=1;
 /// Largest encoded message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 64 * 1_024;
 /// Largest message that is sent as a datagram, in bytes; larger ones take a stream.
--- a/crates/wire/src/peer/tests.rs
+++ b/crates/wire/src/peer/tests.rs
@@ -117,7 +117,7 @@
 proptest! {
     #[test]
     fn a_message_survives_encoding(message in message()) {
-        let bytes = encode(&message, *VERSIONS.end()).unwrap();
+        let bytes = encode(&message, *PROTOCOL_VERSIONS.end()).unwrap();
         prop_assert_eq!(decode(&bytes), Ok(Decoded::Message(message)));
     }
 
@@ -135,7 +135,7 @@
         value in any::<u8>(),
         length in any::<prop::sample::Index>(),
     ) {
-        let mut bytes = encode(&message, *VERSIONS.end()).unwrap();
+        let mut bytes = encode(&message, *PROTOCOL_VERSIONS.end()).unwrap();
         let at = at.index(bytes.len());
         bytes[at] = value;
         let _ = decode(&bytes);
@@ -150,9 +150,9 @@
         older in prop::collection::vec(0..3u8, 0..40),
         newer in prop::collection::vec(0..3u8, 0..40),
     ) {
-        let common = common(&older, &newer);
-        let middle = middle(&newer, common).unwrap();
-        prop_assert_eq!(assemble(&older, common, middle), Some(newer.clone()));
+        let common = common_ends(&older, &newer);
+        let middle = changed_middle(&newer, common).unwrap();
+        prop_assert_eq!(apply_delta(&older, common, middle), Some(newer.clone()));
     }
 
     #[test]
@@ -161,9 +161,9 @@
         prefix_bytes in any::<u32>(),
         suffix_bytes in any::<u32>(),
     ) {
-        let common = Common { prefix_bytes, suffix_bytes };
-        let _ = assemble(&older, common, b"x");
-        let _ = middle(&older, common);
+        let common = CommonEnds { prefix_bytes, suffix_bytes };
+        let _ = apply_delta(&older, common, b"x");
+        let _ = changed_middle(&older, common);
     }
 }
 
@@ -171,8 +171,8 @@
 fn a_changed_line_is_all_that_differs() {
     let older = b"accounts: a, b, c; rates: 1, 2, 3";
     let newer = b"accounts: a, bb, c; rates: 1, 2, 3";
-    let common = common(older, newer);
-    assert_eq!(middle(newer, common), Some(&b"b"[..]));
+    let common = common_ends(older, newer);
+    assert_eq!(changed_middle(newer, common), Some(&b"b"[..]));
 }
 
 #[test_case(&[], DecodeError::TooShort ; "empty")]
