--- a/crates/wire/src/etcd/kv.rs
+++ b/crates/wire/src/etcd/kv.rs
@@ -1,10 +1,10 @@
-//! Reading and writing keys.
+//! Key-value requests and responses: range, put, delete and transaction.
 
 use super::{is_false, is_zero, Header};
 use serde::{Deserialize, Serialize};
 use serde_with::{base64::Base64, serde_as, DisplayFromStr, PickFirst};
 
-/// A key with its value and history numbers.
+/// A key with its value, revisions and lease.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyValue {
@@ -28,53 +28,53 @@
     #[serde_as(as = "Base64")]
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub value: Vec<u8>,
-    /// Lease that the key hangs on; 0 for none.
+    /// ID of the lease that the key is attached to; 0 for none.
     #[serde_as(as = "PickFirst<(DisplayFromStr, _)>")]
     #[serde(default, skip_serializing_if = "is_zero")]
     pub lease: i64,
 }
 
-/// Reads a key or a range of keys.
+/// Request to read a key or a range of keys.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeRequest {
     /// The key, or the first key of the range.
     #[serde_as(as = "Base64")]
     pub key: Vec<u8>,
-    /// First key after the range; empty for a single key.
+    /// Exclusive end of the range; empty for a single key.
     #[serde_as(as = "Base64")]
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub range_end: Vec<u8>,
-    /// Most keys to answer with; 0 for all.
+    /// Maximum number of keys to return; 0 for no limit.
     #[serde_as(as = "PickFirst<(DisplayFromStr, _)>")]
     #[serde(default, skip_serializing_if = "is_zero")]
     pub limit: i64,
-    /// Revision to read at; 0 for the newest.
+    /// Revision to read at; 0 for the latest.
     #[serde_as(as = "PickFirst<(DisplayFromStr, _)>")]
     #[serde(default, skip_serializing_if = "is_zero")]
     pub revision: i64,
 }
 
-/// Answer to a [`RangeRequest`].
+/// Response to a [`RangeRequest`].
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeResponse {
-    /// Head of the answer.
+    /// Response header.
     #[serde(default)]
     pub header: Header,
-    /// Keys found, in ascending order.
+    /// Keys in the range, in ascending order.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub kvs: Vec<KeyValue>,
-    /// Further keys exist beyond the limit.
+    /// Whether the range has more keys than the limit allows.
     #[serde(default, skip_serializing_if = "is_false")]
     pub more: bool,
-    /// Number of keys in the range.
+    /// Total number of keys in the range.
     #[serde_as(as = "PickFirst<(DisplayFromStr, _)>")]
     #[serde(default, skip_serializing_if = "is_zero")]
     pub count: i64,
 }
 
-/// Writes a key.
+/// Request to write a key.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PutRequest {
@@ -85,38 +85,38 @@
     #[serde_as(as = "Base64")]
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub value: Vec<u8>,
-    /// Lease to hang the key on; 0 for none.
+    /// ID of the lease to attach the key to; 0 for none.
     #[serde_as(as = "PickFirst<(DisplayFromStr, _)>")]
     #[serde(default, skip_serializing_if = "is_zero")]
     pub lease: i64,
 }
 
-/// Answer to a [`PutRequest`].
+/// Response to a [`PutRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PutResponse {
-    /// Head of the answer.
+    /// Response header.
     #[serde(default)]
     pub header: Header,
 }
 
-/// Deletes a key or a range of keys.
+/// Request to delete a key or a range of keys.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeleteRangeRequest {
     /// The key, or the first key of the range.
     #[serde_as(as = "Base64")]
     pub key: Vec<u8>,
-    /// First key after the range; empty for a single key.
+    /// Exclusive end of the range; empty for a single key.
     #[serde_as(as = "Base64")]
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub range_end: Vec<u8>,
 }
 
-/// Answer to a [`DeleteRangeRequest`].
+/// Response to a [`DeleteRangeRequest`].
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeleteRangeResponse {
-    /// Head of the answer.
+    /// Response header.
     #[serde(default)]
     pub header: Header,
     /// Number of keys deleted.
@@ -125,22 +125,22 @@
     pub deleted: i64,
 }
 
-/// How a [`Compare`] relates the stored number to the given one.
+/// Relation between the stored and the given value that a [`Compare`] requires.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum CompareResult {
-    /// Stored and given are equal.
+    /// The stored value equals the given one.
     #[default]
     Equal,
-    /// Stored is greater than given.
+    /// The stored value is greater than the given one.
     Greater,
-    /// Stored is less than given.
+    /// The stored value is less than the given one.
     Less,
-    /// Stored and given differ.
+    /// The stored value differs from the given one.
     NotEqual,
 }
 
-/// What a [`Compare`] looks at.
+/// Property of a key that a [`Compare`] compares.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum CompareTarget {
@@ -153,48 +153,50 @@
     Mod,
     /// The value.
     Value,
-    /// The lease.
+    /// ID of the lease.
     Lease,
 }
 
-/// One condition of a transaction. All numbers of an absent key are 0.
+/// One condition of a transaction.
+///
+/// The version, the revisions and the lease of an absent key are 0.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Compare {
-    /// Relation that has to hold.
+    /// Relation required for the condition to hold.
     #[serde(default)]
     pub result: CompareResult,
-    /// What is compared.
+    /// Property that is compared.
     #[serde(default)]
     pub target: CompareTarget,
     /// The key.
     #[serde_as(as = "Base64")]
     pub key: Vec<u8>,
-    /// Given version, with [`CompareTarget::Version`].
+    /// Version to compare with, for [`CompareTarget::Version`].
     #[serde_as(as = "Option<PickFirst<(DisplayFromStr, _)>>")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<i64>,
-    /// Given creation revision, with [`CompareTarget::Create`].
+    /// Creation revision to compare with, for [`CompareTarget::Create`].
     #[serde_as(as = "Option<PickFirst<(DisplayFromStr, _)>>")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub create_revision: Option<i64>,
-    /// Given revision, with [`CompareTarget::Mod`].
+    /// Modification revision to compare with, for [`CompareTarget::Mod`].
     #[serde_as(as = "Option<PickFirst<(DisplayFromStr, _)>>")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub mod_revision: Option<i64>,
-    /// Given value, with [`CompareTarget::Value`].
+    /// Value to compare with, for [`CompareTarget::Value`].
     #[serde_as(as = "Option<Base64>")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub value: Option<Vec<u8>>,
-    /// Given lease, with [`CompareTarget::Lease`].
+    /// Lease ID to compare with, for [`CompareTarget::Lease`].
     #[serde_as(as = "Option<PickFirst<(DisplayFromStr, _)>>")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<i64>,
 }
 
 impl Compare {
-    /// The condition that the last write of `key` has the revision `mod_revision`; with 0, that
-    /// the key is absent.
+    /// Creates the condition that `key` was last written at revision `mod_revision`, or that it is
+    /// absent if `mod_revision` is 0.
     pub fn mod_revision_is(key: &[u8], mod_revision: i64) -> Self {
         Self {
             target: CompareTarget::Mod,
@@ -208,55 +210,56 @@
 /// One operation of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestOp {
-    /// Reads.
+    /// Reads keys.
     #[serde(rename = "request_range")]
     Range(RangeRequest),
-    /// Writes.
+    /// Writes a key.
     #[serde(rename = "request_put")]
     Put(PutRequest),
-    /// Deletes.
+    /// Deletes keys.
     #[serde(rename = "request_delete_range")]
     DeleteRange(DeleteRangeRequest),
 }
 
-/// Answer to one [`RequestOp`].
+/// Response to one [`RequestOp`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ResponseOp {
-    /// Keys read.
+    /// Result of a read.
     #[serde(rename = "response_range")]
     Range(RangeResponse),
-    /// A key was written.
+    /// Result of a write.
     #[serde(rename = "response_put")]
     Put(PutResponse),
-    /// Keys were deleted.
+    /// Result of a deletion.
     #[serde(rename = "response_delete_range")]
     DeleteRange(DeleteRangeResponse),
 }
 
-/// Runs `success` when all of `compare` hold, and `failure` otherwise, as one step.
+/// Request for a transaction, which atomically runs `success` if every condition in `compare`
+/// holds, and `failure` otherwise.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TxnRequest {
     /// Conditions.
     #[serde(default)]
     pub compare: Vec<Compare>,
-    /// Operations when all conditions hold.
+    /// Operations to run if all conditions hold.
     #[serde(default)]
     pub success: Vec<RequestOp>,
-    /// Operations when a condition fails.
+    /// Operations to run if a condition does not hold.
     #[serde(default)]
     pub failure: Vec<RequestOp>,
 }
 
-/// Answer to a [`TxnRequest`].
+/// Response to a [`TxnRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TxnResponse {
-    /// Head of the answer.
+    /// Response header.
     #[serde(default)]
     pub header: Header,
-    /// All conditions held.
+    /// Whether all conditions held.
     #[serde(default, skip_serializing_if = "is_false")]
     pub succeeded: bool,
-    /// Answers to the operations that ran, in their order.
+    /// Responses to the operations that ran, in the same order.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub responses: Vec<ResponseOp>,
 }
--- a/crates/wire/src/etcd/lease.rs
+++ b/crates/wire/src/etcd/lease.rs
@@ -1,10 +1,10 @@
-//! Leases.
+//! Lease requests and responses.
 
 use super::{is_zero, Header};
 use serde::{Deserialize, Serialize};
 use serde_with::{serde_as, DisplayFromStr, PickFirst};
 
-/// Grants a lease.
+/// Request to grant a lease.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrantRequest {
@@ -12,20 +12,20 @@
     #[serde(rename = "TTL")]
     #[serde_as(as = "PickFirst<(DisplayFromStr, _)>")]
     pub ttl_s: i64,
-    /// Wanted lease number; 0 lets the store choose.
+    /// Requested lease ID; 0 lets the store choose one.
     #[serde(rename = "ID", default, skip_serializing_if = "is_zero")]
     #[serde_as(as = "PickFirst<(DisplayFromStr, _)>")]
     pub id: i64,
 }
 
-/// Answer to a [`LeaseGrantRequest`].
+/// Response to a [`LeaseGrantRequest`].
 #[serde_as]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrantResponse {
-    /// Head of the answer.
+    /// Response header.
     #[serde(default)]
     pub header: Header,
-    /// Lease number.
+    /// Lease ID.
     #[serde(rename = "ID", default)]
     #[serde_as(as = "PickFirst<(DisplayFromStr, _)>")]
     pub id: i64,
@@ -35,47 +35,47 @@
     pub ttl_s: i64,
 }
 
-/// Renews a lease.
+/// Request to renew a lease.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseKeepAliveRequest {
-    /// Lease number.
+    /// Lease ID.
     #[serde(rename = "ID")]
     #[serde_as(as = "PickFirst<(DisplayFromStr, _)>")]
     pub id: i64,
 }
 
-/// Answer to a [`LeaseKeepAliveRequest`].
+/// Response to a [`LeaseKeepAliveRequest`].
 #[serde_as]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseKeepAliveResponse {
-    /// Head of the answer.
+    /// Response header.
     #[serde(default)]
     pub header: Header,
-    /// Lease number.
+    /// Lease ID.
     #[serde(rename = "ID", default)]
     #[serde_as(as = "PickFirst<(DisplayFromStr, _)>")]
     pub id: i64,
-    /// New lifetime, in seconds; 0 when the lease has expired.
+    /// Lifetime after the renewal, in seconds; 0 if the lease has expired.
     #[serde(rename = "TTL", default, skip_serializing_if = "is_zero")]
     #[serde_as(as = "PickFirst<(DisplayFromStr, _)>")]
     pub ttl_s: i64,
 }
 
-/// Revokes a lease and deletes its keys.
+/// Request to revoke a lease and delete the keys attached to it.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRevokeRequest {
-    /// Lease number.
+    /// Lease ID.
     #[serde(rename = "ID")]
     #[serde_as(as = "PickFirst<(DisplayFromStr, _)>")]
     pub id: i64,
 }
 
-/// Answer to a [`LeaseRevokeRequest`].
+/// Response to a [`LeaseRevokeRequest`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRevokeResponse {
-    /// Head of the answer.
+    /// Response header.
     #[serde(default)]
     pub header: Header,
 }
--- a/crates/wire/src/etcd/mod.rs
+++ b/crates/wire/src/etcd/mod.rs
@@ -1,8 +1,8 @@
-//! The published JSON mapping of the etcd v3 interface, as far as this project uses it.
+//! The subset of etcd's v3 JSON gateway API that this project uses.
 //!
-//! Keys and values are base64, 64-bit integers are decimal strings, and fields with their default
-//! value are left out. Readers accept integers as numbers too. A stream answers one
-//! [`StreamItem`] a line.
+//! Keys and values are base64-encoded, 64-bit integers are decimal strings, and fields that have
+//! their default value are omitted. Deserialization also accepts integers as JSON numbers. A
+//! streaming response carries one [`StreamItem`] per line.
 
 mod kv;
 mod lease;
@@ -30,53 +30,53 @@
 pub const DELETE_RANGE_PATH: &str = "/v3/kv/deleterange";
 /// Path of a transaction.
 pub const TXN_PATH: &str = "/v3/kv/txn";
-/// Path that grants a lease.
+/// Path of a lease grant.
 pub const LEASE_GRANT_PATH: &str = "/v3/lease/grant";
-/// Path that renews a lease; the answer is a stream.
+/// Path of a lease renewal; the response is a stream.
 pub const LEASE_KEEP_ALIVE_PATH: &str = "/v3/lease/keepalive";
-/// Path that revokes a lease.
+/// Path of a lease revocation.
 pub const LEASE_REVOKE_PATH: &str = "/v3/lease/revoke";
-/// Path of a watch; the answer is a stream.
+/// Path of a watch; the response is a stream.
 pub const WATCH_PATH: &str = "/v3/watch";
 
-/// Largest value that the store holds, in bytes.
+/// Maximum size of a value in the store, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1_048_576;
 
-/// Head of every answer.
+/// Header of every response.
 #[serde_as]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// Revision of the store when it answered.
+    /// Revision of the store at the time of the response.
     #[serde_as(as = "PickFirst<(DisplayFromStr, _)>")]
     #[serde(default, skip_serializing_if = "is_zero")]
     pub revision: i64,
 }
 
-/// One line of a streamed answer.
+/// One line of a streaming response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StreamItem<T> {
     /// A regular message of the stream.
     Result(T),
-    /// The stream has failed and ends here.
+    /// An error that ends the stream.
     Error(ErrorBody),
 }
 
-/// Body of an answer that reports a failure.
+/// Body of an error response.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What went wrong.
+    /// Human-readable description of the error.
     #[serde(default)]
     pub message: String,
-    /// The gRPC status code.
+    /// gRPC status code.
     #[serde(default)]
     pub code: i32,
 }
 
-/// The end of the range of all keys that begin with `prefix`.
+/// Returns the exclusive end of the range of all keys that begin with `prefix`.
 ///
-/// An empty prefix, or one of 0xff bytes only, has no next sibling; `"\0"` then stands for the end
-/// of the key space.
+/// No key follows the range of an empty prefix, or of one that consists of 0xff bytes only; `"\0"`
+/// then denotes the end of the key space.
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
--- a/crates/wire/src/etcd/watch.rs
+++ b/crates/wire/src/etcd/watch.rs
@@ -1,4 +1,4 @@
-//! Watches.
+//! Watch requests and responses.
 
 use super::{is_false, is_zero, Header, KeyValue};
 use serde::{Deserialize, Serialize};
@@ -7,38 +7,38 @@
 /// Body of a watch request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// The watch to create.
+    /// Parameters of the watch to create.
     pub create_request: WatchCreateRequest,
 }
 
-/// Watches a key or a range of keys.
+/// Parameters of a watch on a key or a range of keys.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchCreateRequest {
     /// The key, or the first key of the range.
     #[serde_as(as = "Base64")]
     pub key: Vec<u8>,
-    /// First key after the range; empty for a single key.
+    /// Exclusive end of the range; empty for a single key.
     #[serde_as(as = "Base64")]
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub range_end: Vec<u8>,
-    /// First revision to report; 0 for changes from now on.
+    /// Revision to start from, inclusive; 0 for future changes only.
     #[serde_as(as = "PickFirst<(DisplayFromStr, _)>")]
     #[serde(default, skip_serializing_if = "is_zero")]
     pub start_revision: i64,
-    /// The store sends a message without events now and then while nothing changes.
+    /// Whether the store periodically sends a response without events while nothing changes.
     #[serde(default, skip_serializing_if = "is_false")]
     pub progress_notify: bool,
 }
 
-/// Kind of a change.
+/// Type of a change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum EventKind {
     /// The key was written.
     #[default]
     Put,
-    /// The key was deleted, or its lease has expired.
+    /// The key was deleted, or its lease expired.
     Delete,
 }
 
@@ -48,34 +48,34 @@
     }
 }
 
-/// One change of a key.
+/// One change to a key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Kind of the change.
+    /// Type of the change.
     #[serde(rename = "type", default, skip_serializing_if = "EventKind::is_put")]
     pub kind: EventKind,
-    /// The key after the change; after a deletion only the key and the revision of the deletion.
+    /// The key after the change; for a deletion, only the key and the deletion's revision are set.
     pub kv: KeyValue,
 }
 
-/// One message of a watch.
+/// One response on a watch stream.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// Head of the message.
+    /// Response header.
     #[serde(default)]
     pub header: Header,
-    /// The watch has been created.
+    /// Whether this response confirms the creation of the watch.
     #[serde(default, skip_serializing_if = "is_false")]
     pub created: bool,
-    /// The store has ended the watch.
+    /// Whether the store has cancelled the watch.
     #[serde(default, skip_serializing_if = "is_false")]
     pub canceled: bool,
-    /// Oldest revision that the store still has, when the watch asked for an older one.
+    /// Oldest revision still available, if the watch asked for one that was compacted.
     #[serde_as(as = "PickFirst<(DisplayFromStr, _)>")]
     #[serde(default, skip_serializing_if = "is_zero")]
     pub compact_revision: i64,
-    /// Changes in the order of their revisions.
+    /// Changes, in order of revision.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub events: Vec<Event>,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,5 @@
-//! Messages between instances and the published formats of the platform and the upstreams.
+//! Wire formats: the messages between instances, and the published formats of the store, the
+//! platform and the upstreams.
 
 pub mod etcd;
 pub mod openai;
--- a/crates/wire/src/openai/mod.rs
+++ b/crates/wire/src/openai/mod.rs
@@ -1,7 +1,7 @@
-//! The OpenAI-compatible interface, as far as the gateway has to understand it.
+//! The subset of the OpenAI-compatible API that the gateway interprets.
 //!
-//! Requests are relayed as the bytes that came in; [`RequestView`] borrows from them only what
-//! placement, limits and accounting need.
+//! Request bodies are forwarded byte for byte; [`RequestView`] borrows from them only the fields
+//! that placement, rate limits and accounting need.
 
 mod request;
 mod response;
@@ -12,12 +12,12 @@
     CompletionChoice, Delta, ErrorDetail, ErrorResponse, ModelEntry, ModelList, Usage,
 };
 
-/// Path of chat requests.
+/// Path of chat completion requests.
 pub const CHAT_PATH: &str = "/v1/chat/completions";
-/// Path of plain completion requests.
+/// Path of text completion requests.
 pub const COMPLETIONS_PATH: &str = "/v1/completions";
-/// Path of the list of models.
+/// Path of the model list.
 pub const MODELS_PATH: &str = "/v1/models";
 
-/// Data of the server-sent event that ends a complete stream.
+/// Data of the server-sent event that marks the end of a complete stream.
 pub const DONE: &str = "[DONE]";
--- a/crates/wire/src/openai/request.rs
+++ b/crates/wire/src/openai/request.rs
@@ -1,41 +1,41 @@
-//! Requests.
+//! Chat and text completion requests.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// What the gateway reads of a chat or completion request.
+/// Fields of a chat or text completion request that the gateway reads.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RequestView<'a> {
     /// Name of the model.
     #[serde(borrow)]
     pub model: Cow<'a, str>,
-    /// The answer comes as a stream of events.
+    /// Whether the response is streamed as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// Most output tokens, by the older name.
+    /// Maximum number of output tokens, under the older field name.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u64>,
-    /// Most output tokens, by the newer name.
+    /// Maximum number of output tokens, under the newer field name.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_completion_tokens: Option<u64>,
-    /// Number of answers wanted.
+    /// Number of choices to generate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub n: Option<u64>,
     /// Messages of a chat request.
     #[serde(borrow, default, skip_serializing_if = "Vec::is_empty")]
     pub messages: Vec<Message<'a>>,
-    /// Prompt of a completion request.
+    /// Prompt of a text completion request.
     #[serde(borrow, default, skip_serializing_if = "Option::is_none")]
     pub prompt: Option<Prompt<'a>>,
-    /// Settings of the stream.
+    /// Options of a streamed response.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stream_options: Option<StreamOptions>,
 }
 
-/// Settings of a streamed answer.
+/// Options of a streamed response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamOptions {
-    /// A last chunk reports the tokens used.
+    /// Whether the last chunk reports the token usage.
     #[serde(default)]
     pub include_usage: bool,
 }
@@ -43,10 +43,10 @@
 /// One message of a chat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message<'a> {
-    /// Who speaks.
+    /// Role of the author.
     #[serde(borrow)]
     pub role: Cow<'a, str>,
-    /// What is said; absent in some messages about tools.
+    /// Content of the message; absent in some messages with tool calls.
     #[serde(borrow, default, skip_serializing_if = "Option::is_none")]
     pub content: Option<Content<'a>>,
 }
@@ -57,19 +57,19 @@
 pub enum Content<'a> {
     /// Plain text.
     Text(#[serde(borrow)] Cow<'a, str>),
-    /// Parts of several kinds.
+    /// Content parts, such as text and images.
     Parts(#[serde(borrow)] Vec<Part<'a>>),
 }
 
 /// One part of a message's content.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Part<'a> {
-    /// Text of the part; absent in parts of other kinds.
+    /// Text of the part; absent in parts that are not text.
     #[serde(borrow, default, skip_serializing_if = "Option::is_none")]
     pub text: Option<Cow<'a, str>>,
 }
 
-/// Prompt of a completion request.
+/// Prompt of a text completion request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Prompt<'a> {
@@ -77,26 +77,27 @@
     Text(#[serde(borrow)] Cow<'a, str>),
     /// Several texts.
     Texts(Vec<String>),
-    /// One text as token numbers.
+    /// One text as token IDs.
     Tokens(Vec<u32>),
 }
 
 impl<'a> RequestView<'a> {
-    /// Reads a request.
+    /// Parses the body of a request.
     ///
     /// # Errors
     ///
-    /// Fails when the body is not a JSON object with a model, or a known field has another type.
+    /// Returns an error if the body is not a JSON object with a model, or if a known field has the
+    /// wrong type.
     pub fn parse(body: &'a [u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(body)
     }
 
-    /// Most output tokens that the request asks for; the newer name wins.
+    /// Maximum number of output tokens that the request asks for; the newer field takes precedence.
     pub fn max_output_tokens(&self) -> Option<u64> {
         self.max_completion_tokens.or(self.max_tokens)
     }
 
-    /// Calls `visit` with each piece of the prompt's text, in order.
+    /// Calls `visit` with each role and text of the prompt, in order.
     pub fn for_each_text(&self, mut visit: impl FnMut(&str)) {
         for message in &self.messages {
             visit(&message.role);
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Length of the prompt's text, in bytes. A token number counts as four bytes.
+    /// Length of the prompt's roles and texts, in bytes; a token ID counts as four bytes.
     pub fn prompt_bytes(&self) -> u64 {
         let mut bytes = 0;
         self.for_each_text(|text| bytes += text.len() as u64);
--- a/crates/wire/src/openai/response.rs
+++ b/crates/wire/src/openai/response.rs
@@ -1,20 +1,20 @@
-//! Answers.
+//! Responses.
 
 use serde::{Deserialize, Serialize};
 
-/// Tokens that a request has used.
+/// Token usage of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of tokens generated.
     pub completion_tokens: u64,
-    /// Tokens of both.
+    /// Sum of the prompt and generated tokens.
     pub total_tokens: u64,
 }
 
 impl Usage {
-    /// The usage of a prompt and its answer.
+    /// Creates the usage of a prompt and its completion.
     pub fn new(prompt_tokens: u64, completion_tokens: u64) -> Self {
         Self {
             prompt_tokens,
@@ -24,142 +24,142 @@
     }
 }
 
-/// What the assistant says in a whole answer.
+/// Message generated in a non-streaming chat completion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AssistantMessage {
     /// Always `assistant`.
     pub role: String,
-    /// The text.
+    /// Generated text.
     #[serde(default)]
     pub content: Option<String>,
 }
 
-/// One choice of a whole chat answer.
+/// One choice of a non-streaming chat completion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatChoice {
-    /// Place among the choices.
+    /// Index in the list of choices.
     pub index: u64,
-    /// The answer.
+    /// Generated message.
     pub message: AssistantMessage,
-    /// Why the answer ended, such as `stop` or `length`.
+    /// Reason for the end of generation, such as `stop` or `length`.
     #[serde(default)]
     pub finish_reason: Option<String>,
 }
 
-/// A whole chat answer.
+/// A non-streaming chat completion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatCompletion {
-    /// Name of the answer.
+    /// Response ID.
     pub id: String,
     /// Always `chat.completion`.
     pub object: String,
-    /// Time of the answer, in seconds since the Unix epoch.
+    /// Creation time, in seconds since the Unix epoch.
     pub created: u64,
     /// Name of the model.
     pub model: String,
-    /// The choices.
+    /// Choices.
     pub choices: Vec<ChatChoice>,
-    /// Tokens used.
+    /// Token usage.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
-/// New text of a streamed chat answer.
+/// Text added by one chunk of a streamed chat completion.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// Who speaks; in the first chunk only.
+    /// Role of the author; in the first chunk only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub role: Option<String>,
-    /// The text.
+    /// Generated text.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub content: Option<String>,
 }
 
-/// One choice of a chunk.
+/// One choice of a chat completion chunk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkChoice {
-    /// Place among the choices.
+    /// Index in the list of choices.
     pub index: u64,
-    /// New text.
+    /// Text added since the previous chunk.
     pub delta: Delta,
-    /// Why the answer ended; in the last chunk of a choice only.
+    /// Reason for the end of generation; in the last chunk of a choice only.
     #[serde(default)]
     pub finish_reason: Option<String>,
 }
 
-/// One event of a streamed chat answer.
+/// One event of a streamed chat completion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatChunk {
-    /// Name of the answer; the same in all its chunks.
+    /// Response ID, the same in all chunks of a response.
     pub id: String,
     /// Always `chat.completion.chunk`.
     pub object: String,
-    /// Time of the answer, in seconds since the Unix epoch.
+    /// Creation time, in seconds since the Unix epoch.
     pub created: u64,
     /// Name of the model.
     pub model: String,
-    /// The choices; empty in a chunk that reports usage.
+    /// Choices; empty in a chunk that reports usage.
     pub choices: Vec<ChunkChoice>,
-    /// Tokens used, in the last chunk when the request asks for it.
+    /// Token usage; in the last chunk only, and only if the request asks for it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
-/// One choice of a plain completion, whole or as a chunk.
+/// One choice of a text completion, in a non-streaming response or in a chunk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionChoice {
-    /// Place among the choices.
+    /// Index in the list of choices.
     pub index: u64,
-    /// The text.
+    /// Generated text.
     pub text: String,
-    /// Why the answer ended.
+    /// Reason for the end of generation.
     #[serde(default)]
     pub finish_reason: Option<String>,
 }
 
-/// A plain completion, whole or as one event of a stream.
+/// A text completion: a non-streaming response or one event of a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Completion {
-    /// Name of the answer.
+    /// Response ID.
     pub id: String,
     /// Always `text_completion`.
     pub object: String,
-    /// Time of the answer, in seconds since the Unix epoch.
+    /// Creation time, in seconds since the Unix epoch.
     pub created: u64,
     /// Name of the model.
     pub model: String,
-    /// The choices.
+    /// Choices.
     pub choices: Vec<CompletionChoice>,
-    /// Tokens used.
+    /// Token usage.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
-/// Body of a refusal or failure.
+/// Body of an error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorResponse {
-    /// What went wrong.
+    /// Details of the error.
     pub error: ErrorDetail,
 }
 
-/// What went wrong.
+/// Details of an error.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// For people.
+    /// Human-readable message.
     pub message: String,
-    /// Kind of error, such as `invalid_request_error`.
+    /// Error type, such as `invalid_request_error`.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Field of the request at fault.
+    /// Request field that caused the error.
     #[serde(default)]
     pub param: Option<String>,
-    /// For programs, such as `rate_limit_exceeded`.
+    /// Machine-readable code, such as `rate_limit_exceeded`.
     #[serde(default)]
     pub code: Option<String>,
 }
 
 impl ErrorResponse {
-    /// An error without a field at fault.
+    /// Creates an error that is not attributed to a request field.
     pub fn new(kind: &str, code: &str, message: impl Into<String>) -> Self {
         Self {
             error: ErrorDetail {
@@ -172,24 +172,24 @@
     }
 }
 
-/// One model in the list.
+/// One model of a [`ModelList`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelEntry {
     /// Name of the model.
     pub id: String,
     /// Always `model`.
     pub object: String,
-    /// Time of the model, in seconds since the Unix epoch.
+    /// Creation time of the model, in seconds since the Unix epoch.
     pub created: u64,
-    /// Who offers the model.
+    /// Owner of the model.
     pub owned_by: String,
 }
 
-/// Answer of `/v1/models`.
+/// Response of `/v1/models`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelList {
     /// Always `list`.
     pub object: String,
-    /// The models.
+    /// Available models.
     pub data: Vec<ModelEntry>,
 }
--- a/crates/wire/src/peer/codec.rs
+++ b/crates/wire/src/peer/codec.rs
@@ -1,4 +1,4 @@
-//! Encoding of messages.
+//! Encoding and decoding of messages.
 
 use super::message::{Message, Opaque};
 use super::{MAX_MESSAGE_BYTES, PROTOCOL_VERSIONS};
@@ -9,33 +9,33 @@
 const KIND_OPAQUE: u8 = 2;
 const KIND_ECHO: u8 = 3;
 const KIND_ECHO_REPLY: u8 = 4;
-/// Bytes before the body.
-const HEAD_BYTES: usize = 2;
+/// Bytes of version and kind that precede the body.
+const MESSAGE_HEAD_BYTES: usize = 2;
 
-/// A message, or one that this build does not know.
+/// Result of decoding bytes that have the form of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decoded {
-    /// A known message.
+    /// A message of a known kind.
     Message(Message),
-    /// A message of an unknown kind, to be skipped and counted.
+    /// A message of an unknown kind, which the receiver skips and counts.
     Unknown {
-        /// The kind.
+        /// Kind of the message.
         kind: u8,
     },
 }
 
-/// Why bytes are not a message.
+/// Reason for a failure to decode a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// Fewer bytes than a message has at least.
+    /// Fewer bytes than the version and the kind take.
     TooShort,
-    /// This many bytes, more than [`MAX_MESSAGE_BYTES`].
+    /// More than [`MAX_MESSAGE_BYTES`] bytes, with the actual number.
     TooLarge(usize),
-    /// A protocol version that this build does not speak.
+    /// A protocol version that this build does not support.
     Version(u8),
-    /// A body that does not fit the kind.
+    /// A body that is not valid for its kind.
     Body {
-        /// The kind.
+        /// Kind of the message.
         kind: u8,
     },
 }
@@ -43,23 +43,24 @@
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooShort => write!(f, "message without version and kind"),
+            Self::TooShort => write!(f, "message too short to hold a version and a kind"),
             Self::TooLarge(bytes) => {
                 write!(
                     f,
-                    "message of {bytes} bytes, at most {MAX_MESSAGE_BYTES} are allowed"
+                    "message of {bytes} bytes exceeds the limit of {MAX_MESSAGE_BYTES}"
                 )
             }
-            Self::Version(version) => write!(f, "protocol version {version} is not spoken here"),
-            Self::Body { kind } => write!(f, "invalid body of a message of kind {kind}"),
+            Self::Version(version) => write!(f, "unsupported protocol version {version}"),
+            Self::Body { kind } => write!(f, "invalid body in a message of kind {kind}"),
         }
     }
 }
 
 impl std::error::Error for DecodeError {}
 
-/// Encodes a message for a connection that uses protocol `version`; none if it is larger than
-/// [`MAX_MESSAGE_BYTES`].
+/// Encodes a message for a connection that uses protocol `version`.
+///
+/// Returns `None` if the encoded message is larger than [`MAX_MESSAGE_BYTES`].
 pub fn encode(message: &Message, version: u8) -> Option<Vec<u8>> {
     let bytes = match message {
         Message::Member(packet) => with_body(version, KIND_MEMBER, packet),
@@ -70,11 +71,12 @@
     (bytes.len() <= MAX_MESSAGE_BYTES).then_some(bytes)
 }
 
-/// Decodes a message from a peer that speaks one of [`PROTOCOL_VERSIONS`].
+/// Decodes a message of one of the [`PROTOCOL_VERSIONS`].
 ///
 /// # Errors
 ///
-/// Fails on bytes that are no message of a known version. A kind that is not known is no error.
+/// Returns an error if the bytes are not a message of a supported version. An unknown kind is not
+/// an error.
 pub fn decode(bytes: &[u8]) -> Result<Decoded, DecodeError> {
     decode_among(bytes, &PROTOCOL_VERSIONS)
 }
@@ -83,10 +85,10 @@
     if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(DecodeError::TooLarge(bytes.len()));
     }
-    if bytes.len() < HEAD_BYTES {
+    if bytes.len() < MESSAGE_HEAD_BYTES {
         return Err(DecodeError::TooShort);
     }
-    let (version, kind, body) = (bytes[0], bytes[1], &bytes[HEAD_BYTES..]);
+    let (version, kind, body) = (bytes[0], bytes[1], &bytes[MESSAGE_HEAD_BYTES..]);
     if !versions.contains(&version) {
         return Err(DecodeError::Version(version));
     }
--- a/crates/wire/src/peer/delta.rs
+++ b/crates/wire/src/peer/delta.rs
@@ -1,20 +1,20 @@
-//! The difference between two versions of a document, for peers that have the older one.
+//! Deltas between two versions of a document, for peers that have the older version.
 //!
-//! Operators change a few lines of a large document at a time. Leaving out what both versions have
-//! in common at the beginning and at the end is enough to send a small part of it.
+//! Operators usually change a few lines of a large document at a time. Omitting the common prefix
+//! and suffix of the two versions is therefore enough to send only a small part of the document.
 
 use serde::{Deserialize, Serialize};
 
-/// How much of the older version stands at both ends of the newer one.
+/// Lengths of the common prefix and suffix of two versions of a document.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommonEnds {
-    /// Bytes in common at the beginning.
+    /// Length of the common prefix, in bytes.
     pub prefix_bytes: u32,
-    /// Bytes in common at the end.
+    /// Length of the common suffix, in bytes.
     pub suffix_bytes: u32,
 }
 
-/// What `newer` has in common with `older` at both ends, without overlap.
+/// Returns the lengths of the common prefix and suffix of `older` and `newer`, without overlap.
 pub fn common_ends(older: &[u8], newer: &[u8]) -> CommonEnds {
     let same = |(a, b): &(&u8, &u8)| a == b;
     let prefix = older.iter().zip(newer).take_while(same).count();
@@ -25,20 +25,23 @@
         .zip(rest_of_newer.iter().rev())
         .take_while(same)
         .count();
-    let bound = |bytes: usize| u32::try_from(bytes).unwrap_or(0);
+    let to_u32 = |bytes: usize| u32::try_from(bytes).unwrap_or(0);
     CommonEnds {
-        prefix_bytes: bound(prefix),
-        suffix_bytes: bound(suffix),
+        prefix_bytes: to_u32(prefix),
+        suffix_bytes: to_u32(suffix),
     }
 }
 
-/// The part of `newer` between what is in common.
+/// Returns the part of `newer` between the common prefix and suffix, or `None` if `newer` is too
+/// short for them.
 pub fn changed_middle(newer: &[u8], common: CommonEnds) -> Option<&[u8]> {
     let end = newer.len().checked_sub(common.suffix_bytes as usize)?;
     newer.get(common.prefix_bytes as usize..end)
 }
 
-/// The newer version, put together from the older one; none if the older one is too short.
+/// Reconstructs the newer version from the older one and the changed middle.
+///
+/// Returns `None` if the older version is shorter than the common prefix or suffix.
 pub fn apply_delta(older: &[u8], common: CommonEnds, middle: &[u8]) -> Option<Vec<u8>> {
     let prefix = older.get(..common.prefix_bytes as usize)?;
     let start = older.len().checked_sub(common.suffix_bytes as usize)?;
--- a/crates/wire/src/peer/frame.rs
+++ b/crates/wire/src/peer/frame.rs
@@ -1,46 +1,49 @@
 //! Heads of the streams between instances.
 //!
-//! The side that opens a stream writes one length-prefixed head first. What follows depends on the
-//! head.
+//! The side that opens a stream first writes one length-prefixed head, which determines what
+//! follows.
 
 use super::CommonEnds;
 use carobwheel_core::id::InstanceId;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
-/// Largest head of a stream, in bytes.
+/// Maximum size of a stream head without its length prefix, in bytes.
 pub const MAX_HEAD_BYTES: usize = 64 * 1_024;
 
-/// First words of the side that opened a connection. The receiver verifies the name against the
-/// certificate of the connection.
+/// First message from the side that opened a connection.
+///
+/// The receiver verifies the name against the certificate of the connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// Name of the instance that opened the connection.
     pub instance: InstanceId,
 }
 
-/// What a bidirectional stream asks for.
+/// Request that opens a bidirectional stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// The document, if its revision is higher than this one. The answer is a
-    /// [`DocumentHead`] and the document's bytes.
+    /// Fetches the document if its revision is higher than `above_revision`. The response is a
+    /// [`DocumentHead`] followed by the document's bytes, without those in common with the base.
     Document {
-        /// Revision that the asking side has.
+        /// Revision that the requesting side has.
         above_revision: u64,
-        /// Revision of the document that the answer may build on, or 0 for none.
+        /// Revision that the response may be a delta against, or 0 for none.
         base_revision: u64,
     },
-    /// A request of a caller, forwarded. The request's body follows the head; the answer is a
-    /// [`ForwardHead`] and the answer's body.
+    /// Forwards a caller's request. The request's body follows the head; the response is a
+    /// [`ForwardHead`] followed by the response's body.
     Forward {
-        /// Head of the request.
+        /// Encoded head of the caller's request.
         head: Vec<u8>,
     },
 }
 
-/// Bytes of the length before a head, a big-endian number.
+/// Size of the big-endian length prefix of a head, in bytes.
 pub const LENGTH_BYTES: usize = 4;
 
-/// Encodes a head with its length before it; none if it is larger than [`MAX_HEAD_BYTES`].
+/// Encodes a head with its length prefix.
+///
+/// Returns `None` if the head is larger than [`MAX_HEAD_BYTES`].
 pub fn encode_head<T: Serialize>(head: &T) -> Option<Vec<u8>> {
     let mut bytes = postcard::to_extend(head, vec![0; LENGTH_BYTES]).ok()?;
     let length = bytes.len() - LENGTH_BYTES;
@@ -52,7 +55,9 @@
     Some(bytes)
 }
 
-/// Decodes a head without its length; none if the bytes are not such a head.
+/// Decodes a head without its length prefix.
+///
+/// Returns `None` if the bytes are not a valid head of type `T`.
 pub fn decode_head<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     match postcard::take_from_bytes(bytes) {
         Ok((head, [])) => Some(head),
@@ -60,20 +65,21 @@
     }
 }
 
-/// What answers a [`Request::Document`]; the bytes that are not in common with the base follow.
+/// Head of the response to a [`Request::Document`], followed by the bytes of the document that are
+/// not in common with the base.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentHead {
-    /// Revision of the document, or 0 if the peer has none above the one asked for.
+    /// Revision of the document, or 0 if the peer has none above the requested one.
     pub revision: u64,
     /// SHA-256 digest of the whole document.
     pub sha256: [u8; 32],
-    /// What the document has in common with the base; nothing if it comes whole.
+    /// Common prefix and suffix of the document and the base; empty if the whole document is sent.
     pub common: CommonEnds,
 }
 
-/// What answers a [`Request::Forward`]; the answer's body follows.
+/// Head of the response to a [`Request::Forward`], followed by the response's body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardHead {
-    /// Head of the answer, read by the modules on either side.
+    /// Encoded head of the response, interpreted by the modules on either side.
     pub head: Vec<u8>,
 }
--- a/crates/wire/src/peer/message.rs
+++ b/crates/wire/src/peer/message.rs
@@ -1,4 +1,4 @@
-//! The kinds of message.
+//! Kinds of messages between instances.
 
 use carobwheel_core::member::Packet;
 use serde::{Deserialize, Serialize};
@@ -6,32 +6,32 @@
 /// A message from one instance to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// A packet of the membership table.
+    /// A packet of the membership protocol.
     Member(Packet),
-    /// A message of another module, which reads the bytes itself.
+    /// A message of another module, which decodes the bytes itself.
     Opaque(Opaque),
-    /// Asks for an [`Message::EchoReply`]; proves that a link in use still carries traffic.
+    /// Requests a [`Message::EchoReply`], to check that a link in use still carries traffic.
     Echo(u32),
-    /// Answers an [`Message::Echo`] with its number.
+    /// Reply to a [`Message::Echo`], with the same number.
     EchoReply(u32),
 }
 
-/// Bytes that only the module behind `channel` reads.
+/// Bytes that only the module registered for `channel` interprets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Opaque {
-    /// Number of the module.
+    /// Channel number, which identifies the module.
     pub channel: u8,
-    /// Content.
+    /// Encoded message of the module.
     pub bytes: Vec<u8>,
 }
 
 impl Message {
-    /// A message of the module behind `channel`.
+    /// Creates a message for the module registered for `channel`.
     pub const fn opaque(channel: u8, bytes: Vec<u8>) -> Self {
         Self::Opaque(Opaque { channel, bytes })
     }
 
-    /// Whether the receiver answers in every case, so that silence means a lost message or link.
+    /// Whether the receiver always replies, so that a missing reply means a lost message or link.
     pub const fn expects_reply(&self) -> bool {
         match self {
             Self::Member(packet) => packet.body.expects_reply(),
--- a/crates/wire/src/peer/mod.rs
+++ b/crates/wire/src/peer/mod.rs
@@ -1,10 +1,10 @@
 //! Messages between instances.
 //!
-//! A message is encoded as one byte of protocol version, one byte of kind, and the body in
-//! `postcard`. Both sides of a connection offer the versions that they speak and use the highest
-//! common one. A kind that the receiver does not know is skipped and counted, so a newer instance
-//! may send new kinds to an older one. The body of a kind never changes; a changed body gets a new
-//! kind.
+//! A message is encoded as one byte for the protocol version, one byte for the message kind, and
+//! the body in `postcard` format. Both sides of a connection offer the versions that they support
+//! and use the highest common one. A receiver skips and counts messages of an unknown kind, so a
+//! newer instance may send new kinds to an older one. The body format of a kind never changes; a
+//! changed body gets a new kind.
 
 mod codec;
 mod delta;
@@ -23,9 +23,9 @@
 
 use std::ops::RangeInclusive;
 
-/// Protocol versions that this build speaks.
+/// Protocol versions that this build supports.
 pub const PROTOCOL_VERSIONS: RangeInclusive<u8> = 1..=1;
-/// Largest encoded message, in bytes.
+/// Maximum size of an encoded message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 64 * 1_024;
-/// Largest message that is sent as a datagram, in bytes; larger ones take a stream.
+/// Maximum size of a message sent as a datagram, in bytes; larger messages use a stream.
 pub const MAX_DATAGRAM_BYTES: usize = 1_120;
--- a/crates/wire/src/peer/tests.rs
+++ b/crates/wire/src/peer/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the message codec.
+//! Tests of the message codec and of document deltas.
 
 use super::*;
 use carobwheel_core::member::{
@@ -116,13 +116,13 @@
 
 proptest! {
     #[test]
-    fn a_message_survives_encoding(message in message()) {
+    fn a_message_round_trips_through_the_codec(message in message()) {
         let bytes = encode(&message, *PROTOCOL_VERSIONS.end()).unwrap();
         prop_assert_eq!(decode(&bytes), Ok(Decoded::Message(message)));
     }
 
     #[test]
-    fn no_bytes_make_the_decoder_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn decoding_any_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode(&bytes);
         let _ = decode_head::<Hello>(&bytes);
         let _ = decode_head::<Request>(&bytes);
@@ -146,7 +146,7 @@
 
 proptest! {
     #[test]
-    fn a_document_is_put_together_again(
+    fn a_document_is_reconstructed_from_its_delta(
         older in prop::collection::vec(0..3u8, 0..40),
         newer in prop::collection::vec(0..3u8, 0..40),
     ) {
@@ -156,7 +156,7 @@
     }
 
     #[test]
-    fn an_invalid_difference_does_not_panic(
+    fn an_invalid_delta_does_not_panic(
         older in prop::collection::vec(any::<u8>(), 0..40),
         prefix_bytes in any::<u32>(),
         suffix_bytes in any::<u32>(),
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_changed_line_is_all_that_differs() {
+fn a_delta_holds_only_the_changed_bytes() {
     let older = b"accounts: a, b, c; rates: 1, 2, 3";
     let newer = b"accounts: a, bb, c; rates: 1, 2, 3";
     let common = common_ends(older, newer);
@@ -177,18 +177,18 @@
 
 #[test_case(&[], DecodeError::TooShort ; "empty")]
 #[test_case(&[1], DecodeError::TooShort ; "version only")]
-#[test_case(&[0, 3, 1], DecodeError::Version(0) ; "version below")]
-#[test_case(&[2, 3, 1], DecodeError::Version(2) ; "version above")]
-#[test_case(&[1, 3], DecodeError::Body { kind: 3 } ; "body cut")]
+#[test_case(&[0, 3, 1], DecodeError::Version(0) ; "version too low")]
+#[test_case(&[2, 3, 1], DecodeError::Version(2) ; "version too high")]
+#[test_case(&[1, 3], DecodeError::Body { kind: 3 } ; "truncated body")]
 #[test_case(&[1, 3, 1, 1], DecodeError::Body { kind: 3 } ; "body too long")]
-#[test_case(&[1, 1, 255, 255], DecodeError::Body { kind: 1 } ; "packet cut")]
+#[test_case(&[1, 1, 255, 255], DecodeError::Body { kind: 1 } ; "truncated packet")]
 #[test_case(&[0; MAX_MESSAGE_BYTES + 1], DecodeError::TooLarge(MAX_MESSAGE_BYTES + 1) ; "too large")]
 fn invalid_bytes_are_refused(bytes: &[u8], error: DecodeError) {
     assert_eq!(decode(bytes), Err(error));
 }
 
 #[test]
-fn an_unknown_kind_is_no_error() {
+fn an_unknown_kind_is_not_an_error() {
     assert_eq!(
         decode(&[1, 200, 1, 2, 3]),
         Ok(Decoded::Unknown { kind: 200 })
@@ -201,9 +201,10 @@
     assert_eq!(encode(&message, 1), None);
 }
 
-/// The encoding of version 1 must not change, since older and newer instances run side by side.
+/// Guards against a change to the encoding of version 1, which instances of different builds use
+/// to talk to each other.
 #[test]
-fn the_encoding_of_version_1_stays_as_it_is() {
+fn the_encoding_of_version_1_is_unchanged() {
     let hex = |message: &Message| {
         let bytes = encode(message, 1).unwrap();
         bytes.iter().map(|b| format!("{b:02x}")).collect::<String>()
--- a/crates/wire/src/platform/mod.rs
+++ b/crates/wire/src/platform/mod.rs
@@ -1,8 +1,9 @@
-//! The platform's live list and directory.
+//! The platform's live list and directory, and the load report of model engines.
 //!
-//! `GET /instances` answers an [`InstanceList`]. The list lags behind what has happened.
-//! `PUT /directory/<instance>` with a [`DirectoryEntry`] enters an instance for callers,
-//! `DELETE /directory/<instance>` takes it out, and `GET /directory` answers a [`Directory`].
+//! `GET /instances` returns an [`InstanceList`], which lags behind the actual state of the
+//! instances. `PUT /directory/<instance>` with a [`DirectoryEntry`] registers an instance for
+//! callers, `DELETE /directory/<instance>` removes it, and `GET /directory` returns a
+//! [`Directory`].
 
 use carobwheel_core::id::{DataCentreId, InstanceId, RegionId};
 use serde::{Deserialize, Serialize};
@@ -10,14 +11,14 @@
 
 /// Path of the live list.
 pub const INSTANCES_PATH: &str = "/instances";
-/// Path of the directory; an instance's entry stands one segment below.
+/// Path of the directory; the entry of an instance is one path segment below.
 pub const DIRECTORY_PATH: &str = "/directory";
 
-/// What the platform says about an instance.
+/// State of an instance as reported by the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
-    /// The instance runs.
+    /// The instance is running.
     Live,
     /// The instance is being stopped.
     Leaving,
@@ -28,25 +29,25 @@
 pub struct LiveInstance {
     /// Name of the instance.
     pub id: InstanceId,
-    /// Region that the instance stands in.
+    /// Region of the instance.
     pub region: RegionId,
-    /// Data centre that the instance stands in.
+    /// Data centre of the instance.
     pub data_centre: DataCentreId,
     /// UDP address for other instances.
     pub peer_address: SocketAddr,
     /// TCP address for callers.
     pub caller_address: SocketAddr,
-    /// What the platform says about the instance.
+    /// State of the instance as reported by the platform.
     pub state: InstanceState,
-    /// Number that grows with each start of the instance, where the platform knows it.
+    /// Number that increases with each start of the instance, if the platform reports it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<u64>,
 }
 
-/// Answer of the live list.
+/// Response of the live list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceList {
-    /// Instances in order of their names.
+    /// Instances, ordered by name.
     pub instances: Vec<LiveInstance>,
 }
 
@@ -55,38 +56,38 @@
 pub struct DirectoryEntry {
     /// Name of the instance.
     pub id: InstanceId,
-    /// Region that the instance stands in.
+    /// Region of the instance.
     pub region: RegionId,
     /// TCP address for callers.
     pub caller_address: SocketAddr,
-    /// Time for which the entry holds unless it is renewed, in seconds.
+    /// Time until the entry expires unless it is renewed, in seconds.
     pub ttl_s: u64,
 }
 
-/// Answer of the directory.
+/// Response of the directory.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Directory {
-    /// Entries in order of the instances' names.
+    /// Entries, ordered by instance name.
     pub entries: Vec<DirectoryEntry>,
 }
 
-/// Path of a model engine's load report.
+/// Path of the load report of a model engine.
 pub const LOAD_PATH: &str = "/load";
 
-/// A model engine's load, as it stood some time before the answer.
+/// Load of a model engine, measured `age_ms` before the response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that the engine decodes.
+    /// Number of requests in the decode phase.
     pub running: u32,
-    /// Requests that wait for a place.
+    /// Number of requests waiting for a batch slot.
     pub waiting: u32,
-    /// Prompt tokens that waiting requests still have to be read.
+    /// Prompt tokens of waiting requests that still have to be prefilled.
     pub waiting_prefill_tokens: u64,
     /// Output tokens that running requests may still generate.
     pub remaining_output_tokens: u64,
-    /// Blocks of the prefix cache in use.
+    /// Number of KV cache blocks in use.
     pub used_cache_blocks: u64,
-    /// Blocks of the prefix cache.
+    /// Total number of KV cache blocks.
     pub cache_blocks: u64,
     /// Age of the report, in milliseconds.
     pub age_ms: u64,
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -1,4 +1,5 @@
-//! Tests of the published formats: what others send is read, and what we send has their form.
+//! Tests of the published formats: messages of other programs are parsed, and serialized messages
+//! have the published form.
 
 #![allow(clippy::unwrap_used)]
 
@@ -34,7 +35,7 @@
 
 #[test_case(json!("9"); "as a string")]
 #[test_case(json!(9); "as a number")]
-fn integers_of_an_answer_are_read(nine: Value) {
+fn integers_of_a_response_are_parsed(nine: Value) {
     let answer = json!({
         "header": {"cluster_id": "1", "revision": nine},
         "kvs": [{"key": "YQ==", "mod_revision": nine, "value": "MQ=="}],
@@ -52,14 +53,14 @@
 }
 
 #[test]
-fn failed_transaction_leaves_succeeded_out() {
+fn failed_transaction_omits_succeeded() {
     let answer = json!({"header": {}, "responses": [{"response_range": {"header": {}}}]});
     let txn: TxnResponse = serde_json::from_value(answer).unwrap();
     assert!(!txn.succeeded);
 }
 
 #[test]
-fn watch_message_names_the_kind_of_deletions_only() {
+fn watch_response_omits_the_type_of_puts() {
     let line = json!({"result": {"header": {"revision": "4"}, "events": [
         {"kv": {"key": "YQ==", "mod_revision": "3"}},
         {"type": "DELETE", "kv": {"key": "YQ==", "mod_revision": "4"}},
@@ -84,14 +85,14 @@
 
 #[test_case(b"slots/", b"slots0"; "plain")]
 #[test_case(b"a\xff", b"b"; "last byte has no successor")]
-#[test_case(b"\xff\xff", b"\0"; "no sibling")]
-#[test_case(b"", b"\0"; "everything")]
-fn prefix_ends_at_its_next_sibling(prefix: &[u8], end: &[u8]) {
+#[test_case(b"\xff\xff", b"\0"; "no next prefix")]
+#[test_case(b"", b"\0"; "empty prefix")]
+fn prefix_range_ends_at_the_next_prefix(prefix: &[u8], end: &[u8]) {
     assert_eq!(prefix_end(prefix), end);
 }
 
 #[test]
-fn plain_request_is_borrowed_from_its_body() {
+fn request_without_escapes_is_borrowed_from_its_body() {
     let body = br#"{"model":"m","temperature":0.2,"stream":true,"messages":[{"role":"user","content":"madder?","name":"ana"}]}"#;
     let view = RequestView::parse(body).unwrap();
     let content = &view.messages[0].content;
@@ -105,20 +106,20 @@
 }
 
 #[test_case(r#"{"model":"m","max_tokens":5}"#, Some(5), 0; "older name")]
-#[test_case(r#"{"model":"m","max_tokens":5,"max_completion_tokens":6}"#, Some(6), 0; "newer name wins")]
+#[test_case(r#"{"model":"m","max_tokens":5,"max_completion_tokens":6}"#, Some(6), 0; "newer name takes precedence")]
 #[test_case(r#"{"model":"m","prompt":["ab","c"]}"#, None, 3; "several prompts")]
 #[test_case(r#"{"model":"m","prompt":[17,18]}"#, None, 8; "prompt as tokens")]
 #[test_case(r#"{"model":"m","messages":[{"role":"u","content":[{"text":"ab"},{"image_url":{}}]}]}"#, None, 3; "parts")]
 #[test_case(r#"{"model":"m","messages":[{"role":"u","content":null,"tool_calls":[]}]}"#, None, 1; "no content")]
 #[test_case(r#"{"model":"m","prompt":"\"\u00e9"}"#, None, 3; "escapes")]
-fn request_is_read(body: &str, max_output_tokens: Option<u64>, prompt_bytes: u64) {
+fn request_is_parsed(body: &str, max_output_tokens: Option<u64>, prompt_bytes: u64) {
     let view = RequestView::parse(body.as_bytes()).unwrap();
     assert_eq!(view.max_output_tokens(), max_output_tokens);
     assert_eq!(view.prompt_bytes(), prompt_bytes);
 }
 
 #[test]
-fn live_list_is_read() {
+fn live_list_is_parsed() {
     let list = json!({"instances": [{
         "id": "n1",
         "region": "north",
@@ -141,7 +142,7 @@
     })]
 
     #[test]
-    fn readers_survive_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..256)) {
+    fn parsing_any_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..256)) {
         let _ = RequestView::parse(&bytes);
         let _ = serde_json::from_slice::<StreamItem<WatchResponse>>(&bytes);
         let _ = serde_json::from_slice::<TxnResponse>(&bytes);
@@ -149,7 +150,7 @@
     }
 
     #[test]
-    fn key_values_come_back_as_sent(
+    fn key_values_round_trip(
         key: Vec<u8>,
         value: Vec<u8>,
         mod_revision: i64,
@@ -161,7 +162,7 @@
     }
 
     #[test]
-    fn keys_with_a_prefix_lie_below_its_end(
+    fn keys_with_a_prefix_are_within_its_range(
         prefix in proptest::collection::vec(any::<u8>(), 1..4),
         rest: Vec<u8>,
     ) {
