--- a/crates/ctl/src/config/diff.rs
+++ b/crates/ctl/src/config/diff.rs
@@ -1,8 +1,8 @@
-//! How two JSON values differ, path by path.
+//! Differences between two JSON values, by path.
 
 use serde_json::Value;
 
-/// One line for each difference: the path, the value before and the value after.
+/// Returns one line per difference, with the path, the old value and the new value.
 pub(super) fn lines(before: &Value, after: &Value) -> Vec<String> {
     let mut lines = Vec::new();
     compare("", before, after, &mut lines);
@@ -15,13 +15,23 @@
             let added = new.keys().filter(|name| !old.contains_key(*name));
             for name in old.keys().chain(added) {
                 let path = format!("{path}.{name}");
-                compare(&path, of_object(old, name), of_object(new, name), lines);
+                compare(
+                    &path,
+                    field_or_null(old, name),
+                    field_or_null(new, name),
+                    lines,
+                );
             }
         }
         (Value::Array(old), Value::Array(new)) => {
             for index in 0..old.len().max(new.len()) {
-                let path = format!("{path}[{}]", label(old, new, index));
-                compare(&path, of_array(old, index), of_array(new, index), lines);
+                let path = format!("{path}[{}]", item_label(old, new, index));
+                compare(
+                    &path,
+                    item_or_null(old, index),
+                    item_or_null(new, index),
+                    lines,
+                );
             }
         }
         _ if before == after => {}
@@ -32,16 +42,16 @@
     }
 }
 
-fn of_object<'a>(map: &'a serde_json::Map<String, Value>, name: &str) -> &'a Value {
+fn field_or_null<'a>(map: &'a serde_json::Map<String, Value>, name: &str) -> &'a Value {
     map.get(name).unwrap_or(&Value::Null)
 }
 
-fn of_array(list: &[Value], index: usize) -> &Value {
+fn item_or_null(list: &[Value], index: usize) -> &Value {
     list.get(index).unwrap_or(&Value::Null)
 }
 
-// Entries with names are easier to find by name than by number.
-fn label(old: &[Value], new: &[Value], index: usize) -> String {
+// Items with an ID are labelled by it, since it is easier to find in a document than an index.
+fn item_label(old: &[Value], new: &[Value], index: usize) -> String {
     let entry = new.get(index).or_else(|| old.get(index));
     entry
         .and_then(|entry| entry.get("id"))
--- a/crates/ctl/src/config/mod.rs
+++ b/crates/ctl/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! `carobctl config`: reads, checks and publishes the configuration document.
+//! `carobctl config`: reads, validates and publishes the configuration document.
 
 mod diff;
 
@@ -15,7 +15,7 @@
     process::ExitCode,
 };
 
-/// Where the document stands.
+/// Location of the document.
 #[derive(Clone, Debug, clap::Args)]
 pub struct StoreArgs {
     /// Base URL of the store.
@@ -26,55 +26,55 @@
 /// Arguments of `carobctl config`.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// What to do.
+    /// Command to run.
     #[command(subcommand)]
     pub command: Command,
-    /// Where the document stands.
+    /// Location of the document.
     #[command(flatten)]
     pub store: StoreArgs,
 }
 
-/// What to do with the document.
+/// Subcommands of `carobctl config`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Check a document and name every fault.
+    /// Validate a document and list all its faults.
     Validate {
         /// File with the document.
         file: PathBuf,
     },
-    /// Check a document and put it in force.
+    /// Validate a document and publish it.
     Publish {
         /// File with the document.
         file: PathBuf,
-        /// Publish only if this revision is in the store; 0 for none. By default the revision
-        /// that is read right before writing.
+        /// Publish only if the document in the store has this revision; 0 for no document. Defaults
+        /// to the revision read immediately before the write.
         #[arg(long)]
         expect_revision: Option<i64>,
     },
     /// Print the document in the store.
     Show,
-    /// Show how a document differs from the one in the store.
+    /// Show the differences between the document in the store and another document.
     Diff {
         /// File with the document.
         file: PathBuf,
     },
 }
 
-/// Runs the command.
+/// Runs the subcommand.
 ///
 /// # Errors
 ///
-/// Fails if a file cannot be read or the store does not answer.
+/// Returns an error if a file cannot be read or the store does not respond.
 pub async fn run(args: Args) -> anyhow::Result<ExitCode> {
     match &args.command {
         Command::Validate { file } => {
-            let bytes = read(file)?;
+            let bytes = read_file(file)?;
             Ok(match Document::parse(&bytes) {
                 Ok(_) => {
                     println!("{}: valid, {} bytes", file.display(), bytes.len());
                     ExitCode::SUCCESS
                 }
-                Err(faults) => faulty(&faults),
+                Err(faults) => report_faults(&faults),
             })
         }
         Command::Publish {
@@ -82,7 +82,7 @@
             expect_revision,
         } => publish(&args.store, file, *expect_revision).await,
         Command::Show => {
-            let record = current(&client(&args.store)?).await?;
+            let record = read_document(&store_client(&args.store)?).await?;
             let Some(record) = record else {
                 bail!("the store holds no document");
             };
@@ -91,13 +91,13 @@
             Ok(ExitCode::SUCCESS)
         }
         Command::Diff { file } => {
-            let record = current(&client(&args.store)?).await?;
+            let record = read_document(&store_client(&args.store)?).await?;
             let stored = match &record {
                 Some(record) => serde_json::from_slice(&record.value)
                     .context("the document in the store is not JSON")?,
                 None => serde_json::Value::Null,
             };
-            let proposed = serde_json::from_slice(&read(file)?)
+            let proposed = serde_json::from_slice(&read_file(file)?)
                 .with_context(|| format!("{} is not JSON", file.display()))?;
             for line in diff::lines(&stored, &proposed) {
                 print_line(line);
@@ -107,29 +107,29 @@
     }
 }
 
-fn read(file: &Path) -> anyhow::Result<Vec<u8>> {
+fn read_file(file: &Path) -> anyhow::Result<Vec<u8>> {
     std::fs::read(file).with_context(|| format!("cannot read {}", file.display()))
 }
 
-fn faulty(faults: &[Fault]) -> ExitCode {
+fn report_faults(faults: &[Fault]) -> ExitCode {
     for fault in faults {
         eprintln!("{fault}");
     }
     ExitCode::from(EXIT_FAULTY_INPUT)
 }
 
-/// A client of the store.
+/// Creates a client of the store.
 ///
 /// # Errors
 ///
-/// Fails if the HTTP client cannot be set up.
-pub fn client(args: &StoreArgs) -> anyhow::Result<StoreClient> {
+/// Returns an error if the HTTP client cannot be set up.
+pub fn store_client(args: &StoreArgs) -> anyhow::Result<StoreClient> {
     let writer = format!("carobctl.{:016x}", rand::random::<u64>());
     let options = StoreClientOptions::new(&args.store, writer);
     StoreClient::new(options).context("cannot set up the store client")
 }
 
-async fn current(client: &StoreClient) -> anyhow::Result<Option<Record>> {
+async fn read_document(client: &StoreClient) -> anyhow::Result<Option<Record>> {
     client
         .get(DOCUMENT_KEY)
         .await
@@ -141,47 +141,55 @@
     file: &Path,
     expect_revision: Option<i64>,
 ) -> anyhow::Result<ExitCode> {
-    let bytes = read(file)?;
+    let bytes = read_file(file)?;
     if let Err(faults) = Document::parse(&bytes) {
-        return Ok(faulty(&faults));
+        return Ok(report_faults(&faults));
     }
-    let client = client(args)?;
-    let expected = match expect_revision {
+    let client = store_client(args)?;
+    let expected_revision = match expect_revision {
         Some(revision) => revision,
-        None => current(&client)
+        None => read_document(&client)
             .await?
             .map_or(0, |record| record.mod_revision),
     };
-    write(&client, expected, &bytes).await
+    write_document(&client, expected_revision, &bytes).await
 }
 
-/// Reads the document, changes it, validates it and writes it if nobody else has meanwhile.
+/// Reads the document, applies `change`, validates the result and writes it, unless the stored
+/// document has changed in the meantime.
 ///
 /// # Errors
 ///
-/// Fails if the store does not answer, holds no valid document, or `change` fails.
-pub async fn edit(
+/// Returns an error if the store does not respond, holds no valid document, or `change` fails.
+pub async fn edit_document(
     args: &StoreArgs,
     change: impl FnOnce(&mut Document) -> anyhow::Result<()>,
 ) -> anyhow::Result<ExitCode> {
-    let client = client(args)?;
-    let record = current(&client)
+    let client = store_client(args)?;
+    let record = read_document(&client)
         .await?
         .context("the store holds no document")?;
     let mut document = match Document::parse(&record.value) {
         Ok(document) => document,
-        Err(faults) => return Ok(faulty(&faults)),
+        Err(faults) => return Ok(report_faults(&faults)),
     };
     change(&mut document)?;
     let bytes = serde_json::to_vec(&document)?;
     if let Err(faults) = Document::parse(&bytes) {
-        return Ok(faulty(&faults));
+        return Ok(report_faults(&faults));
     }
-    write(&client, record.mod_revision, &bytes).await
+    write_document(&client, record.mod_revision, &bytes).await
 }
 
-async fn write(client: &StoreClient, expected: i64, bytes: &[u8]) -> anyhow::Result<ExitCode> {
-    match client.compare_and_swap(DOCUMENT_KEY, expected, bytes).await {
+async fn write_document(
+    client: &StoreClient,
+    expected_revision: i64,
+    bytes: &[u8],
+) -> anyhow::Result<ExitCode> {
+    match client
+        .compare_and_swap(DOCUMENT_KEY, expected_revision, bytes)
+        .await
+    {
         WriteOutcome::Written { revision } => {
             eprintln!("published as revision {revision}");
             Ok(ExitCode::SUCCESS)
@@ -189,13 +197,13 @@
         WriteOutcome::Conflict { current } => {
             let revision = current.map_or(0, |record| record.mod_revision);
             eprintln!(
-                "conflict: revision {revision} is in the store, {expected} was expected; nothing was written"
+                "conflict: the store has revision {revision}, expected {expected_revision}; nothing was written"
             );
             Ok(ExitCode::from(EXIT_CONFLICT))
         }
         WriteOutcome::NotWritten { cause } => bail!("nothing was written: {cause}"),
         WriteOutcome::Unknown { cause } => {
-            bail!("the document may have been written: {cause}; look with `carobctl config show`")
+            bail!("the document may have been written: {cause}; check with `carobctl config show`")
         }
     }
 }
--- a/crates/ctl/src/demo/environment.rs
+++ b/crates/ctl/src/demo/environment.rs
@@ -1,4 +1,4 @@
-//! Everything around the instances: the platform and the upstreams of a document.
+//! Environment of the demo's instances: stand-ins for the platform and the upstreams.
 
 use super::Deployment;
 use anyhow::{anyhow, Context as _};
@@ -19,14 +19,14 @@
     path::{Path, PathBuf},
 };
 
-/// Instances in each region.
-const INSTANCES_IN_REGION: usize = 2;
+/// Number of instances in each region.
+const INSTANCES_PER_REGION: usize = 2;
 const LOOPBACK: Ipv4Addr = Ipv4Addr::LOCALHOST;
-/// Time for which running requests are waited for at the end, in milliseconds.
-const DRAIN_MS: u64 = 5_000;
+/// Timeout for requests in flight at shutdown.
+const DRAIN_TIMEOUT_MS: u64 = 5_000;
 
-/// The stand-ins of one deployment and its document with their addresses.
-pub(super) struct Stage {
+/// Stand-ins of one deployment, and its document with their addresses filled in.
+pub(super) struct Environment {
     pub(super) document: Document,
     pub(super) store: store::Store,
     pub(super) live_list: livelist::LiveList,
@@ -36,11 +36,11 @@
     _services: Vec<service::Service>,
 }
 
-impl Stage {
+impl Environment {
     /// Starts the stand-ins and publishes the document.
     pub(super) fn start(deployment: Deployment, token_ms: u64) -> anyhow::Result<Self> {
         let mut document = Document::parse(deployment.document().as_bytes())
-            .map_err(|faults| anyhow!("the example has faults: {faults:?}"))?;
+            .map_err(|faults| anyhow!("the example document is invalid: {faults:?}"))?;
         let store = store::start(&store::StoreOptions::default())?;
         let live_list = livelist::start(livelist::LiveListOptions::default())?;
         let mut engines = Vec::new();
@@ -81,21 +81,21 @@
         })
     }
 
-    /// Settings of every instance: two in each region, in different data centres. The live list
-    /// names them from now on.
-    pub(super) fn settings(&self) -> anyhow::Result<Vec<Settings>> {
-        let mut all = Vec::new();
+    /// Creates the settings of all instances, two in each region and in different data centres, and
+    /// adds the instances to the live list.
+    pub(super) fn register_instances(&self) -> anyhow::Result<Vec<Settings>> {
+        let mut all_settings = Vec::new();
         for region in &self.document.regions {
-            for index in 0..INSTANCES_IN_REGION {
-                let settings = self.settings_of(region, index)?;
-                self.list(&settings);
-                all.push(settings);
+            for index in 0..INSTANCES_PER_REGION {
+                let settings = self.instance_settings(region, index)?;
+                self.add_to_live_list(&settings);
+                all_settings.push(settings);
             }
         }
-        Ok(all)
+        Ok(all_settings)
     }
 
-    fn list(&self, settings: &Settings) {
+    fn add_to_live_list(&self, settings: &Settings) {
         let Some(peers) = &settings.peers else {
             return;
         };
@@ -110,7 +110,7 @@
         });
     }
 
-    /// Certificate and key of an instance.
+    /// Issues the certificate and key of an instance.
     pub(super) fn tls(&self, id: &InstanceId) -> anyhow::Result<TlsMaterial> {
         let pem = self.authority.issue(id.as_str())?;
         Ok(TlsMaterial {
@@ -120,11 +120,11 @@
         })
     }
 
-    fn settings_of(&self, region: &Region, index: usize) -> anyhow::Result<Settings> {
+    fn instance_settings(&self, region: &Region, index: usize) -> anyhow::Result<Settings> {
         let id: InstanceId = format!("{}-{}", region.id, index + 1).parse()?;
-        let centres = &region.data_centres;
-        let data_centre: DataCentreId = centres[index % centres.len()].clone();
-        let address = SocketAddr::from((LOOPBACK, free_port()?));
+        let data_centres = &region.data_centres;
+        let data_centre: DataCentreId = data_centres[index % data_centres.len()].clone();
+        let address = SocketAddr::from((LOOPBACK, free_tcp_port()?));
         Ok(Settings {
             instance: Identity {
                 id: id.clone(),
@@ -138,7 +138,7 @@
                 max_body_bytes_held: 256 * 1_024 * 1_024,
                 body_timeout_ms: 60_000,
             },
-            operators_address: Some(SocketAddr::from((LOOPBACK, free_port()?))),
+            operators_address: Some(SocketAddr::from((LOOPBACK, free_tcp_port()?))),
             peers: Some(Peers {
                 address: SocketAddr::from((LOOPBACK, free_udp_port()?)),
                 advertised_address: None,
@@ -157,21 +157,22 @@
             metrics: None,
             shutdown: Shutdown {
                 announce_ms: 0,
-                drain_ms: DRAIN_MS,
+                drain_ms: DRAIN_TIMEOUT_MS,
             },
             log_level: "info".to_owned(),
         })
     }
 
-    /// Writes the settings of every instance into `folder`.
+    /// Writes the settings, certificates and keys of all instances into `folder`, and returns the
+    /// settings files.
     pub(super) fn write_settings(&self, folder: &Path) -> anyhow::Result<Vec<PathBuf>> {
         std::fs::create_dir_all(folder)
             .with_context(|| format!("cannot create {}", folder.display()))?;
         let mut files = Vec::new();
-        for mut settings in self.settings()? {
+        for mut settings in self.register_instances()? {
             self.write_tls(&mut settings, folder)?;
             let file = folder.join(format!("{}.json", settings.instance.id));
-            write(&file, &format!("{:#}\n", serde_json::to_value(&settings)?))?;
+            write_file(&file, &format!("{:#}\n", serde_json::to_value(&settings)?))?;
             files.push(file);
         }
         Ok(files)
@@ -182,15 +183,15 @@
         let Some(peers) = &mut settings.peers else {
             return Ok(());
         };
-        peers.ca_pem_file = write(&folder.join(&peers.ca_pem_file), &tls.ca_pem)?;
+        peers.ca_pem_file = write_file(&folder.join(&peers.ca_pem_file), &tls.ca_pem)?;
         peers.certificate_pem_file =
-            write(&folder.join(&peers.certificate_pem_file), &tls.cert_pem)?;
-        peers.key_pem_file = write(&folder.join(&peers.key_pem_file), &tls.key_pem)?;
+            write_file(&folder.join(&peers.certificate_pem_file), &tls.cert_pem)?;
+        peers.key_pem_file = write_file(&folder.join(&peers.key_pem_file), &tls.key_pem)?;
         Ok(())
     }
 }
 
-fn write(file: &Path, text: &str) -> anyhow::Result<String> {
+fn write_file(file: &Path, text: &str) -> anyhow::Result<String> {
     std::fs::write(file, text).with_context(|| format!("cannot write {}", file.display()))?;
     Ok(file.display().to_string())
 }
@@ -217,9 +218,9 @@
     options
 }
 
-// The port is free when it is asked for; another process may take it before it is used, which
-// shows as a clear error at the start.
-fn free_port() -> anyhow::Result<u16> {
+// The port is free when this function returns. Another process may take it before the instance binds
+// it; the instance then fails to start with a clear error.
+fn free_tcp_port() -> anyhow::Result<u16> {
     let listener = std::net::TcpListener::bind((LOOPBACK, 0))?;
     Ok(listener.local_addr()?.port())
 }
--- a/crates/ctl/src/demo/mod.rs
+++ b/crates/ctl/src/demo/mod.rs
@@ -1,7 +1,8 @@
-//! `carobctl demo`: six instances and their stand-ins in one process, on loopback.
+//! `carobctl demo`: six instances and stand-ins for their dependencies in one process, on loopback.
 //!
-//! A newcomer's first command. It starts the platform's store and live list, the engines and
-//! services of a shipped example document, and two instances in each of three regions.
+//! Intended as a first look at the gateway. Starts stand-ins for the platform's store and live
+//! list and for the engines and services of an example document, and two instances in each of
+//! three regions.
 
 mod environment;
 mod fleet;
@@ -9,12 +10,12 @@
 
 use anyhow::Context as _;
 use clap::ValueEnum;
-use environment::Stage;
+use environment::Environment;
 use fleet::Fleet;
 use std::path::PathBuf;
 use tokio::runtime;
 
-/// A shipped example document.
+/// Example deployment that ships with its configuration document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Deployment {
     /// The Trinidad Rug Valuation Authority.
@@ -24,7 +25,7 @@
 }
 
 impl Deployment {
-    /// The document as shipped.
+    /// Returns the configuration document of the deployment.
     pub fn document(self) -> &'static str {
         match self {
             Self::Authority => include_str!("../../../../examples/authority.json"),
@@ -36,53 +37,54 @@
 /// Arguments of `carobctl demo`.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// Deployment to show.
+    /// Deployment to run.
     #[arg(long, value_enum, default_value = "skledica")]
     pub deployment: Deployment,
-    /// Start the stand-ins only, and write settings for six instances into this folder, to run
-    /// them as processes of their own.
+    /// Start only the stand-ins, and write settings for six instances into this folder, to run
+    /// the instances as separate processes.
     #[arg(long)]
     pub settings_dir: Option<PathBuf>,
-    /// Time that the engines take for a token, in milliseconds.
+    /// Time per token of the engines, in milliseconds.
     #[arg(long, default_value_t = 20)]
     pub token_ms: u64,
-    /// Send the printed requests, print the answers and exit.
+    /// Send the printed requests, print the responses and exit.
     #[arg(long)]
     pub once: bool,
 }
 
-/// Runs the demonstration until it is interrupted.
+/// Runs the demo until it is interrupted.
 ///
 /// # Errors
 ///
-/// Fails if a part cannot be started or, with `--once`, an answer is not as expected.
+/// Returns an error if a stand-in or an instance cannot be started or, with `--once`, if a request
+/// fails.
 pub fn run(args: &Args) -> anyhow::Result<()> {
-    let event_loop = runtime::Builder::new_multi_thread()
+    let async_runtime = runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
-        .context("cannot set up an event loop")?;
-    let stage = Stage::start(args.deployment, args.token_ms)?;
+        .context("cannot start the async runtime")?;
+    let environment = Environment::start(args.deployment, args.token_ms)?;
     if let Some(folder) = &args.settings_dir {
-        let files = stage.write_settings(folder)?;
-        print!("{}", text::settings(&stage, &files));
-        return event_loop.block_on(interrupted());
+        let files = environment.write_settings(folder)?;
+        print!("{}", text::startup_instructions(&environment, &files));
+        return async_runtime.block_on(wait_for_interrupt());
     }
-    let fleet = Fleet::start(&stage)?;
-    event_loop.block_on(fleet.ready())?;
-    let requests = text::requests(&stage, &fleet);
-    print!("{}", text::welcome(&fleet, &requests));
+    let fleet = Fleet::start(&environment)?;
+    async_runtime.block_on(fleet.wait_until_ready())?;
+    let requests = text::sample_requests(&environment, &fleet);
+    print!("{}", text::overview(&fleet, &requests));
     if args.once {
-        event_loop.block_on(text::send(&requests))?;
+        async_runtime.block_on(text::send(&requests))?;
     } else {
-        event_loop.block_on(interrupted())?;
+        async_runtime.block_on(wait_for_interrupt())?;
     }
     fleet.stop();
     Ok(())
 }
 
-async fn interrupted() -> anyhow::Result<()> {
+async fn wait_for_interrupt() -> anyhow::Result<()> {
     println!("Press Ctrl-C to stop.");
     tokio::signal::ctrl_c()
         .await
-        .context("cannot wait for a signal")
+        .context("cannot wait for Ctrl-C")
 }
--- a/crates/ctl/src/demo/text.rs
+++ b/crates/ctl/src/demo/text.rs
@@ -1,16 +1,16 @@
-//! What the demonstration prints, and the requests that it sends itself.
+//! Output of the demo, and the sample requests that it prints and sends.
 
 use super::{
-    environment::Stage,
-    fleet::{Fleet, Member},
+    environment::Environment,
+    fleet::{Fleet, RunningInstance},
 };
 use anyhow::{ensure, Context as _};
 use carobwheel_core::{document::Account, id::RegionId};
 use reqwest::Method;
 use std::{fmt::Write as _, path::PathBuf};
 
-/// A request to try.
-pub(super) struct Sample {
+/// A sample request for the demo's instances.
+pub(super) struct SampleRequest {
     title: &'static str,
     method: Method,
     url: String,
@@ -19,9 +19,9 @@
     body: Option<String>,
 }
 
-impl Sample {
-    /// The request as a `curl` command.
-    fn command(&self) -> String {
+impl SampleRequest {
+    /// Formats the request as a `curl` command.
+    fn curl_command(&self) -> String {
         let mut command = String::from("curl -sS -N");
         if self.method != Method::GET {
             let _ = write!(command, " -X {}", self.method);
@@ -40,11 +40,11 @@
     }
 }
 
-/// Requests to try.
-pub(super) fn requests(stage: &Stage, fleet: &Fleet) -> Vec<Sample> {
-    let document = &stage.document;
+/// Creates the sample requests.
+pub(super) fn sample_requests(environment: &Environment, fleet: &Fleet) -> Vec<SampleRequest> {
+    let document = &environment.document;
     let account = &document.accounts[0];
-    let url = &url_in(fleet, account.bound_region.as_ref());
+    let url = &instance_url(fleet, account.bound_region.as_ref());
     let model = &document.models[0].id;
     let chat = |is_streamed: bool| {
         serde_json::json!({
@@ -55,9 +55,9 @@
         })
         .to_string()
     };
-    let action = document.routes.iter().find(|route| !route.idempotent);
-    let path = action.map_or("/", |route| route.path.as_str());
-    let sample = |title, path: &str, body| Sample {
+    let action_route = document.routes.iter().find(|route| !route.idempotent);
+    let action_path = action_route.map_or("/", |route| route.path.as_str());
+    let sample = |title, path: &str, body| SampleRequest {
         title,
         method: Method::POST,
         url: format!("{url}{path}"),
@@ -65,88 +65,107 @@
         idempotency_key: None,
         body: Some(body),
     };
-    let confirm = |title| Sample {
+    let action = |title| SampleRequest {
         idempotency_key: Some("demo-1"),
-        ..sample(title, path, r#"{"item":"42"}"#.to_owned())
+        ..sample(title, action_path, r#"{"item":"42"}"#.to_owned())
     };
     vec![
-        Sample {
-            title: "Which instances to use",
+        SampleRequest {
+            title: "Instances to send requests to",
             method: Method::GET,
             url: format!("{url}/v1/entry"),
             key: String::new(),
             idempotency_key: None,
             body: None,
         },
-        sample("A streamed answer", "/v1/chat/completions", chat(true)),
-        sample("A whole answer", "/v1/chat/completions", chat(false)),
-        confirm("A record that is made at most once"),
-        confirm("The same record again: the first answer comes back"),
+        sample("A streamed response", "/v1/chat/completions", chat(true)),
+        sample(
+            "A non-streaming response",
+            "/v1/chat/completions",
+            chat(false),
+        ),
+        action("An action that runs at most once"),
+        action("The same action again: the first response is repeated"),
     ]
 }
 
-/// Key of an account in the shipped examples.
+/// Returns the API key of an account in the example documents.
 pub(super) fn demo_key(account: &Account) -> String {
     format!("demo-key-{}", account.id)
 }
 
-fn url_in(fleet: &Fleet, region: Option<&RegionId>) -> String {
-    let is_in = |member: &&Member| region.is_none_or(|region| member.region == *region);
-    let member = fleet.members.iter().find(is_in);
-    member.map_or_else(String::new, |member| member.url.clone())
+fn instance_url(fleet: &Fleet, region: Option<&RegionId>) -> String {
+    let is_in =
+        |instance: &&RunningInstance| region.is_none_or(|region| instance.region == *region);
+    let instance = fleet.instances.iter().find(is_in);
+    instance.map_or_else(String::new, |instance| instance.url.clone())
 }
 
-/// Introduces the fleet and the requests.
-pub(super) fn welcome(fleet: &Fleet, requests: &[Sample]) -> String {
+/// Formats the list of instances and the sample requests.
+pub(super) fn overview(fleet: &Fleet, requests: &[SampleRequest]) -> String {
     let mut text = String::from("Instances:\n");
-    for member in &fleet.members {
+    for instance in &fleet.instances {
         let _ = writeln!(
             text,
             "  {:<14} {:<10} {}",
-            member.id, member.region, member.url
+            instance.id, instance.region, instance.url
         );
     }
     text.push_str("\nTry:\n");
     for request in requests {
-        let _ = writeln!(text, "  # {}\n  {}\n", request.title, request.command());
+        let _ = writeln!(
+            text,
+            "  # {}\n  {}\n",
+            request.title,
+            request.curl_command()
+        );
     }
     text
 }
 
-/// Tells how to run instances as processes of their own.
-pub(super) fn settings(stage: &Stage, files: &[PathBuf]) -> String {
-    let mut text = format!("Store: {}\n\nStart the instances:\n", stage.store.url());
+/// Formats the commands that start the instances as separate processes.
+pub(super) fn startup_instructions(environment: &Environment, files: &[PathBuf]) -> String {
+    let mut text = format!(
+        "Store: {}\n\nStart the instances:\n",
+        environment.store.url()
+    );
     for file in files {
         let _ = writeln!(text, "  carobwheel serve --settings {}", file.display());
     }
-    for account in &stage.document.accounts {
+    for account in &environment.document.accounts {
         let _ = writeln!(text, "Key of {}: {}", account.id, demo_key(account));
     }
-    for upstream in &stage.document.upstreams {
+    for upstream in &environment.document.upstreams {
         let _ = writeln!(text, "Upstream {}: {}", upstream.id, upstream.url);
     }
     text
 }
 
-/// Sends the requests and prints the answers.
-pub(super) async fn send(requests: &[Sample]) -> anyhow::Result<()> {
+/// Sends the requests and prints the responses.
+pub(super) async fn send(requests: &[SampleRequest]) -> anyhow::Result<()> {
     let client = reqwest::Client::builder().no_proxy().build()?;
     for request in requests {
-        let mut call = client.request(request.method.clone(), &request.url);
+        let mut builder = client.request(request.method.clone(), &request.url);
         if !request.key.is_empty() {
-            call = call.bearer_auth(&request.key);
+            builder = builder.bearer_auth(&request.key);
         }
         if let Some(key) = request.idempotency_key {
-            call = call.header("idempotency-key", key);
+            builder = builder.header("idempotency-key", key);
         }
         if let Some(body) = &request.body {
-            call = call
+            builder = builder
                 .header("content-type", "application/json")
                 .body(body.clone());
         }
-        let response = call.send().await.context("an instance does not answer")?;
+        let response = builder
+            .send()
+            .await
+            .context("no response from an instance")?;
         let status = response.status();
-        let body = response.text().await.context("an answer broke off")?;
+        let body = response
+            .text()
+            .await
+            .context("a response ended prematurely")?;
         println!("# {}: {status}\n{}\n", request.title, body.trim_end());
         ensure!(status.is_success(), "`{}` failed", request.title);
     }
--- a/crates/ctl/src/explain/mod.rs
+++ b/crates/ctl/src/explain/mod.rs
@@ -1,24 +1,24 @@
-//! `carobctl explain`: a request's way through the instances, from their logs.
+//! `carobctl explain`: the path of a request through the instances, from their logs.
 
 mod timeline;
 
 use crate::options::{print_line, EXIT_FAULTY_INPUT};
 use std::{fs, path::PathBuf, process::ExitCode};
 
-/// Exit code if no log knows the request.
-const EXIT_UNKNOWN: u8 = 3;
+/// Exit code if no log line names the request.
+const EXIT_REQUEST_NOT_FOUND: u8 = 3;
 
 /// Arguments of `carobctl explain`.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// The caller's identifier of its attempt.
+    /// Attempt ID that the caller sent with the request.
     pub request: String,
-    /// Files with the output of the instances.
+    /// Log files of the instances.
     #[arg(required = true)]
     pub logs: Vec<PathBuf>,
 }
 
-/// Prints what the logs say of the request, in order.
+/// Prints the log lines that concern the request, in order of time.
 pub fn run(args: &Args) -> ExitCode {
     let mut lines = Vec::new();
     for path in &args.logs {
@@ -30,15 +30,15 @@
             }
         }
     }
-    let told = timeline::tell(lines, &args.request);
-    if told.is_empty() {
+    let timeline = timeline::of_request(lines, &args.request);
+    if timeline.is_empty() {
         eprintln!(
-            "carobctl: no line of request {}; lines_left_out may say why",
+            "carobctl: no log line names request {}; an instance may have dropped lines, see its lines_left_out events",
             args.request
         );
-        return ExitCode::from(EXIT_UNKNOWN);
+        return ExitCode::from(EXIT_REQUEST_NOT_FOUND);
     }
-    for line in told {
+    for line in timeline {
         print_line(line);
     }
     ExitCode::SUCCESS
--- a/crates/ctl/src/key/mod.rs
+++ b/crates/ctl/src/key/mod.rs
@@ -1,4 +1,4 @@
-//! `carobctl key`: makes callers' keys and withdraws them.
+//! `carobctl key`: creates and revokes API keys.
 
 use crate::{
     config::{self, StoreArgs},
@@ -15,73 +15,75 @@
 use std::process::ExitCode;
 
 const KEY_PREFIX: &str = "cw-";
-/// Random characters of a key; 40 alphanumerics hold 238 bits.
-const KEY_CHARS: usize = 40;
+/// Number of random characters in a key; 40 alphanumeric characters hold 238 bits of entropy.
+const RANDOM_KEY_CHARS: usize = 40;
 
 /// Arguments of `carobctl key`.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// What to do.
+    /// Command to run.
     #[command(subcommand)]
     pub command: Command,
-    /// Where the document stands.
+    /// Location of the document.
     #[command(flatten)]
     pub store: StoreArgs,
 }
 
-/// What to do with a key.
+/// Subcommands of `carobctl key`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Make a key, publish its digest and print the key once.
+    /// Create a key, publish its digest and print the key, which is not shown again.
     New {
-        /// Client account that the key is for.
+        /// Client account that the key belongs to.
         #[arg(long)]
         account: AccountId,
-        /// Name of the key, unique in the document.
+        /// ID of the key, unique in the document.
         #[arg(long)]
         id: KeyId,
     },
-    /// Withdraw a key.
+    /// Revoke a key.
     Withdraw {
-        /// Name of the key.
+        /// ID of the key.
         #[arg(long)]
         id: KeyId,
     },
 }
 
-/// Runs the command.
+/// Runs the subcommand.
 ///
 /// # Errors
 ///
-/// Fails if the store does not answer or the document has no such account or key.
+/// Returns an error if the store does not respond or the document has no such account or key.
 pub async fn run(args: Args) -> anyhow::Result<ExitCode> {
     match args.command {
         Command::New { account, id } => {
-            let key = new_key();
+            let key = generate_key();
             let digest = identity::digest(&key);
-            let code =
-                config::edit(&args.store, |document| add(document, &account, id, digest)).await?;
+            let code = config::edit_document(&args.store, |document| {
+                add_key(document, &account, id, digest)
+            })
+            .await?;
             if code == ExitCode::SUCCESS {
                 print_line(key);
             }
             Ok(code)
         }
         Command::Withdraw { id } => {
-            config::edit(&args.store, |document| withdraw(document, &id)).await
+            config::edit_document(&args.store, |document| remove_key(document, &id)).await
         }
     }
 }
 
-fn new_key() -> String {
+fn generate_key() -> String {
     let random: String = rand::rng()
         .sample_iter(Alphanumeric)
-        .take(KEY_CHARS)
+        .take(RANDOM_KEY_CHARS)
         .map(char::from)
         .collect();
     format!("{KEY_PREFIX}{random}")
 }
 
-fn add(
+fn add_key(
     document: &mut Document,
     account: &AccountId,
     id: KeyId,
@@ -90,13 +92,13 @@
     let account = document
         .accounts
         .iter_mut()
-        .find(|known| known.id == *account)
+        .find(|candidate| candidate.id == *account)
         .with_context(|| format!("no account `{account}`"))?;
     account.keys.push(ApiKey { id, sha256 });
     Ok(())
 }
 
-fn withdraw(document: &mut Document, id: &KeyId) -> anyhow::Result<()> {
+fn remove_key(document: &mut Document, id: &KeyId) -> anyhow::Result<()> {
     let account = document
         .accounts
         .iter_mut()
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! Operators' and measurement tool of carobwheel, as a library.
+//! Library of `carobctl`, the command-line tool of carobwheel for operation and measurement.
 
 pub mod config;
 pub mod demo;
--- a/crates/ctl/src/load/client.rs
+++ b/crates/ctl/src/load/client.rs
@@ -1,30 +1,30 @@
-//! One caller of the load.
+//! HTTP client that sends the requests of a load run.
 
 use super::Args;
 use reqwest::Client;
 use std::time::{Duration, Instant};
 
-const TIMEOUT: Duration = Duration::from_secs(600);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// How one request ended.
+/// Outcome of one request.
 #[derive(Clone, Debug)]
 pub(super) struct Outcome {
-    /// HTTP status; 0 if there was no answer.
+    /// HTTP status; 0 if there was no response.
     pub(super) status: u16,
-    /// Machine-readable code of a refusal, or what went wrong.
+    /// Error code of the response, or the kind of failure; `None` for a complete response.
     pub(super) code: Option<String>,
-    /// From the scheduled arrival to the first byte of the answer's body.
+    /// Time from the scheduled arrival to the first byte of the response's body.
     pub(super) first_byte: Option<Duration>,
-    /// From the scheduled arrival to the end of the answer.
+    /// Time from the scheduled arrival to the end of the response.
     pub(super) total: Duration,
     /// Longest and summed gaps between chunks, with their number.
     pub(super) gaps: Vec<Duration>,
-    /// The answer was whole.
-    pub(super) is_whole: bool,
+    /// Whether the response was successful and complete.
+    pub(super) is_complete: bool,
 }
 
 impl Outcome {
-    /// A request without an answer.
+    /// Creates the outcome of a request without a response.
     pub(super) fn failed(code: &str) -> Self {
         Self {
             status: 0,
@@ -32,14 +32,14 @@
             first_byte: None,
             total: Duration::ZERO,
             gaps: Vec::new(),
-            is_whole: false,
+            is_complete: false,
         }
     }
 }
 
-/// Sends requests to one base URL.
+/// Client for one base URL.
 #[derive(Clone)]
-pub(super) struct Caller {
+pub(super) struct LoadClient {
     client: Client,
     url: String,
     key: String,
@@ -48,10 +48,13 @@
     is_streamed: bool,
 }
 
-impl Caller {
+impl LoadClient {
     pub(super) fn new(url: &str, key: &str, args: &Args) -> anyhow::Result<Self> {
         Ok(Self {
-            client: Client::builder().no_proxy().timeout(TIMEOUT).build()?,
+            client: Client::builder()
+                .no_proxy()
+                .timeout(REQUEST_TIMEOUT)
+                .build()?,
             url: format!("{}/v1/chat/completions", url.trim_end_matches('/')),
             key: key.to_owned(),
             model: args.model.clone(),
@@ -60,8 +63,8 @@
         })
     }
 
-    /// Sends one request that was due at `arrival`.
-    pub(super) async fn ask(self, prompt: String, arrival: Instant) -> Outcome {
+    /// Sends one request whose scheduled arrival is `arrival`.
+    pub(super) async fn send(self, prompt: String, arrival: Instant) -> Outcome {
         let body = serde_json::json!({
             "model": self.model,
             "stream": self.is_streamed,
@@ -77,7 +80,7 @@
             Ok(outcome) => outcome,
             Err(err) => Outcome {
                 total: arrival.elapsed(),
-                ..Outcome::failed(kind_of(&err))
+                ..Outcome::failed(failure_code(&err))
             },
         }
     }
@@ -95,30 +98,30 @@
             first_byte: None,
             total: Duration::ZERO,
             gaps: Vec::new(),
-            is_whole: false,
+            is_complete: false,
         };
         let mut body = Vec::new();
-        let mut last = arrival;
+        let mut last_chunk = arrival;
         while let Some(chunk) = response.chunk().await? {
             let now = Instant::now();
             match outcome.first_byte {
                 None => outcome.first_byte = Some(now - arrival),
-                Some(_) => outcome.gaps.push(now - last),
+                Some(_) => outcome.gaps.push(now - last_chunk),
             }
-            last = now;
+            last_chunk = now;
             body.extend_from_slice(&chunk);
         }
         outcome.total = arrival.elapsed();
-        let is_stream_whole = !self.is_streamed || body.trim_ascii_end().ends_with(b"[DONE]");
-        outcome.is_whole = status == 200 && is_stream_whole;
-        if !outcome.is_whole {
-            outcome.code = Some(code_of(&body));
+        let has_stream_end = !self.is_streamed || body.trim_ascii_end().ends_with(b"[DONE]");
+        outcome.is_complete = status == 200 && has_stream_end;
+        if !outcome.is_complete {
+            outcome.code = Some(response_code(&body));
         }
         Ok(outcome)
     }
 }
 
-fn kind_of(err: &reqwest::Error) -> &'static str {
+fn failure_code(err: &reqwest::Error) -> &'static str {
     if err.is_timeout() {
         return "timeout";
     }
@@ -128,7 +131,7 @@
     "broken"
 }
 
-fn code_of(body: &[u8]) -> String {
+fn response_code(body: &[u8]) -> String {
     let value: Option<serde_json::Value> = serde_json::from_slice(body).ok();
     value
         .as_ref()
--- a/crates/ctl/src/load/mod.rs
+++ b/crates/ctl/src/load/mod.rs
@@ -1,17 +1,17 @@
-//! `carobctl load`: open-loop load against an instance, beside the same load sent straight to an
-//! engine.
+//! `carobctl load`: open-loop load against an instance, optionally compared with the same load sent
+//! directly to an engine.
 //!
-//! Arrivals follow a seeded Poisson process and do not wait for answers, so a slow answer does not
-//! slow the load down. Latency counts from the scheduled arrival.
+//! Arrivals follow a seeded Poisson process and do not wait for responses, so a slow response does
+//! not reduce the load. Latency is measured from the scheduled arrival.
 
 mod client;
 pub(crate) mod process;
 mod report;
 
 use anyhow::Context as _;
-use client::{Caller, Outcome};
+use client::{LoadClient, Outcome};
 use rand::{rngs::StdRng, Rng as _, SeedableRng as _};
-use report::{Report, Side};
+use report::{Report, RunStats};
 use std::{
     path::PathBuf,
     process::ExitCode,
@@ -28,40 +28,40 @@
     /// Base URL of an instance.
     #[arg(long)]
     pub target: String,
-    /// Base URL of an engine that gets the same load directly, as the baseline.
+    /// Base URL of an engine that receives the same load directly, as a baseline.
     #[arg(long)]
     pub direct: Option<String>,
-    /// Caller's key for the instance.
+    /// API key for the instance.
     #[arg(long, default_value = "")]
     pub key: String,
     /// Credential for the engine.
     #[arg(long, default_value = "")]
     pub direct_key: String,
-    /// Model to ask for.
+    /// Model to request.
     #[arg(long)]
     pub model: String,
-    /// Requests a second.
+    /// Request rate, in requests per second.
     #[arg(long, default_value_t = 100.0)]
     pub rate_per_s: f64,
-    /// Duration of each side, in seconds.
+    /// Duration of each run, in seconds.
     #[arg(long, default_value_t = 10)]
     pub duration_s: u64,
-    /// Words of the prompt.
+    /// Number of words in each prompt.
     #[arg(long, default_value_t = 20)]
     pub prompt_words: usize,
-    /// Output tokens to ask for.
+    /// Maximum number of output tokens to request.
     #[arg(long, default_value_t = 16)]
     pub max_tokens: u64,
-    /// Ask for whole answers instead of streams.
+    /// Request non-streaming responses instead of streams.
     #[arg(long)]
     pub whole: bool,
-    /// Seed of arrivals and prompts.
+    /// Seed for arrivals and prompts.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Process of the instance, for its processor time and memory.
+    /// Process ID of the instance, to measure its processor time and memory.
     #[arg(long)]
     pub pid: Option<u32>,
-    /// File that gets the report as JSON.
+    /// File to write the report to, as JSON.
     #[arg(long)]
     pub json: Option<PathBuf>,
 }
@@ -70,21 +70,22 @@
 ///
 /// # Errors
 ///
-/// Fails if the arguments are out of range or the report cannot be written.
+/// Returns an error if an argument is out of range, the process given by `--pid` cannot be
+/// measured, or the report cannot be written.
 pub async fn run(args: Args) -> anyhow::Result<ExitCode> {
     anyhow::ensure!(
         args.rate_per_s > 0.0 && args.rate_per_s <= MAX_RATE_PER_S,
-        "--rate-per-s has to be above 0 and at most {MAX_RATE_PER_S} requests/s"
+        "--rate-per-s must be above 0 and at most {MAX_RATE_PER_S} requests/s"
     );
     anyhow::ensure!(
         (1..=MAX_DURATION_S).contains(&args.duration_s),
-        "--duration-s has to be 1 to {MAX_DURATION_S} s"
+        "--duration-s must be between 1 and {MAX_DURATION_S} s"
     );
     let direct = match &args.direct {
-        Some(url) => Some(side(&args, url, &args.direct_key, None).await?),
+        Some(url) => Some(run_load(&args, url, &args.direct_key, None).await?),
         None => None,
     };
-    let target = side(&args, &args.target, &args.key, args.pid).await?;
+    let target = run_load(&args, &args.target, &args.key, args.pid).await?;
     let report = Report { target, direct };
     print!("{}", report.text());
     if let Some(path) = &args.json {
@@ -94,38 +95,38 @@
     Ok(ExitCode::SUCCESS)
 }
 
-async fn side(args: &Args, url: &str, key: &str, pid: Option<u32>) -> anyhow::Result<Side> {
-    let caller = Caller::new(url, key, args)?;
+async fn run_load(args: &Args, url: &str, key: &str, pid: Option<u32>) -> anyhow::Result<RunStats> {
+    let client = LoadClient::new(url, key, args)?;
     let mut rng = StdRng::seed_from_u64(args.seed);
-    let before = pid.map(process::usage).transpose()?;
+    let usage_before = pid.map(process::usage).transpose()?;
     let start = Instant::now();
     let end = start + Duration::from_secs(args.duration_s);
     let mut arrival = start;
     let mut running = JoinSet::new();
-    let mut side = Side::default();
+    let mut stats = RunStats::default();
     let mut peak_memory_bytes = 0;
     while arrival < end {
         time::sleep_until(arrival.into()).await;
         let prompt = prompt(&mut rng, args.prompt_words);
-        running.spawn(caller.clone().ask(prompt, arrival));
-        while let Some(ended) = running.try_join_next() {
-            side.add(&ended.unwrap_or_else(|_| Outcome::failed("panicked")));
+        running.spawn(client.clone().send(prompt, arrival));
+        while let Some(outcome) = running.try_join_next() {
+            stats.add(&outcome.unwrap_or_else(|_| Outcome::failed("panicked")));
         }
         arrival += interarrival(&mut rng, args.rate_per_s);
     }
     if let Some(pid) = pid {
         peak_memory_bytes = process::usage(pid)?.memory_bytes;
     }
-    while let Some(ended) = running.join_next().await {
-        side.add(&ended.unwrap_or_else(|_| Outcome::failed("panicked")));
+    while let Some(outcome) = running.join_next().await {
+        stats.add(&outcome.unwrap_or_else(|_| Outcome::failed("panicked")));
     }
-    side.duration = start.elapsed();
-    if let (Some(pid), Some(before)) = (pid, before) {
-        let after = process::usage(pid)?;
-        side.processor_s = Some(after.processor_s - before.processor_s);
-        side.memory_bytes = Some(peak_memory_bytes.max(after.memory_bytes));
+    stats.duration = start.elapsed();
+    if let (Some(pid), Some(usage_before)) = (pid, usage_before) {
+        let usage_after = process::usage(pid)?;
+        stats.processor_s = Some(usage_after.processor_s - usage_before.processor_s);
+        stats.memory_bytes = Some(peak_memory_bytes.max(usage_after.memory_bytes));
     }
-    Ok(side)
+    Ok(stats)
 }
 
 fn interarrival(rng: &mut StdRng, rate_per_s: f64) -> Duration {
--- a/crates/ctl/src/load/process.rs
+++ b/crates/ctl/src/load/process.rs
@@ -2,11 +2,11 @@
 
 use anyhow::Context as _;
 
-// Linux reports processor time in ticks of 1/100 s on every architecture that it calls USER_HZ.
+// Linux reports processor time in clock ticks (`USER_HZ`) of 1/100 s on every architecture.
 const TICKS_PER_S: f64 = 100.0;
 const BYTES_PER_KB: u64 = 1_024;
 
-/// What a process has used.
+/// Resource usage of a process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Usage {
     /// Processor time since its start, in seconds.
@@ -15,15 +15,15 @@
     pub(crate) memory_bytes: u64,
 }
 
-/// What the process `pid` has used.
+/// Reads the resource usage of the process `pid`.
 ///
 /// # Errors
 ///
-/// Fails if there is no such process or `/proc` cannot be read.
+/// Returns an error if there is no such process or `/proc` cannot be read.
 pub(crate) fn usage(pid: u32) -> anyhow::Result<Usage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))
         .with_context(|| format!("no process {pid}"))?;
-    // The name of the program stands in parentheses and may hold spaces.
+    // The second field, the program name, is in parentheses and may contain spaces.
     let (_, fields) = stat
         .rsplit_once(')')
         .context("/proc/PID/stat is malformed")?;
@@ -40,7 +40,8 @@
         .context("/proc/PID/status has no VmRSS")?
         .parse()?;
     Ok(Usage {
-        // Fields 14 and 15 of the file, counted from the one after the name.
+        // Fields 14 (utime) and 15 (stime) of the file; the indices count from the field after the
+        // program name.
         processor_s: (ticks(11)? + ticks(12)?) / TICKS_PER_S,
         memory_bytes: resident_kb * BYTES_PER_KB,
     })
--- a/crates/ctl/src/load/report.rs
+++ b/crates/ctl/src/load/report.rs
@@ -1,51 +1,51 @@
-//! The report of a load.
+//! Report of a load run.
 
 use super::client::Outcome;
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
 use std::{collections::BTreeMap, fmt::Write as _, time::Duration};
 
-const MAX_US: u64 = 3_600_000_000;
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 0.999];
 const US_PER_MS: f64 = 1_000.0;
 const BYTES_PER_MB: f64 = 1e6;
 
-/// What one side of the load showed.
-pub(super) struct Side {
+/// Statistics of one load run against one base URL.
+pub(super) struct RunStats {
     first_byte_us: Histogram<u64>,
     total_us: Histogram<u64>,
     gap_us: Histogram<u64>,
-    whole: u64,
+    complete: u64,
     requests: u64,
-    codes: BTreeMap<String, u64>,
-    /// Duration until the last answer.
+    incomplete_codes: BTreeMap<String, u64>,
+    /// Duration of the run until the end of the last response.
     pub(super) duration: Duration,
-    /// Processor time of the watched process.
+    /// Processor time that the measured process used during the run, in seconds.
     pub(super) processor_s: Option<f64>,
-    /// Resident memory of the watched process.
+    /// Resident memory of the measured process, in bytes.
     pub(super) memory_bytes: Option<u64>,
 }
 
-fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(MAX_US, SIGNIFICANT_DIGITS)
-        .expect("three digits up to an hour are a valid histogram")
+fn new_histogram() -> Histogram<u64> {
+    Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+        .expect("three significant digits up to one hour are valid bounds")
 }
 
-fn record(histogram: &mut Histogram<u64>, duration: Duration) {
-    let us = u64::try_from(duration.as_micros()).unwrap_or(MAX_US);
-    histogram.saturating_record(us.clamp(1, MAX_US));
+fn record_duration(histogram: &mut Histogram<u64>, duration: Duration) {
+    let us = u64::try_from(duration.as_micros()).unwrap_or(MAX_LATENCY_US);
+    histogram.saturating_record(us.clamp(1, MAX_LATENCY_US));
 }
 
-impl Default for Side {
+impl Default for RunStats {
     fn default() -> Self {
         Self {
-            first_byte_us: histogram(),
-            total_us: histogram(),
-            gap_us: histogram(),
-            whole: 0,
+            first_byte_us: new_histogram(),
+            total_us: new_histogram(),
+            gap_us: new_histogram(),
+            complete: 0,
             requests: 0,
-            codes: BTreeMap::new(),
+            incomplete_codes: BTreeMap::new(),
             duration: Duration::ZERO,
             processor_s: None,
             memory_bytes: None,
@@ -53,23 +53,23 @@
     }
 }
 
-impl Side {
-    /// Adds one outcome.
+impl RunStats {
+    /// Adds the outcome of one request.
     pub(super) fn add(&mut self, outcome: &Outcome) {
         self.requests += 1;
-        if !outcome.is_whole {
+        if !outcome.is_complete {
             let code = outcome.code.as_deref().unwrap_or("unknown");
             let label = format!("{} {code}", outcome.status);
-            *self.codes.entry(label).or_default() += 1;
+            *self.incomplete_codes.entry(label).or_default() += 1;
             return;
         }
-        self.whole += 1;
-        record(&mut self.total_us, outcome.total);
+        self.complete += 1;
+        record_duration(&mut self.total_us, outcome.total);
         if let Some(first_byte) = outcome.first_byte {
-            record(&mut self.first_byte_us, first_byte);
+            record_duration(&mut self.first_byte_us, first_byte);
         }
         for gap in &outcome.gaps {
-            record(&mut self.gap_us, *gap);
+            record_duration(&mut self.gap_us, *gap);
         }
     }
 
@@ -81,8 +81,8 @@
     fn json(&self) -> Value {
         json!({
             "requests": self.requests,
-            "whole": self.whole,
-            "not_whole": self.codes,
+            "whole": self.complete,
+            "not_whole": self.incomplete_codes,
             "duration_s": self.duration.as_secs_f64(),
             "first_byte_ms": quantiles_ms(&self.first_byte_us),
             "total_ms": quantiles_ms(&self.total_us),
@@ -96,13 +96,13 @@
     fn write(&self, name: &str, text: &mut String) {
         let _ = writeln!(
             text,
-            "{name}: {} requests, {} whole, {:.1} s",
+            "{name}: {} requests, {} complete, {:.1} s",
             self.requests,
-            self.whole,
+            self.complete,
             self.duration.as_secs_f64()
         );
-        for (label, count) in &self.codes {
-            let _ = writeln!(text, "  not whole: {count} x {label}");
+        for (label, count) in &self.incomplete_codes {
+            let _ = writeln!(text, "  incomplete: {count} x {label}");
         }
         let rows = [
             ("first byte", &self.first_byte_us),
@@ -121,7 +121,7 @@
             let memory_mb = self.memory_bytes.unwrap_or(0) as f64 / BYTES_PER_MB;
             let _ = writeln!(
                 text,
-                "  processor {used_s:.2} s, {rate:.0} requests a core second, {memory_mb:.1} MB"
+                "  processor {used_s:.2} s, {rate:.0} requests per core-second, {memory_mb:.1} MB"
             );
         }
     }
@@ -139,16 +139,16 @@
     Value::Object(pairs.into_iter().collect())
 }
 
-/// Both sides of a load.
+/// Results of a load run through the gateway and of its baseline.
 pub(super) struct Report {
-    /// The load through the gateway.
-    pub(super) target: Side,
-    /// The same load straight to an engine.
-    pub(super) direct: Option<Side>,
+    /// Load sent through the gateway.
+    pub(super) target: RunStats,
+    /// Same load sent directly to an engine, if requested.
+    pub(super) direct: Option<RunStats>,
 }
 
 impl Report {
-    /// The report as JSON.
+    /// Formats the report as JSON.
     pub(super) fn json(&self) -> Value {
         let added = self.direct.as_ref().map(|direct| {
             let added_ms = |quantile| {
@@ -159,12 +159,12 @@
         });
         json!({
             "gateway": self.target.json(),
-            "direct": self.direct.as_ref().map(Side::json),
+            "direct": self.direct.as_ref().map(RunStats::json),
             "added_first_byte_ms": added,
         })
     }
 
-    /// The report as text.
+    /// Formats the report as text.
     pub(super) fn text(&self) -> String {
         let mut text = String::new();
         if let Some(direct) = &self.direct {
--- a/crates/ctl/src/options/mod.rs
+++ b/crates/ctl/src/options/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line options and dispatch to the subcommands.
 
 use crate::{config, demo, experiment, explain, key, load, status};
 use clap::{CommandFactory as _, Parser, Subcommand};
@@ -9,53 +9,53 @@
 };
 use tokio::runtime;
 
-/// Exit code of a failure that is not a fault of the input.
-pub const EXIT_FAILED: u8 = 1;
-/// Exit code of faulty input.
+/// Exit code for a failure that is not caused by invalid input.
+pub const EXIT_FAILURE: u8 = 1;
+/// Exit code for invalid input.
 pub const EXIT_FAULTY_INPUT: u8 = 2;
-/// Exit code of a write that lost a race against another operator.
+/// Exit code for a write rejected because another operator has changed the document.
 pub const EXIT_CONFLICT: u8 = 4;
 
-/// Operators' and measurement tool of carobwheel.
+/// Operation and measurement tool for carobwheel.
 #[derive(Debug, Parser)]
 #[command(name = "carobctl", version)]
 pub struct Options {
-    /// What to do.
+    /// Command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What the tool is asked to do.
+/// Subcommands of `carobctl`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Read, check and publish the configuration document.
     Config(config::Args),
-    /// Make and withdraw callers' keys.
+    /// Create and revoke API keys.
     Key(key::Args),
-    /// Show what an instance knows of itself and the fleet.
+    /// Show the state of an instance and its view of the fleet.
     Status(status::Args),
-    /// Send load to an instance and measure the answers.
+    /// Send load to an instance and measure the responses.
     Load(load::Args),
-    /// Tell a request's way through the instances from their logs.
+    /// Show the path of a request through the instances, from their logs.
     Explain(explain::Args),
     /// Measure decisions against baselines in seeded runs.
     Experiment(experiment::Args),
-    /// Run six instances and their stand-ins in one process.
+    /// Run six instances and stand-ins for their dependencies in one process.
     Demo(demo::Args),
-    /// Print a completion script for a shell.
+    /// Print a shell completion script.
     Completions {
-        /// The shell.
+        /// Shell to generate the script for.
         shell: clap_complete::Shell,
     },
 }
 
-/// Runs the command.
+/// Runs the selected subcommand.
 pub fn run(options: Options) -> ExitCode {
-    let done = match options.command {
-        Command::Config(args) => on_event_loop(config::run(args)),
-        Command::Key(args) => on_event_loop(key::run(args)),
-        Command::Status(args) => on_event_loop(status::run(args)),
-        Command::Load(args) => on_event_loop(load::run(args)),
+    let result = match options.command {
+        Command::Config(args) => run_async(config::run(args)),
+        Command::Key(args) => run_async(key::run(args)),
+        Command::Status(args) => run_async(status::run(args)),
+        Command::Load(args) => run_async(load::run(args)),
         Command::Explain(args) => Ok(explain::run(&args)),
         Command::Experiment(args) => experiment::run(args).map(|()| ExitCode::SUCCESS),
         Command::Demo(args) => demo::run(&args).map(|()| ExitCode::SUCCESS),
@@ -65,19 +65,21 @@
             Ok(ExitCode::SUCCESS)
         }
     };
-    done.unwrap_or_else(|err| {
+    result.unwrap_or_else(|err| {
         eprintln!("carobctl: {err:#}");
-        ExitCode::from(EXIT_FAILED)
+        ExitCode::from(EXIT_FAILURE)
     })
 }
 
-/// Prints a line. A reader that has gone away, such as `head`, ends the output, not the command.
+/// Prints a line to standard output.
+///
+/// Write errors are ignored, so that a closed pipe, as with `head`, does not make the command fail.
 pub fn print_line(line: impl std::fmt::Display) {
     let mut out = io::stdout().lock();
     let _ = writeln!(out, "{line}");
 }
 
-fn on_event_loop(task: impl Future<Output = anyhow::Result<ExitCode>>) -> anyhow::Result<ExitCode> {
+fn run_async(task: impl Future<Output = anyhow::Result<ExitCode>>) -> anyhow::Result<ExitCode> {
     runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?
--- a/crates/ctl/src/status/text.rs
+++ b/crates/ctl/src/status/text.rs
@@ -1,28 +1,28 @@
-//! The status as tables for people.
+//! Human-readable tables of a status.
 
 use serde_json::Value;
 use std::fmt::Write as _;
 
-/// The status page as text.
-pub(super) fn of(status: &Value) -> String {
+/// Formats a status as text.
+pub(super) fn render(status: &Value) -> String {
     let mut text = String::new();
-    head(status, &mut text);
-    members(&status["decisions"]["members"], &mut text);
-    upstreams(&status["decisions"]["upstreams"], &mut text);
-    accounts(&status["requests"]["labels"], &mut text);
-    pairs("refusals", &status["requests"]["refusals"], &mut text);
-    pairs("rollouts", &status["decisions"]["rollouts"], &mut text);
+    write_summary(status, &mut text);
+    write_members(&status["decisions"]["members"], &mut text);
+    write_upstreams(&status["decisions"]["upstreams"], &mut text);
+    write_accounts(&status["requests"]["labels"], &mut text);
+    write_map("refusals", &status["requests"]["refusals"], &mut text);
+    write_map("rollouts", &status["decisions"]["rollouts"], &mut text);
     text.truncate(text.trim_end().len());
     text
 }
 
-// Writing to a string cannot fail.
-fn line(text: &mut String, args: std::fmt::Arguments<'_>) {
+// Writing to a string cannot fail, so the result is ignored.
+fn write_line(text: &mut String, args: std::fmt::Arguments<'_>) {
     let _ = text.write_fmt(args);
     text.push('\n');
 }
 
-fn string(value: &Value) -> String {
+fn cell(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".to_owned(),
@@ -30,117 +30,117 @@
     }
 }
 
-fn head(status: &Value, text: &mut String) {
+fn write_summary(status: &Value, text: &mut String) {
     let decisions = &status["decisions"];
-    line(
+    write_line(
         text,
         format_args!(
             "{} in {} ({}), revision {}",
-            string(&status["instance"]["id"]),
-            string(&status["instance"]["region"]),
-            string(&status["instance"]["data_centre"]),
-            string(&decisions["revision"]),
+            cell(&status["instance"]["id"]),
+            cell(&status["instance"]["region"]),
+            cell(&status["instance"]["data_centre"]),
+            cell(&decisions["revision"]),
         ),
     );
-    line(
+    write_line(
         text,
         format_args!(
             "in flight {}, waiting {}, loans taken {}, given {}, retries {}\n",
-            string(&status["requests_in_flight"]),
-            string(&decisions["waiting"]),
-            string(&decisions["loans_taken"]),
-            string(&decisions["loans_given"]),
-            string(&decisions["retries"]),
+            cell(&status["requests_in_flight"]),
+            cell(&decisions["waiting"]),
+            cell(&decisions["loans_taken"]),
+            cell(&decisions["loans_given"]),
+            cell(&decisions["retries"]),
         ),
     );
 }
 
-fn rows(value: &Value) -> impl Iterator<Item = &Value> {
+fn items(value: &Value) -> impl Iterator<Item = &Value> {
     value.as_array().into_iter().flatten()
 }
 
-fn members(members: &Value, text: &mut String) {
-    line(
+fn write_members(members: &Value, text: &mut String) {
+    write_line(
         text,
         format_args!(
             "{:<20} {:<12} {:<10} {:>8} {:>6}",
             "member", "region", "state", "revision", "slots"
         ),
     );
-    for member in rows(members) {
-        line(
+    for member in items(members) {
+        write_line(
             text,
             format_args!(
                 "{:<20} {:<12} {:<10} {:>8} {:>6}",
-                string(&member["instance"]),
-                string(&member["region"]),
-                string(&member["state"]),
-                string(&member["revision"]),
-                string(&member["slots"]),
+                cell(&member["instance"]),
+                cell(&member["region"]),
+                cell(&member["state"]),
+                cell(&member["revision"]),
+                cell(&member["slots"]),
             ),
         );
     }
     text.push('\n');
 }
 
-fn upstreams(upstreams: &Value, text: &mut String) {
-    line(
+fn write_upstreams(upstreams: &Value, text: &mut String) {
+    write_line(
         text,
         format_args!("{:<28} {:>8} state", "upstream", "requests"),
     );
-    for upstream in rows(upstreams) {
+    for upstream in items(upstreams) {
         let state = match (&upstream["is_leaving"], &upstream["is_ejected"]) {
             (Value::Bool(true), _) => "leaving",
             (_, Value::Bool(true)) => "ejected",
             _ => "in use",
         };
-        line(
+        write_line(
             text,
             format_args!(
                 "{:<28} {:>8} {state}",
-                string(&upstream["upstream"]),
-                string(&upstream["requests"]),
+                cell(&upstream["upstream"]),
+                cell(&upstream["requests"]),
             ),
         );
     }
     text.push('\n');
 }
 
-fn accounts(labels: &Value, text: &mut String) {
-    line(
+fn write_accounts(labels: &Value, text: &mut String) {
+    write_line(
         text,
         format_args!(
             "{:<20} {:<12} {:>9} {:>8} {:>24}",
             "account", "class", "answered", "refused", "first byte p50/95/99 ms"
         ),
     );
-    for label in rows(labels) {
+    for label in items(labels) {
         let first = &label["first_byte"];
         let quantiles = format!(
             "{}/{}/{}",
             first["p50_ms"], first["p95_ms"], first["p99_ms"]
         );
-        line(
+        write_line(
             text,
             format_args!(
                 "{:<20} {:<12} {:>9} {:>8} {quantiles:>24}",
-                string(&label["account"]),
-                string(&label["class"]),
-                string(&label["answered"]),
-                string(&label["refused"]),
+                cell(&label["account"]),
+                cell(&label["class"]),
+                cell(&label["answered"]),
+                cell(&label["refused"]),
             ),
         );
     }
     text.push('\n');
 }
 
-fn pairs(title: &str, map: &Value, text: &mut String) {
+fn write_map(title: &str, map: &Value, text: &mut String) {
     let Some(map) = map.as_object().filter(|map| !map.is_empty()) else {
         return;
     };
-    line(text, format_args!("{title}"));
+    write_line(text, format_args!("{title}"));
     for (name, value) in map {
-        line(text, format_args!("  {name}: {}", string(value)));
+        write_line(text, format_args!("  {name}: {}", cell(value)));
     }
     text.push('\n');
 }
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `carobctl explain` on recorded logs.
+//! Tests of `carobctl explain` on recorded logs.
 
 #![allow(clippy::unwrap_used)]
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_request_is_told_in_order_over_instances() {
+fn lines_of_a_request_are_merged_in_order_of_time() {
     let output = explain(&["57f82b24", "south-1.log", "north-1.log"]);
     assert_eq!(output.status.code(), Some(0));
     insta::assert_snapshot!(String::from_utf8(output.stdout).unwrap(), @r#"
@@ -31,14 +31,14 @@
 }
 
 #[test]
-fn an_unknown_request_is_said_so() {
+fn an_unknown_request_has_its_own_exit_code() {
     let output = explain(&["nobody", "north-1.log"]);
     assert_eq!(output.status.code(), Some(3));
     assert!(output.stdout.is_empty());
 }
 
 #[test]
-fn a_log_that_cannot_be_read_is_named() {
+fn an_unreadable_log_is_named_in_the_error() {
     let output = explain(&["57f82b24", "missing.log"]);
     assert_eq!(output.status.code(), Some(2));
     assert!(String::from_utf8(output.stderr)
