--- a/crates/ctl/src/options/mod.rs
+++ b/crates/ctl/src/options/mod.rs
@@ -28,7 +28,7 @@
 /// Subcommands of `carobctl`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Read, check and publish the configuration document.
+    /// Read, validate and publish the configuration document.
     Config(config::Args),
     /// Create and revoke API keys.
     Key(key::Args),
