--- a/crates/ctl/src/config/mod.rs
+++ b/crates/ctl/src/config/mod.rs
@@ -7,7 +7,7 @@
 use carobwheel_core::document::{Document, Fault};
 use carobwheel_gateway::{
     platform::DOCUMENT_KEY,
-    store::{Record, StoreClient, StoreClientOptions, WriteOutcome},
+    store::{StoreClient, StoreClientOptions, StoredRecord, WriteOutcome},
 };
 use clap::Subcommand;
 use std::{
@@ -129,7 +129,7 @@
     StoreClient::new(options).context("cannot set up the store client")
 }
 
-async fn current(client: &StoreClient) -> anyhow::Result<Option<Record>> {
+async fn current(client: &StoreClient) -> anyhow::Result<Option<StoredRecord>> {
     client
         .get(DOCUMENT_KEY)
         .await
--- a/crates/gateway/src/daemon/mod.rs
+++ b/crates/gateway/src/daemon/mod.rs
@@ -68,7 +68,7 @@
     let has_handed_over = Arc::new(AtomicBool::new(false));
     let store = platform::store_client(settings, incarnation)?;
     let (decide, events) = ring::ring(decide::RING_EVENTS);
-    let (commands, platform_commands) = ring::async_ring(platform::RING_COMMANDS);
+    let (commands, platform_commands) = ring::async_ring(platform::COMMAND_RING_CAPACITY);
     let (forwarded, forwards) = ring::async_ring(RING_FORWARDED);
     let mut threads = Vec::new();
     let links = links::start(settings, tls, &decide, forwarded, cancel.child_token())?;
--- a/crates/gateway/src/intake/action/claims.rs
+++ b/crates/gateway/src/intake/action/claims.rs
@@ -1,6 +1,6 @@
 //! Records of actions in the store.
 
-use crate::store::{Record as Stored, StoreClient, WriteOutcome};
+use crate::store::{StoreClient, StoredRecord as Stored, WriteOutcome};
 use carobwheel_core::{
     once::{ActionRecord, LeaseChoice, LeaseId, LeasePool, OnceKey, StoreAnswer},
     time::Millis,
--- a/crates/gateway/src/intake/forward.rs
+++ b/crates/gateway/src/intake/forward.rs
@@ -5,7 +5,7 @@
     decide::ForwardTo,
     dispatch::{ExchangeError, Head},
     in_flight::Running,
-    peers::{ForwardAnswer, ForwardError, Part},
+    peers::{BodyChunk, ForwardAnswer, ForwardError},
     refusal::{Cause, Execution, Refusal},
     relay::Settling,
 };
@@ -150,15 +150,15 @@
     headers.iter().filter_map(pair).collect()
 }
 
-async fn feed(mut bytes: Bytes, parts: &mpsc::Sender<Part>) {
+async fn feed(mut bytes: Bytes, parts: &mpsc::Sender<BodyChunk>) {
     while !bytes.is_empty() {
         let part = bytes.split_to(bytes.len().min(PART_BYTES));
-        if parts.send(Part::Data(part)).await.is_err() {
+        if parts.send(BodyChunk::Data(part)).await.is_err() {
             return;
         }
     }
     // A peer that has answered early does not need the rest.
-    let _ = parts.send(Part::End).await;
+    let _ = parts.send(BodyChunk::End).await;
 }
 
 async fn relay(answer: ForwardAnswer, running: Running) -> Result<Answer, Refusal> {
@@ -179,11 +179,14 @@
 }
 
 /// Turns the parts of a body into chunks; a body that breaks off ends with an error.
-async fn pump(mut parts: mpsc::Receiver<Part>, chunks: mpsc::Sender<Result<Bytes, ExchangeError>>) {
+async fn pump(
+    mut parts: mpsc::Receiver<BodyChunk>,
+    chunks: mpsc::Sender<Result<Bytes, ExchangeError>>,
+) {
     loop {
         let chunk = match parts.recv().await {
-            Some(Part::Data(bytes)) => Ok(bytes),
-            Some(Part::End) => return,
+            Some(BodyChunk::Data(bytes)) => Ok(bytes),
+            Some(BodyChunk::End) => return,
             None => Err(ExchangeError::Broken(
                 "the other instance broke off its answer".to_owned(),
             )),
--- a/crates/gateway/src/intake/forwarded.rs
+++ b/crates/gateway/src/intake/forwarded.rs
@@ -13,7 +13,7 @@
 };
 use crate::{
     in_flight::Running,
-    peers::{IncomingForward, Part, ReplyBody},
+    peers::{BodyChunk, IncomingForward, ReplyBody},
     refusal::{Cause, Refusal},
     relay::RelayBody,
     report::Trace,
@@ -107,7 +107,7 @@
 async fn run(
     shared: &Arc<Shared>,
     head: &[u8],
-    parts: mpsc::Receiver<Part>,
+    parts: mpsc::Receiver<BodyChunk>,
     running: Running,
 ) -> Result<Answer, Refusal> {
     let head: ForwardedHead = postcard::from_bytes(head).map_err(|_| malformed())?;
@@ -159,12 +159,12 @@
 }
 
 /// The whole body, or none if it broke off or is not as long as announced.
-async fn gather(mut parts: mpsc::Receiver<Part>, body_bytes: u64) -> Option<Bytes> {
+async fn gather(mut parts: mpsc::Receiver<BodyChunk>, body_bytes: u64) -> Option<Bytes> {
     let mut body = BytesMut::new();
     loop {
         match parts.recv().await? {
-            Part::Data(bytes) => body.extend_from_slice(&bytes),
-            Part::End => break,
+            BodyChunk::Data(bytes) => body.extend_from_slice(&bytes),
+            BodyChunk::End => break,
         }
         if body.len() as u64 > body_bytes {
             return None;
@@ -206,12 +206,12 @@
 
 async fn send_body(body: AnswerBody, parts: ReplyBody) {
     let is_whole = match body {
-        AnswerBody::Whole(bytes) => parts.send(Part::Data(bytes)).await.is_ok(),
+        AnswerBody::Whole(bytes) => parts.send(BodyChunk::Data(bytes)).await.is_ok(),
         AnswerBody::Stream(body) | AnswerBody::Long(body, _) => send_stream(*body, &parts).await,
     };
     if is_whole {
         // The peer may have gone away at the very end.
-        let _ = parts.send(Part::End).await;
+        let _ = parts.send(BodyChunk::End).await;
     }
 }
 
@@ -221,7 +221,7 @@
         match body.read_buf(&mut part).await {
             Ok(0) => return true,
             Ok(_) => {
-                if parts.send(Part::Data(part.freeze())).await.is_err() {
+                if parts.send(BodyChunk::Data(part.freeze())).await.is_err() {
                     return false;
                 }
             }
--- a/crates/gateway/src/peers/forward.rs
+++ b/crates/gateway/src/peers/forward.rs
@@ -1,6 +1,6 @@
 //! Requests of callers, forwarded to another instance, with a streamed answer.
 //!
-//! A body is a sequence of [`Part`]s that ends with [`Part::End`]. A channel that closes without
+//! A body is a sequence of [`BodyChunk`]s that ends with [`BodyChunk::End`]. A channel that closes without
 //! it says that the body broke off, on either side.
 
 use super::dial::link_to;
@@ -26,7 +26,7 @@
 
 /// One part of a body.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum BodyChunk {
     /// Bytes.
     Data(Bytes),
     /// The body is whole.
@@ -39,7 +39,7 @@
     /// Head of the answer.
     pub head: Vec<u8>,
     /// Body of the answer.
-    pub body: mpsc::Receiver<Part>,
+    pub body: mpsc::Receiver<BodyChunk>,
 }
 
 /// A request that a peer has forwarded to this instance.
@@ -50,7 +50,7 @@
     /// Head of the request.
     pub head: Vec<u8>,
     /// Body of the request.
-    pub body: mpsc::Receiver<Part>,
+    pub body: mpsc::Receiver<BodyChunk>,
     /// Where the answer goes.
     pub reply: ForwardReply,
     /// Cancelled when the peer has given up the request or the link is lost.
@@ -60,11 +60,11 @@
 /// Where the answer to a forwarded request goes. Dropping it breaks the request off.
 #[derive(Debug)]
 pub struct ForwardReply {
-    answer: oneshot::Sender<(Vec<u8>, mpsc::Receiver<Part>)>,
+    answer: oneshot::Sender<(Vec<u8>, mpsc::Receiver<BodyChunk>)>,
 }
 
-/// Where the body of an answer goes. Dropping it before [`Part::End`] breaks the answer off.
-pub type ReplyBody = mpsc::Sender<Part>;
+/// Where the body of an answer goes. Dropping it before [`BodyChunk::End`] breaks the answer off.
+pub type ReplyBody = mpsc::Sender<BodyChunk>;
 
 impl ForwardReply {
     /// Sends the head of the answer; the body follows. Sending to the body fails once the peer
@@ -82,7 +82,7 @@
     pub(super) to: InstanceId,
     pub(super) addr: SocketAddr,
     pub(super) head: Vec<u8>,
-    pub(super) body: mpsc::Receiver<Part>,
+    pub(super) body: mpsc::Receiver<BodyChunk>,
     pub(super) answer: oneshot::Sender<Result<ForwardAnswer, ForwardError>>,
 }
 
@@ -187,7 +187,7 @@
 
 async fn write_answer(
     head: Vec<u8>,
-    parts: mpsc::Receiver<Part>,
+    parts: mpsc::Receiver<BodyChunk>,
     mut send: quinn::SendStream,
     link: &Link,
 ) -> bool {
--- a/crates/gateway/src/peers/handle.rs
+++ b/crates/gateway/src/peers/handle.rs
@@ -2,7 +2,7 @@
 
 use super::counters::Counters;
 use super::document::Served;
-use super::forward::{ForwardAnswer, IncomingForward, OutgoingForward, Part};
+use super::forward::{BodyChunk, ForwardAnswer, IncomingForward, OutgoingForward};
 use super::run::{run, Command};
 use super::tls::TlsConfigs;
 use super::{ForwardError, PeerError, PeerSettings, PeerStats, QueueFull, TlsMaterial};
@@ -76,7 +76,7 @@
     let tls = TlsConfigs::new(&settings.tls, &settings.instance, &settings.versions)?;
     let socket = UdpSocket::bind(settings.listen).map_err(PeerError::Bind)?;
     let local_addr = socket.local_addr().map_err(PeerError::Bind)?;
-    let (commands, queue) = mpsc::channel(settings.queue_commands);
+    let (commands, queue) = mpsc::channel(settings.max_queued_commands);
     let document = Arc::new(ArcSwapOption::empty());
     let counters = Arc::new(Counters::default());
     let handle = Handle {
@@ -164,7 +164,7 @@
         to: InstanceId,
         addr: SocketAddr,
         head: Vec<u8>,
-        body: mpsc::Receiver<Part>,
+        body: mpsc::Receiver<BodyChunk>,
     ) -> Result<ForwardAnswer, ForwardError> {
         let (answer, answered) = oneshot::channel();
         let forward = OutgoingForward {
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -27,6 +27,6 @@
 
 pub use counters::PeerStats;
 pub use error::{ForwardError, PeerError, QueueFull};
-pub use forward::{ForwardAnswer, ForwardReply, IncomingForward, Part, ReplyBody};
+pub use forward::{BodyChunk, ForwardAnswer, ForwardReply, IncomingForward, ReplyBody};
 pub use handle::{start, Handle, Inbound, Sinks};
 pub use settings::{PeerSettings, TlsMaterial};
--- a/crates/gateway/src/peers/pump.rs
+++ b/crates/gateway/src/peers/pump.rs
@@ -1,6 +1,6 @@
 //! Bodies between streams and the channels of the rest of the program.
 
-use super::forward::Part;
+use super::forward::BodyChunk;
 use super::link::Link;
 use bytes::Bytes;
 use tokio::sync::mpsc;
@@ -14,7 +14,7 @@
 /// whether the whole body was written.
 pub(super) async fn write_body(
     mut stream: quinn::SendStream,
-    mut body: mpsc::Receiver<Part>,
+    mut body: mpsc::Receiver<BodyChunk>,
     link: &Link,
 ) -> bool {
     loop {
@@ -23,8 +23,8 @@
             _ = stream.stopped() => None,
         };
         let is_written = match part {
-            Some(Part::Data(bytes)) => write_part(&mut stream, bytes, link).await,
-            Some(Part::End) => return stream.finish().is_ok(),
+            Some(BodyChunk::Data(bytes)) => write_part(&mut stream, bytes, link).await,
+            Some(BodyChunk::End) => return stream.finish().is_ok(),
             None => false,
         };
         if !is_written {
@@ -47,7 +47,7 @@
 /// whether the whole body was read and taken.
 pub(super) async fn read_body(
     mut stream: quinn::RecvStream,
-    body: mpsc::Sender<Part>,
+    body: mpsc::Sender<BodyChunk>,
     link: &Link,
 ) -> bool {
     loop {
@@ -56,12 +56,12 @@
             () = body.closed() => break,
         };
         let part = match chunk {
-            Ok(Some(chunk)) => Part::Data(chunk.bytes),
-            Ok(None) => Part::End,
+            Ok(Some(chunk)) => BodyChunk::Data(chunk.bytes),
+            Ok(None) => BodyChunk::End,
             Err(_) => return false,
         };
         link.note_received();
-        let is_end = matches!(part, Part::End);
+        let is_end = matches!(part, BodyChunk::End);
         if body.send(part).await.is_err() {
             break;
         }
--- a/crates/gateway/src/peers/run.rs
+++ b/crates/gateway/src/peers/run.rs
@@ -168,8 +168,8 @@
 
 /// Drops silent links, closes idle and retired ones, and tests those with open requests.
 fn check_links(shared: &Rc<Shared>) {
-    let silent = Duration::from_millis(shared.settings.silent_ms);
-    let idle = Duration::from_millis(shared.settings.idle_ms);
+    let silent = Duration::from_millis(shared.settings.reply_timeout_ms);
+    let idle = Duration::from_millis(shared.settings.idle_timeout_ms);
     let links = shared.links.borrow().all();
     shared
         .counters
--- a/crates/gateway/src/peers/settings.rs
+++ b/crates/gateway/src/peers/settings.rs
@@ -32,12 +32,12 @@
     /// Protocol versions offered to peers.
     pub versions: RangeInclusive<u8>,
     /// Time for which a link may carry nothing before it is closed, in milliseconds.
-    pub idle_ms: u64,
+    pub idle_timeout_ms: u64,
     /// Time without an answer to at least two messages after which a link counts as silent, in
     /// milliseconds.
-    pub silent_ms: u64,
+    pub reply_timeout_ms: u64,
     /// Commands that may wait for the thread.
-    pub queue_commands: usize,
+    pub max_queued_commands: usize,
 }
 
 impl PeerSettings {
@@ -48,9 +48,9 @@
             listen,
             tls,
             versions: VERSIONS,
-            idle_ms: IDLE_MS,
-            silent_ms: SILENT_MS,
-            queue_commands: 1_024,
+            idle_timeout_ms: IDLE_MS,
+            reply_timeout_ms: SILENT_MS,
+            max_queued_commands: 1_024,
         }
     }
 }
--- a/crates/gateway/src/platform/document.rs
+++ b/crates/gateway/src/platform/document.rs
@@ -5,7 +5,7 @@
     decide,
     in_force::InForce,
     ring::Sender,
-    store::{Change, Record, Scope, StoreClient, WatchUpdate},
+    store::{Change, KeyRange, StoreClient, StoredRecord, WatchUpdate},
 };
 use std::{sync::Arc, time::Duration};
 use tokio::{sync::watch, time};
@@ -50,7 +50,7 @@
 
 /// Reads the document as soon as the store answers; returns the revision to watch from.
 async fn read(store: &StoreClient, decide: &Sender<decide::Event>) -> i64 {
-    let scope = Scope::Key(DOCUMENT_KEY.to_owned());
+    let scope = KeyRange::Key(DOCUMENT_KEY.to_owned());
     loop {
         match store.read(&scope).await {
             Ok(snapshot) => {
@@ -66,7 +66,7 @@
 }
 
 async fn watch_from(revision: i64, store: &StoreClient, decide: &Sender<decide::Event>) {
-    let mut watch = store.watch(Scope::Key(DOCUMENT_KEY.to_owned()), revision);
+    let mut watch = store.watch(KeyRange::Key(DOCUMENT_KEY.to_owned()), revision);
     loop {
         match watch.next().await {
             WatchUpdate::Changes(changes) => {
@@ -95,7 +95,7 @@
 }
 
 /// Validates a document and hands it on. An invalid one is left out as a whole.
-async fn take(record: &Record, decide: &Sender<decide::Event>) {
+async fn take(record: &StoredRecord, decide: &Sender<decide::Event>) {
     let Ok(revision) = u64::try_from(record.mod_revision) else {
         return;
     };
--- a/crates/gateway/src/platform/mod.rs
+++ b/crates/gateway/src/platform/mod.rs
@@ -29,7 +29,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Commands that wait for the platform thread at most.
-pub const RING_COMMANDS: usize = 256;
+pub const COMMAND_RING_CAPACITY: usize = 256;
 /// Longest silence of a watch before it moves to a new connection, in milliseconds.
 const WATCH_IDLE_MS: u64 = 4_000;
 const RING_PAUSE: Duration = Duration::from_millis(5);
@@ -73,8 +73,8 @@
 pub fn store_client(settings: &Settings, incarnation: u64) -> anyhow::Result<StoreClient> {
     let writer = format!("{}.{incarnation:x}", settings.instance.id);
     let options = StoreClientOptions {
-        attempt_deadline_ms: settings.store.timeout_ms,
-        idle_deadline_ms: WATCH_IDLE_MS,
+        attempt_timeout_ms: settings.store.timeout_ms,
+        watch_idle_timeout_ms: WATCH_IDLE_MS,
         ..StoreClientOptions::new(&settings.store.url, writer)
     };
     StoreClient::new(options).context("cannot set up the store client")
--- a/crates/gateway/src/platform/slots.rs
+++ b/crates/gateway/src/platform/slots.rs
@@ -4,7 +4,7 @@
 use crate::{
     decide::{self, SlotsRead},
     ring::Sender,
-    store::{Change, Record as Stored, Scope, StoreClient, WatchUpdate, WriteOutcome},
+    store::{Change, KeyRange, StoreClient, StoredRecord as Stored, WatchUpdate, WriteOutcome},
 };
 use carobwheel_core::{
     id::RegionId,
@@ -20,7 +20,7 @@
 
 /// Reads the records of all regions and reports every change, for ever.
 pub(super) async fn follow(store: &StoreClient, clock: Clock, decide: &Sender<decide::Event>) {
-    let scope = Scope::Prefix(PREFIX.to_owned());
+    let scope = KeyRange::Prefix(PREFIX.to_owned());
     let (began, snapshot) = loop {
         let began = clock.now();
         match store.read(&scope).await {
--- a/crates/gateway/src/platform/verdicts.rs
+++ b/crates/gateway/src/platform/verdicts.rs
@@ -4,7 +4,7 @@
 use crate::{
     decide,
     ring::Sender,
-    store::{Record, StoreClient, WriteOutcome},
+    store::{StoreClient, StoredRecord, WriteOutcome},
 };
 use carobwheel_core::{
     id::{InstanceId, RolloutId},
@@ -72,7 +72,7 @@
     }
 }
 
-fn found(record: &Record) -> VerdictAnswer {
+fn found(record: &StoredRecord) -> VerdictAnswer {
     match serde_json::from_slice::<VerdictRecord>(&record.value) {
         Ok(stored) => VerdictAnswer::Found(stored.verdict),
         Err(err) => {
--- a/crates/gateway/src/store/backoff.rs
+++ b/crates/gateway/src/store/backoff.rs
@@ -9,22 +9,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffOptions {
     /// Failures in a row before calls pause (1 or more).
-    pub tolerated_failures: u32,
+    pub failure_threshold: u32,
     /// Longest first pause, in milliseconds.
-    pub first_ms: u64,
+    pub max_first_delay_ms: u64,
     /// Longest pause, in milliseconds.
-    pub longest_ms: u64,
+    pub max_delay_ms: u64,
     /// Time that a single attempt has before the next one may follow, in milliseconds.
-    pub attempt_ms: u64,
+    pub attempt_interval_ms: u64,
 }
 
 impl Default for BackoffOptions {
     fn default() -> Self {
         Self {
-            tolerated_failures: 3,
-            first_ms: 500,
-            longest_ms: 8_000,
-            attempt_ms: 3_000,
+            failure_threshold: 3,
+            max_first_delay_ms: 500,
+            max_delay_ms: 8_000,
+            attempt_interval_ms: 3_000,
         }
     }
 }
@@ -49,7 +49,7 @@
 
     /// Calls pause, except for single attempts.
     pub fn is_open(&self) -> bool {
-        self.failures >= self.options.tolerated_failures
+        self.failures >= self.options.failure_threshold
     }
 
     /// Admits a call. After a pause one attempt at a time goes out.
@@ -64,12 +64,12 @@
         if now < self.until {
             return Err(self.until.since(now));
         }
-        self.until = now.plus(self.options.attempt_ms);
+        self.until = now.plus(self.options.attempt_interval_ms);
         Ok(())
     }
 
     /// Notes that the store has answered.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
@@ -80,16 +80,17 @@
         clippy::cast_precision_loss,
         clippy::cast_sign_loss
     )]
-    pub fn failed(&mut self, now: Millis, jitter: f64) {
+    pub fn record_failure(&mut self, now: Millis, jitter: f64) {
         self.failures = self.failures.saturating_add(1);
         if !self.is_open() {
             return;
         }
-        let doublings = self.failures - self.options.tolerated_failures;
+        let doublings = self.failures - self.options.failure_threshold;
         let factor = 1_u64 << doublings.min(MAX_DOUBLINGS);
-        let longest_ms = (self.options.first_ms * factor).min(self.options.longest_ms);
-        let shortest_ms = longest_ms / 4;
-        let spread_ms = (longest_ms - shortest_ms) as f64 * jitter;
+        let max_delay_ms =
+            (self.options.max_first_delay_ms * factor).min(self.options.max_delay_ms);
+        let shortest_ms = max_delay_ms / 4;
+        let spread_ms = (max_delay_ms - shortest_ms) as f64 * jitter;
         self.until = now.plus(shortest_ms + spread_ms as u64);
     }
 }
--- a/crates/gateway/src/store/budget.rs
+++ b/crates/gateway/src/store/budget.rs
@@ -70,12 +70,12 @@
 
 /// Calls that one instance may make.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
+pub struct CallBudget {
     reads: Bucket,
     writes: Bucket,
 }
 
-impl Budget {
+impl CallBudget {
     /// The share of one of `instances` instances. Each holds one waiting watch.
     pub fn for_fleet(instances: u32, now: Millis) -> Self {
         let (reads_per_s, writes_per_s) = shares(instances);
--- a/crates/gateway/src/store/call.rs
+++ b/crates/gateway/src/store/call.rs
@@ -39,7 +39,7 @@
 impl StoreClient {
     /// Waits for the place of one call in the budget.
     pub(super) async fn admit(&self, kind: CallKind) -> Result<(), StoreError> {
-        let deadline_ms = self.inner.options.budget_deadline_ms;
+        let deadline_ms = self.inner.options.budget_timeout_ms;
         let start = self.inner.clock.now();
         loop {
             let now = self.inner.clock.now();
@@ -70,7 +70,7 @@
         request: &impl Serialize,
         connection: Connection,
     ) -> Result<A, StoreError> {
-        let deadline_ms = self.inner.options.attempt_deadline_ms;
+        let deadline_ms = self.inner.options.attempt_timeout_ms;
         let exchange = async {
             let response = self.send(path, request, connection).await?;
             let body = response.bytes().await.map_err(broken)?;
@@ -140,8 +140,8 @@
         let jitter = self.jitter();
         let mut backoff = lock(&self.inner.backoff);
         match error {
-            Some(err) if err.is_worth_another_attempt() => backoff.failed(now, jitter),
-            _ => backoff.succeeded(),
+            Some(err) if err.is_worth_another_attempt() => backoff.record_failure(now, jitter),
+            _ => backoff.record_success(),
         }
         let is_open = backoff.is_open();
         drop(backoff);
--- a/crates/gateway/src/store/mod.rs
+++ b/crates/gateway/src/store/mod.rs
@@ -15,11 +15,11 @@
 mod write;
 
 pub use backoff::{Backoff, BackoffOptions};
-pub use budget::{Budget, CallKind, FLEET_READS_PER_S, FLEET_WRITES_PER_S};
+pub use budget::{CallBudget, CallKind, FLEET_READS_PER_S, FLEET_WRITES_PER_S};
 pub use error::StoreError;
 pub use lease::LeaseState;
-pub use read::{Scope, Snapshot};
-pub use record::{Record, PLAIN_PREFIX};
+pub use read::{KeyRange, Snapshot};
+pub use record::{StoredRecord, PLAIN_PREFIX};
 pub use watch::{Change, Watch, WatchUpdate};
 pub use write::WriteOutcome;
 
@@ -39,11 +39,11 @@
     /// Name of this writer; no other process and no earlier start of this one may have the same.
     pub writer: String,
     /// Longest time for one attempt of a call, in milliseconds.
-    pub attempt_deadline_ms: u64,
+    pub attempt_timeout_ms: u64,
     /// Longest time that a call waits for its place in the budget, in milliseconds.
-    pub budget_deadline_ms: u64,
+    pub budget_timeout_ms: u64,
     /// Longest silence of a watch before it moves to a new connection, in milliseconds.
-    pub idle_deadline_ms: u64,
+    pub watch_idle_timeout_ms: u64,
     /// Number of instances that share the store's rates (1 or more).
     pub instances: u32,
     /// Pauses between attempts to reach a store that does not answer.
@@ -58,9 +58,9 @@
         Self {
             url: url.into(),
             writer: writer.into(),
-            attempt_deadline_ms: 1_500,
-            budget_deadline_ms: 1_000,
-            idle_deadline_ms: 10_000,
+            attempt_timeout_ms: 1_500,
+            budget_timeout_ms: 1_000,
+            watch_idle_timeout_ms: 10_000,
             instances: 1,
             backoff: BackoffOptions::default(),
             seed: rand::random(),
@@ -76,7 +76,7 @@
     /// Opens a connection for each call.
     fresh: reqwest::Client,
     next_mark: AtomicU64,
-    budget: Mutex<Budget>,
+    budget: Mutex<CallBudget>,
     backoff: Mutex<Backoff>,
     rng: Mutex<StdRng>,
 }
@@ -99,7 +99,7 @@
             pooled: ArcSwap::from_pointee(call::build_client(true)?),
             fresh: call::build_client(false)?,
             next_mark: AtomicU64::new(1),
-            budget: Mutex::new(Budget::for_fleet(options.instances, clock.now())),
+            budget: Mutex::new(CallBudget::for_fleet(options.instances, clock.now())),
             backoff: Mutex::new(Backoff::new(options.backoff)),
             rng: Mutex::new(StdRng::seed_from_u64(options.seed)),
             clock,
--- a/crates/gateway/src/store/read.rs
+++ b/crates/gateway/src/store/read.rs
@@ -1,6 +1,6 @@
 //! Reads.
 
-use super::{CallKind, Record, StoreClient, StoreError};
+use super::{CallKind, StoreClient, StoreError, StoredRecord};
 use carobwheel_wire::etcd::{prefix_end, RangeRequest, RangeResponse, RANGE_PATH};
 
 /// Most keys in one answer.
@@ -8,14 +8,14 @@
 
 /// Keys that a read or a watch is about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum KeyRange {
     /// One key.
     Key(String),
     /// All keys with this prefix.
     Prefix(String),
 }
 
-impl Scope {
+impl KeyRange {
     /// First key and end of the range.
     pub(super) fn bounds(&self) -> (Vec<u8>, Vec<u8>) {
         match self {
@@ -31,7 +31,7 @@
     /// Revision of the store; a watch goes on from the next one.
     pub revision: i64,
     /// Keys found, in ascending order.
-    pub records: Vec<Record>,
+    pub records: Vec<StoredRecord>,
 }
 
 impl StoreClient {
@@ -40,8 +40,8 @@
     /// # Errors
     ///
     /// Fails when neither of two attempts gave an answer.
-    pub async fn get(&self, key: &str) -> Result<Option<Record>, StoreError> {
-        let snapshot = self.read(&Scope::Key(key.to_owned())).await?;
+    pub async fn get(&self, key: &str) -> Result<Option<StoredRecord>, StoreError> {
+        let snapshot = self.read(&KeyRange::Key(key.to_owned())).await?;
         Ok(snapshot.records.into_iter().next())
     }
 
@@ -51,7 +51,7 @@
     ///
     /// Fails when neither of two attempts gave an answer.
     pub async fn range(&self, prefix: &str) -> Result<Snapshot, StoreError> {
-        self.read(&Scope::Prefix(prefix.to_owned())).await
+        self.read(&KeyRange::Prefix(prefix.to_owned())).await
     }
 
     /// Reads the keys of `scope`, all at the same revision.
@@ -59,7 +59,7 @@
     /// # Errors
     ///
     /// Fails when neither of two attempts gave an answer.
-    pub async fn read(&self, scope: &Scope) -> Result<Snapshot, StoreError> {
+    pub async fn read(&self, scope: &KeyRange) -> Result<Snapshot, StoreError> {
         let (key, range_end) = scope.bounds();
         let mut request = RangeRequest {
             key,
@@ -77,7 +77,7 @@
             let last_key = page.kvs.last().map(|kv| kv.key.clone());
             snapshot
                 .records
-                .extend(page.kvs.into_iter().map(Record::new));
+                .extend(page.kvs.into_iter().map(StoredRecord::new));
             match last_key {
                 Some(last_key) if page.more => {
                     request.key = last_key;
--- a/crates/gateway/src/store/record.rs
+++ b/crates/gateway/src/store/record.rs
@@ -21,7 +21,7 @@
 
 /// A key as the store holds it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Record {
+pub struct StoredRecord {
     /// The key.
     pub key: String,
     /// The value without its envelope.
@@ -38,7 +38,7 @@
     pub lease: i64,
 }
 
-impl Record {
+impl StoredRecord {
     pub(super) fn new(kv: KeyValue) -> Self {
         let (value, mark) = open(&kv.key, kv.value);
         Self {
--- a/crates/gateway/src/store/watch.rs
+++ b/crates/gateway/src/store/watch.rs
@@ -2,7 +2,7 @@
 
 use super::{
     call::{broken, Connection},
-    CallKind, Record, Scope, Snapshot, StoreClient, StoreError,
+    CallKind, KeyRange, Snapshot, StoreClient, StoreError, StoredRecord,
 };
 use carobwheel_wire::etcd::{
     EventKind, StreamItem, WatchCreateRequest, WatchRequest, WatchResponse, WATCH_PATH,
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// The key was written.
-    Put(Record),
+    Put(StoredRecord),
     /// The key was deleted, or its lease has expired.
     Deleted {
         /// The key.
@@ -55,7 +55,7 @@
 /// A watch that goes on over lost and silent connections. Dropping it closes its connection.
 pub struct Watch {
     client: StoreClient,
-    scope: Scope,
+    scope: KeyRange,
     /// First revision that has not been reported; 0 for changes from now on.
     next_revision: i64,
     link: Option<Link>,
@@ -66,7 +66,7 @@
 
 impl StoreClient {
     /// Watches the keys of `scope` from `from_revision` on; 0 stands for changes from now on.
-    pub fn watch(&self, scope: Scope, from_revision: i64) -> Watch {
+    pub fn watch(&self, scope: KeyRange, from_revision: i64) -> Watch {
         Watch {
             client: self.clone(),
             scope,
@@ -129,8 +129,8 @@
             return Ok(None);
         };
         let silence_ms = match link.has_spoken {
-            true => idle_deadline_ms(&self.client),
-            false => self.client.inner.options.attempt_deadline_ms,
+            true => watch_idle_timeout_ms(&self.client),
+            false => self.client.inner.options.attempt_timeout_ms,
         };
         match timeout(Duration::from_millis(silence_ms), link.next_line()).await {
             Ok(line) => {
@@ -173,7 +173,7 @@
                 progress_notify: true,
             },
         };
-        let deadline_ms = self.client.inner.options.attempt_deadline_ms;
+        let deadline_ms = self.client.inner.options.attempt_timeout_ms;
         let sending = self.client.send(WATCH_PATH, &request, Connection::Fresh);
         let result = timeout(Duration::from_millis(deadline_ms), sending)
             .await
@@ -223,7 +223,7 @@
             }
             self.next_revision = self.next_revision.max(revision + 1);
             changes.push(match event.kind {
-                EventKind::Put => Change::Put(Record::new(event.kv)),
+                EventKind::Put => Change::Put(StoredRecord::new(event.kv)),
                 EventKind::Delete => Change::Deleted {
                     key: String::from_utf8_lossy(&event.kv.key).into_owned(),
                     revision,
@@ -268,7 +268,7 @@
     clippy::cast_precision_loss,
     clippy::cast_sign_loss
 )]
-fn idle_deadline_ms(client: &StoreClient) -> u64 {
-    let longest_ms = client.inner.options.idle_deadline_ms as f64;
+fn watch_idle_timeout_ms(client: &StoreClient) -> u64 {
+    let longest_ms = client.inner.options.watch_idle_timeout_ms as f64;
     (longest_ms * (1.0 - IDLE_SPREAD * client.jitter())) as u64
 }
--- a/crates/gateway/src/store/write.rs
+++ b/crates/gateway/src/store/write.rs
@@ -1,6 +1,6 @@
 //! Writes, and settling those whose answer was lost.
 
-use super::{call::Connection, record, CallKind, Record, StoreClient, StoreError};
+use super::{call::Connection, record, CallKind, StoreClient, StoreError, StoredRecord};
 use carobwheel_wire::etcd::{
     Compare, DeleteRangeRequest, KeyValue, PutRequest, PutResponse, RangeRequest, RangeResponse,
     RequestOp, ResponseOp, TxnRequest, TxnResponse, MAX_VALUE_BYTES, PUT_PATH, RANGE_PATH,
@@ -23,7 +23,7 @@
     /// The key was not as expected, and the write had no effect.
     Conflict {
         /// The key as it stands; `None` if absent.
-        current: Option<Record>,
+        current: Option<StoredRecord>,
     },
     /// The write had no effect, and the state of the key is not known.
     NotWritten {
@@ -181,7 +181,7 @@
     /// Finds out whether a first attempt took effect, given what stands at the key now.
     async fn settle(&self, write: &Write<'_>, current: Option<KeyValue>) -> WriteOutcome {
         let conflict = WriteOutcome::Conflict {
-            current: current.clone().map(Record::new),
+            current: current.clone().map(StoredRecord::new),
         };
         let Some(mut seen) = current else {
             return match &write.stored {
@@ -235,7 +235,7 @@
         };
     }
     WriteOutcome::Conflict {
-        current: found(answer).map(Record::new),
+        current: found(answer).map(StoredRecord::new),
     }
 }
 
--- a/crates/gateway/tests/peers_forward.rs
+++ b/crates/gateway/tests/peers_forward.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use carobwheel_gateway::peers::{
-    ForwardAnswer, ForwardError, Inbound, IncomingForward, Part, ReplyBody,
+    BodyChunk, ForwardAnswer, ForwardError, Inbound, IncomingForward, ReplyBody,
 };
 use peers_support::{authority, id, wait, Peer, Relay};
 use std::future::Future;
@@ -24,7 +24,7 @@
 fn open(
     from: &Peer,
     addr: SocketAddr,
-    body: mpsc::Receiver<Part>,
+    body: mpsc::Receiver<BodyChunk>,
 ) -> oneshot::Receiver<Result<ForwardAnswer, ForwardError>> {
     let (answer, answered) = oneshot::channel();
     let handle = from.handle.clone();
@@ -41,27 +41,27 @@
     tokio::task::block_in_place(|| peer.forwards.recv_timeout(patience)).expect("a forward")
 }
 
-async fn read_all(body: &mut mpsc::Receiver<Part>) -> (Vec<u8>, bool) {
+async fn read_all(body: &mut mpsc::Receiver<BodyChunk>) -> (Vec<u8>, bool) {
     let mut bytes = Vec::new();
     while let Some(part) = body.recv().await {
         match part {
-            Part::Data(data) => bytes.extend_from_slice(&data),
-            Part::End => return (bytes, true),
+            BodyChunk::Data(data) => bytes.extend_from_slice(&data),
+            BodyChunk::End => return (bytes, true),
         }
     }
     (bytes, false)
 }
 
-async fn write(body: &mpsc::Sender<Part>, data: &'static [u8]) -> bool {
-    body.send(Part::Data(Bytes::from_static(data)))
+async fn write(body: &mpsc::Sender<BodyChunk>, data: &'static [u8]) -> bool {
+    body.send(BodyChunk::Data(Bytes::from_static(data)))
         .await
         .is_ok()
 }
 
 /// A forward that has been accepted, with both ends of both bodies.
 struct Exchange {
-    request: mpsc::Sender<Part>,
-    incoming_body: mpsc::Receiver<Part>,
+    request: mpsc::Sender<BodyChunk>,
+    incoming_body: mpsc::Receiver<BodyChunk>,
     cancelled: tokio_util::sync::CancellationToken,
     reply: ReplyBody,
     answer: ForwardAnswer,
@@ -97,11 +97,11 @@
         let mut exchange = exchange(&a, &b, b.addr()).await;
         assert!(write(&exchange.request, b"one ").await);
         assert!(write(&exchange.request, b"two").await);
-        exchange.request.send(Part::End).await.unwrap();
+        exchange.request.send(BodyChunk::End).await.unwrap();
         let whole = read_all(&mut exchange.incoming_body).await;
         assert_eq!(whole, (b"one two".to_vec(), true));
         assert!(write(&exchange.reply, b"three").await);
-        exchange.reply.send(Part::End).await.unwrap();
+        exchange.reply.send(BodyChunk::End).await.unwrap();
         let whole = read_all(&mut exchange.answer.body).await;
         assert_eq!(whole, (b"three".to_vec(), true));
     });
@@ -181,7 +181,7 @@
         let answered = open(&a, relay.addr, body);
         let incoming = next_forward(&b);
         let reply = incoming.reply.send_head(Vec::new());
-        reply.send(Part::End).await.unwrap();
+        reply.send(BodyChunk::End).await.unwrap();
         answered.await.unwrap().unwrap();
         drop(request);
     });
--- a/crates/gateway/tests/peers_links.rs
+++ b/crates/gateway/tests/peers_links.rs
@@ -191,7 +191,7 @@
     let authority = authority();
     let b = Peer::start(&authority, "b");
     let a = Peer::start_with("a", issue(&authority, "a"), |settings| {
-        settings.idle_ms = 300
+        settings.idle_timeout_ms = 300
     });
     a.send(&b, note(b"once"));
     b.next();
--- a/crates/gateway/tests/store_bench/mod.rs
+++ b/crates/gateway/tests/store_bench/mod.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, dead_code)]
 
 use carobwheel_gateway::store::{
-    BackoffOptions, Record, StoreClient, StoreClientOptions, WriteOutcome,
+    BackoffOptions, StoreClient, StoreClientOptions, StoredRecord, WriteOutcome,
 };
 use carobwheel_standin::{
     proxy::{self, Proxy, ProxyOptions},
@@ -28,11 +28,11 @@
 
 pub(crate) fn client(url: String, writer: &str) -> StoreClient {
     let options = StoreClientOptions {
-        attempt_deadline_ms: ATTEMPT_MS,
-        idle_deadline_ms: 300,
+        attempt_timeout_ms: ATTEMPT_MS,
+        watch_idle_timeout_ms: 300,
         backoff: BackoffOptions {
-            first_ms: PAUSE_MS,
-            longest_ms: PAUSE_MS,
+            max_first_delay_ms: PAUSE_MS,
+            max_delay_ms: PAUSE_MS,
             ..BackoffOptions::default()
         },
         seed: 1,
@@ -67,6 +67,6 @@
     }
 }
 
-pub(crate) fn value_of(record: Option<Record>) -> String {
+pub(crate) fn value_of(record: Option<StoredRecord>) -> String {
     String::from_utf8(record.unwrap().value).unwrap()
 }
--- a/crates/gateway/tests/store_budget.rs
+++ b/crates/gateway/tests/store_budget.rs
@@ -4,7 +4,7 @@
 
 use carobwheel_core::time::Millis;
 use carobwheel_gateway::store::{
-    Backoff, BackoffOptions, Budget, CallKind, FLEET_READS_PER_S, FLEET_WRITES_PER_S,
+    Backoff, BackoffOptions, CallBudget, CallKind, FLEET_READS_PER_S, FLEET_WRITES_PER_S,
 };
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use test_case::test_case;
@@ -25,7 +25,7 @@
 
 struct Instance {
     next_turn: Millis,
-    budget: Budget,
+    budget: CallBudget,
     backoff: Backoff,
     reads: u64,
     writes: u64,
@@ -58,7 +58,7 @@
     let mut fleet: Vec<_> = (0..INSTANCES)
         .map(|_| Instance {
             next_turn: Millis(rng.random_range(0..TURN_MS)),
-            budget: Budget::for_fleet(INSTANCES, Millis(0)),
+            budget: CallBudget::for_fleet(INSTANCES, Millis(0)),
             backoff: Backoff::new(BackoffOptions::default()),
             reads: 0,
             writes: 0,
@@ -110,13 +110,15 @@
     }
     seconds.count(kind, now);
     if is_down {
-        instance.backoff.failed(now, rng.random_range(0.0..1.0));
+        instance
+            .backoff
+            .record_failure(now, rng.random_range(0.0..1.0));
         if instance.backoff.is_open() {
             instance.budget.drain(now);
         }
         return false;
     }
-    instance.backoff.succeeded();
+    instance.backoff.record_success();
     match kind {
         CallKind::Read => instance.reads -= 1,
         CallKind::Write => instance.writes -= 1,
@@ -154,7 +156,7 @@
 
 /// Calls that one instance makes in a second if it always wants to, after `saved_ms` of quiet.
 fn calls_in_a_second(kind: CallKind, saved_ms: u64) -> u64 {
-    let mut budget = Budget::for_fleet(INSTANCES, Millis(0));
+    let mut budget = CallBudget::for_fleet(INSTANCES, Millis(0));
     budget.drain(Millis(0));
     let start = Millis(saved_ms);
     let instants = (0..1_000).map(|ms| start.plus(ms));
@@ -183,7 +185,7 @@
 #[test_case(CallKind::Write, FLEET_WRITES_PER_S)]
 fn lasting_demand_of_all_instances_gets_the_fleets_rate(kind: CallKind, fleet_per_s: f64) {
     const SECONDS: u32 = 100;
-    let mut budget = Budget::for_fleet(INSTANCES, Millis(0));
+    let mut budget = CallBudget::for_fleet(INSTANCES, Millis(0));
     budget.drain(Millis(0));
     let taken = (0..SECONDS * 1_000).filter(|ms| budget.take(kind, Millis((*ms).into())).is_ok());
     let taken = f64::from(u32::try_from(taken.count()).unwrap());
--- a/crates/gateway/tests/store_watch.rs
+++ b/crates/gateway/tests/store_watch.rs
@@ -4,7 +4,7 @@
 
 mod store_bench;
 
-use carobwheel_gateway::store::{Change, Scope, Watch, WatchUpdate};
+use carobwheel_gateway::store::{Change, KeyRange, Watch, WatchUpdate};
 use carobwheel_standin::store::StoreOptions;
 use store_bench::{bench, bench_with, client, revision_of, value_of, within, Bench};
 use test_case::test_case;
@@ -30,7 +30,7 @@
 }
 
 fn watch(bench: &Bench) -> Watch {
-    bench.client.watch(Scope::Prefix("w/".to_owned()), 1)
+    bench.client.watch(KeyRange::Prefix("w/".to_owned()), 1)
 }
 
 #[tokio::test]
@@ -78,7 +78,7 @@
     for value in 0..10 {
         bench.store.set_value("w/a", value.to_string().as_bytes());
     }
-    let mut watch = bench.client.watch(Scope::Key("w/a".to_owned()), 2);
+    let mut watch = bench.client.watch(KeyRange::Key("w/a".to_owned()), 2);
     let update = within(watch.next()).await;
     let WatchUpdate::Reset(snapshot) = update else {
         panic!("not reset: {update:?}");
@@ -91,7 +91,7 @@
 async fn watch_of_a_store_that_went_back_starts_over_from_a_snapshot() {
     let bench = bench();
     bench.store.set_value("w/a", b"1");
-    let mut watch = bench.client.watch(Scope::Key("w/a".to_owned()), 1_000);
+    let mut watch = bench.client.watch(KeyRange::Key("w/a".to_owned()), 1_000);
     let update = within(watch.next()).await;
     assert!(matches!(update, WatchUpdate::Reset(_)), "{update:?}");
 }
