--- a/crates/gateway/src/peers/counters.rs
+++ b/crates/gateway/src/peers/counters.rs
@@ -1,24 +1,24 @@
-//! Counters of the links, readable from any thread.
+//! Counters of links, transport and messages, readable from any thread.
 
 use serde::Serialize;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// Counters as written by the thread of the links.
+        /// Live counters, written by the link thread.
         #[derive(Debug, Default)]
         pub(super) struct Counters {
             $(pub(super) $name: AtomicU64,)*
         }
 
-        /// Counters of the links since the start.
+        /// Snapshot of the link counters since the start of the process.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
         pub struct PeerStats {
             $($(#[$doc])* pub $name: u64,)*
         }
 
         impl Counters {
-            /// A copy of all counters.
+            /// Returns a snapshot of all counters.
             pub(super) fn stats(&self) -> PeerStats {
                 PeerStats {
                     $($name: self.$name.load(Ordering::Relaxed),)*
@@ -29,39 +29,40 @@
 }
 
 counters!(
-    /// Links open now, in both directions.
+    /// Links currently open, both dialled and accepted.
     links,
-    /// Connections dialled.
+    /// Connection attempts started by this instance.
     dials,
-    /// Connections that could not be established.
+    /// Connection attempts of this instance that failed.
     failed_dials,
-    /// Connections refused for want of a valid certificate or a matching name.
+    /// Incoming connections refused: no valid certificate, a name that does not match it, a timeout
+    /// or too many links.
     refused_peers,
-    /// Links dropped because nothing arrived although we sent.
+    /// Links closed because messages that expect a reply got none.
     silent_links,
     /// Messages sent.
     sent_messages,
     /// Messages received.
     received_messages,
-    /// Messages dropped because a link was full or missing.
+    /// Outgoing messages dropped because a link was full or missing.
     unsent_messages,
-    /// Messages of a kind that this build does not know.
+    /// Received messages of a kind that this build does not support.
     unknown_messages,
-    /// Messages that could not be decoded.
+    /// Received messages that could not be decoded.
     invalid_messages,
-    /// Messages that the receiving closure had no room for.
+    /// Received messages and documents that the inbound sink rejected because it was full.
     dropped_inbound,
-    /// UDP payload sent on all links, in bytes; renewed every second.
+    /// UDP payload sent on all links, in bytes; updated every second.
     sent_udp_bytes,
-    /// UDP payload received on all links, in bytes; renewed every second.
+    /// UDP payload received on all links, in bytes; updated every second.
     received_udp_bytes,
-    /// UDP datagrams sent on all links; renewed every second.
+    /// UDP datagrams sent on all links; updated every second.
     sent_udp_datagrams,
-    /// UDP datagrams received on all links; renewed every second.
+    /// UDP datagrams received on all links; updated every second.
     received_udp_datagrams,
 );
 
-/// Adds one to a counter.
+/// Increments a counter.
 pub(super) fn count(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
--- a/crates/gateway/src/peers/dial.rs
+++ b/crates/gateway/src/peers/dial.rs
@@ -1,4 +1,4 @@
-//! Establishing links, as the side that dials and as the side that accepts.
+//! Establishes links: dials peers and accepts their connections.
 
 use super::counters::count;
 use super::link::Link;
@@ -13,12 +13,12 @@
     time::{timeout, Instant},
 };
 
-/// Time within which a connection has to be established and introduced.
+/// Timeout for establishing and authenticating a connection.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Age of the dialling port from which on a timeout replaces it.
-const SUSPECT_PORT_AGE: Duration = Duration::from_secs(30);
+/// Minimum age of the dialling port for a dial timeout to have it replaced.
+const MIN_SUSPECT_PORT_AGE: Duration = Duration::from_secs(30);
 
-/// Sends a message to a peer, over a link that exists or a new one.
+/// Sends a message to a peer over an open link, or dials the peer first.
 pub(super) fn send(
     shared: &Rc<Shared>,
     to: &InstanceId,
@@ -30,12 +30,12 @@
         shared.send_over(&link, &message);
         return;
     }
-    let Some(addr) = dialable(shared, to, addr) else {
+    let Some(addr) = dial_address(shared, to, addr) else {
         count(&shared.counters.unsent_messages);
         return;
     };
     let is_dialling = shared.links.borrow().is_dialling(to);
-    if shared.links.borrow_mut().dialling(to).push(message) {
+    if shared.links.borrow_mut().pending_dial(to).push(message) {
         count(&shared.counters.unsent_messages);
     }
     if !is_dialling {
@@ -43,7 +43,7 @@
     }
 }
 
-/// A link to a peer, dialled if need be.
+/// Returns an open link to a peer, dialling it if there is none.
 pub(super) async fn link_to(
     shared: &Rc<Shared>,
     to: &InstanceId,
@@ -53,33 +53,38 @@
     if link.is_some() {
         return link;
     }
-    let addr = dialable(shared, to, Some(addr))?;
+    let addr = dial_address(shared, to, Some(addr))?;
     let (waiter, dialled) = oneshot::channel();
     let is_dialling = shared.links.borrow().is_dialling(to);
-    shared.links.borrow_mut().dialling(to).waiters.push(waiter);
+    shared
+        .links
+        .borrow_mut()
+        .pending_dial(to)
+        .waiters
+        .push(waiter);
     if !is_dialling {
         spawn_local(dial(Rc::clone(shared), to.clone(), addr));
     }
     dialled.await.ok()
 }
 
-fn dialable(shared: &Shared, to: &InstanceId, addr: Option<SocketAddr>) -> Option<SocketAddr> {
-    let has_just_failed = shared.links.borrow().has_just_failed(to);
-    addr.filter(|_| !has_just_failed && !shared.is_self(to))
+fn dial_address(shared: &Shared, to: &InstanceId, addr: Option<SocketAddr>) -> Option<SocketAddr> {
+    let has_recent_failure = shared.links.borrow().has_recent_failure(to);
+    addr.filter(|_| !has_recent_failure && !shared.is_self(to))
 }
 
 async fn dial(shared: Rc<Shared>, to: InstanceId, addr: SocketAddr) {
     count(&shared.counters.dials);
-    let least = shared.links.borrow().least_generation(&to);
-    let (endpoint, generation) = shared.dialler(least);
+    let min_generation = shared.links.borrow().min_generation(&to);
+    let (endpoint, generation) = shared.dialler(min_generation);
     let started = Instant::now();
     let connection = timeout(HANDSHAKE_TIMEOUT, connect(&shared, &endpoint, &to, addr)).await;
     let Some((connection, version)) = connection.unwrap_or_default() else {
         count(&shared.counters.failed_dials);
         let is_timeout = started.elapsed() >= HANDSHAKE_TIMEOUT;
         let mut links = shared.links.borrow_mut();
-        if is_timeout && shared.dialler.borrow().opened_at.elapsed() >= SUSPECT_PORT_AGE {
-            links.note_lost(&to, generation);
+        if is_timeout && shared.dialler.borrow().opened_at.elapsed() >= MIN_SUSPECT_PORT_AGE {
+            links.record_lost_flow(&to, generation);
         }
         links.end_dial(&to, false);
         return;
@@ -90,7 +95,7 @@
         shared.send_over(&link, message);
     }
     for waiter in waiting.waiters {
-        // A waiter that has given up needs no link.
+        // A send error means that the waiter has timed out.
         let _ = waiter.send(Rc::clone(&link));
     }
     serve::run_link(shared, link).await;
@@ -127,10 +132,10 @@
     Some((connection, version))
 }
 
-/// Accepts one connection and serves it to its end.
+/// Accepts one connection and serves it until it closes.
 pub(super) async fn accept(shared: Rc<Shared>, incoming: quinn::Incoming) {
-    let introduced = timeout(HANDSHAKE_TIMEOUT, introduce(incoming)).await;
-    let Some((connection, peer, version)) = introduced.unwrap_or_default() else {
+    let authenticated = timeout(HANDSHAKE_TIMEOUT, authenticate(incoming)).await;
+    let Some((connection, peer, version)) = authenticated.unwrap_or_default() else {
         count(&shared.counters.refused_peers);
         return;
     };
@@ -141,8 +146,8 @@
     serve::run_link(shared, link).await;
 }
 
-/// Completes the handshake, and binds the peer's claimed name to its certificate.
-async fn introduce(incoming: quinn::Incoming) -> Option<(quinn::Connection, InstanceId, u8)> {
+/// Completes the handshake and checks the peer's claimed name against its certificate.
+async fn authenticate(incoming: quinn::Incoming) -> Option<(quinn::Connection, InstanceId, u8)> {
     let remote = incoming.remote_address();
     let connection = match incoming.await {
         Ok(connection) => connection,
--- a/crates/gateway/src/peers/document.rs
+++ b/crates/gateway/src/peers/document.rs
@@ -1,6 +1,6 @@
-//! The document, served to peers and fetched from them.
+//! Serves the configuration document to peers and fetches it from them.
 //!
-//! A peer that has one of the last few revisions gets only what has changed since.
+//! A peer that has one of the last few revisions receives only the difference to it.
 
 use super::dial::link_to;
 use super::handle::Inbound;
@@ -14,28 +14,29 @@
 use std::{net::SocketAddr, rc::Rc, sync::Arc, time::Duration};
 use tokio::time::timeout;
 
-/// Time within which a document has to arrive whole.
+/// Timeout for transferring a complete document.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(10);
-/// Earlier revisions that are kept to send differences from.
-const MAX_EARLIER: usize = 2;
+/// Earlier revisions retained as bases of differences.
+const MAX_EARLIER_REVISIONS: usize = 2;
 
-/// A revision of the document as published.
+/// One revision of the document, as published.
 #[derive(Clone, Debug)]
 struct Revision {
     number: u64,
     bytes: Bytes,
 }
 
-/// The documents that peers may fetch from this instance.
+/// The newest document that peers may fetch from this instance, with earlier revisions.
 #[derive(Clone, Debug)]
-pub(super) struct Served {
+pub(super) struct ServedDocument {
     newest: Revision,
     sha256: [u8; 32],
     earlier: Vec<Revision>,
 }
 
-impl Served {
-    /// Serves `bytes` as the newest revision; `before` becomes the latest earlier one.
+impl ServedDocument {
+    /// Creates the served state for the revision `number`. The newest revision of `before` becomes
+    /// the latest earlier one.
     pub(super) fn new(number: u64, bytes: Bytes, before: Option<&Self>) -> Self {
         let mut earlier: Vec<Revision> = before
             .into_iter()
@@ -43,7 +44,7 @@
             .filter(|revision| revision.number < number)
             .cloned()
             .collect();
-        earlier.truncate(MAX_EARLIER);
+        earlier.truncate(MAX_EARLIER_REVISIONS);
         Self {
             sha256: Sha256::digest(&bytes).into(),
             newest: Revision { number, bytes },
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The answer to a peer that can build on the revision `base`: its head, and the bytes.
+    /// Returns the head and the bytes to send to a peer that has the revision `base`.
     fn answer(&self, base: u64) -> (DocumentHead, Bytes) {
         let newest = &self.newest;
         let base = self.earlier.iter().find(|earlier| earlier.number == base);
@@ -66,7 +67,7 @@
     }
 }
 
-/// Answers a peer that asks for a higher revision than its own.
+/// Answers a peer's request for a document above its own revision.
 pub(super) async fn serve(
     shared: &Shared,
     above_revision: u64,
@@ -88,11 +89,11 @@
         send.finish().ok()?;
         send.stopped().await.ok()
     };
-    // A peer that does not take the document in time asks again.
+    // A peer that does not read the document in time repeats its request.
     let _ = timeout(FETCH_TIMEOUT, answer).await;
 }
 
-/// Fetches the document from a peer, and delivers it or the failure.
+/// Fetches the document from a peer and delivers the document or the failure.
 pub(super) async fn fetch(
     shared: Rc<Shared>,
     from: InstanceId,
@@ -103,8 +104,8 @@
     let fetched = timeout(FETCH_TIMEOUT, async {
         let link = link_to(&shared, &from, addr).await?;
         match fetch_over(&link, above_revision, base.as_ref()).await? {
-            Fetched::Document(revision, bytes) => Some((revision, bytes)),
-            Fetched::Mismatch => fetch_whole(&link, above_revision).await,
+            FetchResult::Document(revision, bytes) => Some((revision, bytes)),
+            FetchResult::Mismatch => fetch_in_full(&link, above_revision).await,
         }
     });
     let inbound = match fetched.await.unwrap_or_default() {
@@ -118,26 +119,26 @@
     shared.deliver(inbound);
 }
 
-/// What a peer has sent.
-enum Fetched {
-    /// A revision and its document.
+/// Result of one fetch that the peer answered.
+enum FetchResult {
+    /// Revision number and bytes of the document.
     Document(u64, Bytes),
-    /// Something that does not give the document that the peer has.
+    /// The difference does not yield a document with the announced hash.
     Mismatch,
 }
 
-async fn fetch_whole(link: &Rc<Link>, above_revision: u64) -> Option<(u64, Bytes)> {
+async fn fetch_in_full(link: &Rc<Link>, above_revision: u64) -> Option<(u64, Bytes)> {
     match fetch_over(link, above_revision, None).await? {
-        Fetched::Document(revision, bytes) => Some((revision, bytes)),
-        Fetched::Mismatch => None,
+        FetchResult::Document(revision, bytes) => Some((revision, bytes)),
+        FetchResult::Mismatch => None,
     }
 }
 
 async fn fetch_over(
     link: &Rc<Link>,
     above_revision: u64,
-    base: Option<&Arc<Served>>,
-) -> Option<Fetched> {
+    base: Option<&Arc<ServedDocument>>,
+) -> Option<FetchResult> {
     let _guard = RequestGuard::new(link);
     let (mut send, mut receive) = link.connection.open_bi().await.ok()?;
     let request = Request::Document {
@@ -147,20 +148,21 @@
     send.write_all(&encode_head(&request)?).await.ok()?;
     send.finish().ok()?;
     let head: DocumentHead = read_head(&mut receive).await?;
-    link.note_received();
+    link.record_received();
     if head.revision <= above_revision {
         return None;
     }
     let middle = receive.read_to_end(MAX_DOCUMENT_BYTES).await.ok()?;
-    link.note_received();
+    link.record_received();
     let base = base.map_or(&[][..], |base| &base.newest.bytes);
     let Some(bytes) = assemble(base, head.common, &middle) else {
-        return Some(Fetched::Mismatch);
+        return Some(FetchResult::Mismatch);
     };
-    let is_whole = bytes.len() <= MAX_DOCUMENT_BYTES && Sha256::digest(&bytes)[..] == head.sha256;
-    Some(if is_whole {
-        Fetched::Document(head.revision, bytes.into())
+    let is_complete =
+        bytes.len() <= MAX_DOCUMENT_BYTES && Sha256::digest(&bytes)[..] == head.sha256;
+    Some(if is_complete {
+        FetchResult::Document(head.revision, bytes.into())
     } else {
-        Fetched::Mismatch
+        FetchResult::Mismatch
     })
 }
--- a/crates/gateway/src/peers/error.rs
+++ b/crates/gateway/src/peers/error.rs
@@ -1,55 +1,59 @@
-//! Errors of the links.
+//! Errors of the links between instances.
 
 use std::{fmt, io};
 
-/// Why the links could not be started or changed.
+/// Error while starting the links or reloading their certificates.
 #[derive(Debug)]
 pub enum PeerError {
-    /// The certificate, key or authorities cannot be used.
+    /// The certificate, private key or certificate authorities are invalid.
     Tls(String),
-    /// The local address cannot be used.
+    /// The local address cannot be bound.
     Bind(io::Error),
-    /// The thread has too many commands to do.
+    /// The command queue of the link thread is full.
     Busy,
 }
 
 impl fmt::Display for PeerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Tls(reason) => write!(f, "certificate of the links between instances: {reason}"),
-            Self::Bind(err) => write!(f, "address of the links between instances: {err}"),
-            Self::Busy => write!(f, "the thread of the links has too many commands to do"),
+            Self::Tls(reason) => write!(f, "TLS material for links between instances: {reason}"),
+            Self::Bind(err) => write!(
+                f,
+                "cannot bind the address for links between instances: {err}"
+            ),
+            Self::Busy => write!(f, "the command queue of the link thread is full"),
         }
     }
 }
 
 impl std::error::Error for PeerError {}
 
-/// The queue to the thread is full, or the thread has stopped; nothing was sent.
+/// The command queue of the link thread is full, or the thread has stopped; nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueFull;
 
 impl fmt::Display for QueueFull {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the queue to the links between instances is full")
+        f.write_str("the command queue of the link thread is full")
     }
 }
 
 impl std::error::Error for QueueFull {}
 
-/// Why a forwarded request has no answer.
+/// Failure of a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardError {
-    /// No link to the peer, or too many requests wait. No byte of the request has left.
+    /// No link to the peer, or too many commands or requests pending. No byte of the request was
+    /// sent.
     NotSent,
-    /// The link or the answer broke off after bytes of the request may have left.
+    /// The link or the answer was interrupted after bytes of the request may have been sent.
     Lost,
-    /// The answer's head is larger than allowed.
+    /// The head of the answer exceeds the size limit.
     HeadTooLarge,
 }
 
 impl ForwardError {
-    /// Whether it is certain that the peer has seen no byte of the request.
+    /// Whether the peer certainly received no byte of the request.
     pub const fn is_not_sent(self) -> bool {
         matches!(self, Self::NotSent)
     }
@@ -58,9 +62,9 @@
 impl fmt::Display for ForwardError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::NotSent => "no link to the peer, nothing was sent",
-            Self::Lost => "the link broke off after the request may have left",
-            Self::HeadTooLarge => "the head of the peer's answer is too large",
+            Self::NotSent => "no link to the peer; nothing was sent",
+            Self::Lost => "the link was lost after the request may have been sent",
+            Self::HeadTooLarge => "the head of the peer's answer exceeds the size limit",
         })
     }
 }
--- a/crates/gateway/src/peers/forward.rs
+++ b/crates/gateway/src/peers/forward.rs
@@ -1,7 +1,7 @@
-//! Requests of callers, forwarded to another instance, with a streamed answer.
+//! Forwards callers' requests to another instance and streams the answers back.
 //!
-//! A body is a sequence of [`BodyChunk`]s that ends with [`BodyChunk::End`]. A channel that closes without
-//! it says that the body broke off, on either side.
+//! A body is a sequence of [`BodyChunk`]s that ends with [`BodyChunk::End`]. On both sides, a
+//! channel that closes without it means that the body is truncated.
 
 use super::dial::link_to;
 use super::link::{Link, RequestGuard};
@@ -19,17 +19,17 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Parts of a body that wait between two threads.
-const WAITING_PARTS: usize = 16;
-/// Time within which a link has to be established.
+/// Chunks of a body buffered between two threads.
+const BODY_CHANNEL_CHUNKS: usize = 16;
+/// Timeout for obtaining a link, and for opening a stream on it.
 const LINK_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// One part of a body.
+/// One element of a streamed body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BodyChunk {
-    /// Bytes.
+    /// Bytes of the body.
     Data(Bytes),
-    /// The body is whole.
+    /// End of a complete body.
     End,
 }
 
@@ -42,42 +42,42 @@
     pub body: mpsc::Receiver<BodyChunk>,
 }
 
-/// A request that a peer has forwarded to this instance.
+/// A request forwarded by a peer to this instance.
 #[derive(Debug)]
 pub struct IncomingForward {
-    /// The peer.
+    /// The peer that forwarded the request.
     pub from: InstanceId,
     /// Head of the request.
     pub head: Vec<u8>,
     /// Body of the request.
     pub body: mpsc::Receiver<BodyChunk>,
-    /// Where the answer goes.
+    /// Sender of the answer.
     pub reply: ForwardReply,
-    /// Cancelled when the peer has given up the request or the link is lost.
+    /// Cancelled when the peer cancels the request or the link is lost.
     pub cancelled: CancellationToken,
 }
 
-/// Where the answer to a forwarded request goes. Dropping it breaks the request off.
+/// Sender of the answer to a forwarded request. Dropping it aborts the request.
 #[derive(Debug)]
 pub struct ForwardReply {
     answer: oneshot::Sender<(Vec<u8>, mpsc::Receiver<BodyChunk>)>,
 }
 
-/// Where the body of an answer goes. Dropping it before [`BodyChunk::End`] breaks the answer off.
+/// Sender of the body of an answer. Dropping it before [`BodyChunk::End`] aborts the answer.
 pub type ReplyBody = mpsc::Sender<BodyChunk>;
 
 impl ForwardReply {
-    /// Sends the head of the answer; the body follows. Sending to the body fails once the peer
-    /// has gone away.
+    /// Sends the head of the answer and returns the sender of its body, which fails once the peer
+    /// has disconnected.
     pub fn send_head(self, head: Vec<u8>) -> ReplyBody {
-        let (body, parts) = mpsc::channel(WAITING_PARTS);
-        // A peer that has gone away shows by the closed body.
-        let _ = self.answer.send((head, parts));
+        let (body, chunks) = mpsc::channel(BODY_CHANNEL_CHUNKS);
+        // If the peer has disconnected, the closed body channel reports it.
+        let _ = self.answer.send((head, chunks));
         body
     }
 }
 
-/// A request to be forwarded, as it reaches the thread of the links.
+/// A request to forward, as passed to the link thread.
 pub(super) struct OutgoingForward {
     pub(super) to: InstanceId,
     pub(super) addr: SocketAddr,
@@ -98,7 +98,7 @@
     let request = encode_head(&Request::Forward { head });
     let link = timeout(LINK_TIMEOUT, link_to(&shared, &to, addr)).await;
     let (Some(request), Ok(Some(link))) = (request, link) else {
-        // A caller that has gone away needs no answer.
+        // A send error means that the caller has disconnected.
         let _ = answer.send(Err(ForwardError::NotSent));
         return;
     };
@@ -112,7 +112,7 @@
         let _ = answer.send(Err(ForwardError::Lost));
         return;
     }
-    link.note_sent(false);
+    link.record_sent(false);
     let body_link = Rc::clone(&link);
     let writer = tokio::task::spawn_local(async move { write_body(send, body, &body_link).await });
     let head = tokio::select! {
@@ -131,22 +131,22 @@
     link: &Link,
 ) {
     let Some(head) = head else {
-        // A stream that is closed already needs no stop.
+        // Stopping a closed stream fails and has no effect.
         let _ = receive.stop(CANCELLED.into());
         let _ = answer.send(Err(ForwardError::Lost));
         return;
     };
-    link.note_received();
-    let (parts, body) = mpsc::channel(WAITING_PARTS);
+    link.record_received();
+    let (chunks, body) = mpsc::channel(BODY_CHANNEL_CHUNKS);
     let head = head.head;
     if answer.send(Ok(ForwardAnswer { head, body })).is_ok() {
-        read_body(receive, parts, link).await;
+        read_body(receive, chunks, link).await;
     } else {
         let _ = receive.stop(CANCELLED.into());
     }
 }
 
-/// Serves a request that a peer has forwarded.
+/// Serves a request forwarded by a peer.
 pub(super) async fn serve(
     shared: &Rc<Shared>,
     link: &Rc<Link>,
@@ -154,7 +154,7 @@
     mut send: quinn::SendStream,
     receive: quinn::RecvStream,
 ) {
-    let (parts, body) = mpsc::channel(WAITING_PARTS);
+    let (chunks, body) = mpsc::channel(BODY_CHANNEL_CHUNKS);
     let (answer, answered) = oneshot::channel();
     let cancelled = shared.cancel.child_token();
     let incoming = IncomingForward {
@@ -168,26 +168,26 @@
     (shared.sinks.borrow_mut().forward)(incoming);
     let reader_link = Rc::clone(link);
     let reader =
-        tokio::task::spawn_local(async move { read_body(receive, parts, &reader_link).await });
+        tokio::task::spawn_local(async move { read_body(receive, chunks, &reader_link).await });
     let answered = tokio::select! {
         answered = answered => answered.ok(),
         _ = send.stopped() => None,
     };
-    let is_whole = match answered {
-        Some((head, parts)) => write_answer(head, parts, send, link).await,
+    let is_complete = match answered {
+        Some((head, chunks)) => write_answer(head, chunks, send, link).await,
         None => {
             let _ = send.reset(CANCELLED.into());
             false
         }
     };
-    if !is_whole {
+    if !is_complete {
         reader.abort();
     }
 }
 
 async fn write_answer(
     head: Vec<u8>,
-    parts: mpsc::Receiver<BodyChunk>,
+    chunks: mpsc::Receiver<BodyChunk>,
     mut send: quinn::SendStream,
     link: &Link,
 ) -> bool {
@@ -197,6 +197,6 @@
     if send.write_all(&head).await.is_err() {
         return false;
     }
-    link.note_sent(false);
-    write_body(send, parts, link).await
+    link.record_sent(false);
+    write_body(send, chunks, link).await
 }
--- a/crates/gateway/src/peers/handle.rs
+++ b/crates/gateway/src/peers/handle.rs
@@ -1,7 +1,7 @@
-//! What the rest of the program holds of the thread of the links.
+//! Starts the link thread and provides the handle to it.
 
 use super::counters::Counters;
-use super::document::Served;
+use super::document::ServedDocument;
 use super::forward::{BodyChunk, ForwardAnswer, IncomingForward, OutgoingForward};
 use super::run::{run, Command};
 use super::tls::TlsConfigs;
@@ -18,56 +18,56 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio_util::sync::CancellationToken;
 
-/// Something that arrived from a peer.
+/// An event from a peer, or the failure of a fetch from it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Inbound {
-    /// A message.
+    /// A message arrived.
     Message {
         /// The authenticated sender.
         from: InstanceId,
         /// The message.
         message: Message,
     },
-    /// A document that was asked for. It still has to be validated.
+    /// A requested document arrived. It is not validated yet.
     Document {
-        /// The peer that had it.
+        /// The peer that sent it.
         from: InstanceId,
         /// Revision of the document.
         revision: u64,
         /// The document as published.
         bytes: Bytes,
     },
-    /// A document that was asked for did not arrive.
+    /// A requested document did not arrive.
     DocumentFailed {
-        /// The peer that was asked.
+        /// The peer it was requested from.
         from: InstanceId,
     },
 }
 
-/// Where the thread puts what arrives. Neither closure may block.
+/// Closures that receive inbound traffic on the link thread. Neither may block.
 pub struct Sinks {
-    /// Takes a message; returns false if there is no room, and the message is dropped.
+    /// Receives messages and documents. Returns false if it is full; the event is then dropped.
     pub inbound: Box<dyn FnMut(Inbound) -> bool + Send>,
-    /// Takes a forwarded request; dropping it refuses the request.
+    /// Receives forwarded requests. Dropping one refuses it.
     pub forward: Box<dyn FnMut(IncomingForward) + Send>,
 }
 
-/// The running links. Clones share the same thread.
+/// Handle to the link thread. Clones share the thread.
 #[derive(Clone)]
 pub struct Handle {
     commands: mpsc::Sender<Command>,
-    document: Arc<ArcSwapOption<Served>>,
+    document: Arc<ArcSwapOption<ServedDocument>>,
     counters: Arc<Counters>,
     settings: Arc<PeerSettings>,
     local_addr: SocketAddr,
 }
 
-/// Starts the thread of the links. It ends when `cancel` is cancelled: links are closed then, so
+/// Starts the link thread. It ends when `cancel` is cancelled and then closes all links, so
 /// requests have to be drained before.
 ///
 /// # Errors
 ///
-/// Fails when the certificate, key, authorities or local address cannot be used.
+/// Fails when the TLS material is invalid or the local address cannot be bound.
 pub fn start(
     settings: PeerSettings,
     sinks: Sinks,
@@ -105,13 +105,13 @@
 }
 
 impl Handle {
-    /// Address that the thread listens on.
+    /// Address that the link thread listens on.
     pub fn local_addr(&self) -> SocketAddr {
         self.local_addr
     }
 
-    /// Sends a message without waiting. It may get lost on the way, like any datagram. Without
-    /// `addr` it goes only over a link that exists.
+    /// Queues a message for sending and returns at once. Delivery is not guaranteed. Without
+    /// `addr` the message is sent only if a link is open.
     ///
     /// # Errors
     ///
@@ -125,8 +125,8 @@
         self.command(Command::Send { to, addr, message })
     }
 
-    /// Asks a peer for a document above `above_revision`. [`Inbound::Document`] or
-    /// [`Inbound::DocumentFailed`] follows.
+    /// Requests a document above `above_revision` from a peer. The result is reported as
+    /// [`Inbound::Document`] or [`Inbound::DocumentFailed`].
     ///
     /// # Errors
     ///
@@ -144,21 +144,21 @@
         })
     }
 
-    /// Sets the document that peers may fetch from here. Only the thread that applies documents
-    /// may call it.
+    /// Sets the document that peers may fetch from this instance. Only the thread that applies
+    /// documents may call it.
     pub fn serve_document(&self, revision: u64, bytes: Bytes) {
         let before = self.document.load_full();
-        let served = Served::new(revision, bytes, before.as_deref());
+        let served = ServedDocument::new(revision, bytes, before.as_deref());
         self.document.store(Some(Arc::new(served)));
     }
 
     /// Forwards a request to a peer and waits for the head of the answer. Dropping the future, the
-    /// sender of `body` before its end, or the answer cancels the request at the peer. Runs on any
-    /// asynchronous runtime.
+    /// answer, or the sender of `body` before its end cancels the request at the peer. Works on
+    /// any asynchronous runtime.
     ///
     /// # Errors
     ///
-    /// [`ForwardError::is_not_sent`] tells whether the peer may have seen the request.
+    /// [`ForwardError::is_not_sent`] says whether the peer certainly received nothing.
     pub async fn open_forward(
         &self,
         to: InstanceId,
@@ -179,12 +179,12 @@
         answered.await.unwrap_or(Err(ForwardError::Lost))
     }
 
-    /// Uses another certificate, key or set of authorities from now on. Present links end when
-    /// their requests have ended; new ones are verified by the new material.
+    /// Replaces the certificate, private key and authorities. Open links close when their requests
+    /// have ended; new links are verified against the new material.
     ///
     /// # Errors
     ///
-    /// Fails, and changes nothing, when the material cannot be used.
+    /// Fails, and changes nothing, when the material is invalid or the command queue is full.
     pub fn reload(&self, material: &TlsMaterial) -> Result<(), PeerError> {
         let settings = &self.settings;
         let tls = TlsConfigs::new(material, &settings.instance, &settings.versions)?;
@@ -192,7 +192,7 @@
             .map_err(|QueueFull| PeerError::Busy)
     }
 
-    /// Counters since the start.
+    /// Returns the link counters since the start of the process.
     pub fn stats(&self) -> PeerStats {
         self.counters.stats()
     }
--- a/crates/gateway/src/peers/link.rs
+++ b/crates/gateway/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! One link: an authenticated connection to a peer, and what is known about its traffic.
+//! An authenticated connection to a peer and the state of its traffic.
 
 use carobwheel_core::id::InstanceId;
 use std::{
@@ -7,20 +7,20 @@
     time::{Duration, Instant},
 };
 
-/// Messages without an answer from which on a link may count as silent.
-const MIN_UNANSWERED: u32 = 2;
+/// Minimum number of messages without a reply for a link to count as silent.
+const MIN_UNANSWERED_MESSAGES: u32 = 2;
 
-/// An authenticated connection.
+/// An authenticated connection to a peer.
 pub(super) struct Link {
-    /// Number of the link inside this process.
+    /// Number of the link, unique in this process.
     pub(super) number: u64,
-    /// The peer.
+    /// The peer at the other end.
     pub(super) peer: InstanceId,
-    /// The connection.
+    /// The QUIC connection.
     pub(super) connection: quinn::Connection,
-    /// Protocol version that both sides agreed on.
+    /// Negotiated protocol version.
     pub(super) version: u8,
-    /// Generation of the local port that dialled, or 0 if the peer dialled.
+    /// Generation of the local port used to dial, or 0 if the peer dialled.
     pub(super) generation: u64,
     last_received: Cell<Instant>,
     last_used: Cell<Instant>,
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Notes that traffic of the application has arrived.
-    pub(super) fn note_received(&self) {
+    /// Records that application data was received.
+    pub(super) fn record_received(&self) {
         let now = Instant::now();
         self.last_received.set(now);
         self.last_used.set(now);
@@ -65,8 +65,8 @@
         self.unanswered.set(0);
     }
 
-    /// Notes that a message has been sent.
-    pub(super) fn note_sent(&self, expects_reply: bool) {
+    /// Records that a message was sent.
+    pub(super) fn record_sent(&self, expects_reply: bool) {
         let now = Instant::now();
         self.last_used.set(now);
         if expects_reply {
@@ -76,29 +76,30 @@
         }
     }
 
-    /// Whether messages have gone without an answer for `silent`.
-    pub(super) fn is_silent(&self, silent: Duration) -> bool {
-        let is_overdue = |first: Instant| first.elapsed() >= silent;
-        self.unanswered.get() >= MIN_UNANSWERED
+    /// Whether messages that expect a reply have had none for `reply_timeout`.
+    pub(super) fn is_silent(&self, reply_timeout: Duration) -> bool {
+        let is_overdue = |first: Instant| first.elapsed() >= reply_timeout;
+        self.unanswered.get() >= MIN_UNANSWERED_MESSAGES
             && self.first_unanswered.get().is_some_and(is_overdue)
     }
 
-    /// Whether an echo should test the link: requests are open, and nothing has arrived for `quiet`.
-    pub(super) fn wants_echo(&self, quiet: Duration) -> bool {
+    /// Whether to test the link with an echo: it has open requests and has received nothing for
+    /// `quiet`.
+    pub(super) fn needs_echo(&self, quiet: Duration) -> bool {
         self.requests.get() > 0 && self.last_received.get().elapsed() >= quiet
     }
 
-    /// Whether nothing has been sent or received for `idle` and no request is open.
-    pub(super) fn is_idle(&self, idle: Duration) -> bool {
-        !self.is_busy() && self.last_used.get().elapsed() >= idle
+    /// Whether the link has no open work and has carried no traffic for `idle_timeout`.
+    pub(super) fn is_idle(&self, idle_timeout: Duration) -> bool {
+        !self.is_busy() && self.last_used.get().elapsed() >= idle_timeout
     }
 
-    /// Whether requests or larger messages are open.
+    /// Whether requests or large messages are in progress.
     pub(super) fn is_busy(&self) -> bool {
         self.requests.get() > 0 || self.large_messages.get() > 0
     }
 
-    /// Takes the link out of use for new work; it is closed when its requests have ended.
+    /// Stops using the link for new work; it is closed when its work in progress has ended.
     pub(super) fn retire(&self) {
         self.is_retired.set(true);
     }
@@ -107,18 +108,18 @@
         self.is_retired.get()
     }
 
-    /// Whether new work may go over the link.
+    /// Whether the link may be used for new work.
     pub(super) fn is_usable(&self) -> bool {
         !self.is_retired.get() && self.connection.close_reason().is_none()
     }
 
-    /// Larger messages on their way.
+    /// Number of large messages being sent.
     pub(super) fn large_messages(&self) -> u32 {
         self.large_messages.get()
     }
 }
 
-/// Counts an open request of a link for as long as it lives.
+/// Guard that counts an open request of a link until it is dropped.
 pub(super) struct RequestGuard(Rc<Link>);
 
 impl RequestGuard {
@@ -134,7 +135,7 @@
     }
 }
 
-/// Counts a larger message of a link for as long as it is on its way.
+/// Guard that counts a large message being sent on a link until it is dropped.
 pub(super) struct LargeMessageGuard(Rc<Link>);
 
 impl LargeMessageGuard {
--- a/crates/gateway/src/peers/links.rs
+++ b/crates/gateway/src/peers/links.rs
@@ -1,4 +1,4 @@
-//! The links by peer, and the dials on their way.
+//! Table of links by peer, and of dials in progress.
 
 use super::link::Link;
 use carobwheel_core::id::InstanceId;
@@ -10,25 +10,25 @@
 };
 use tokio::sync::oneshot;
 
-/// Messages that wait for one dial.
-const MAX_WAITING_MESSAGES: usize = 8;
-/// Time after a failed dial within which the peer is not dialled again.
-const DIAL_GAP: Duration = Duration::from_millis(200);
+/// Maximum number of messages queued for one dial.
+const MAX_MESSAGES_PER_DIAL: usize = 8;
+/// Delay after a failed dial before the peer may be dialled again.
+const REDIAL_DELAY: Duration = Duration::from_millis(200);
 
-/// What waits for one dial.
+/// Messages and tasks that wait for one dial.
 #[derive(Default)]
-pub(super) struct Dialling {
+pub(super) struct PendingDial {
     pub(super) messages: Vec<Message>,
     pub(super) waiters: Vec<oneshot::Sender<Rc<Link>>>,
 }
 
-/// The links by peer, and the dials on their way.
+/// Table of links by peer, and of dials in progress.
 #[derive(Default)]
 pub(super) struct Links {
     by_peer: HashMap<InstanceId, Vec<Rc<Link>>>,
-    dialling: HashMap<InstanceId, Dialling>,
-    failed_at: HashMap<InstanceId, Instant>,
-    /// Generation of local port that a peer's next dial has to exceed.
+    pending_dials: HashMap<InstanceId, PendingDial>,
+    dial_failed_at: HashMap<InstanceId, Instant>,
+    /// By peer, the generation of local port that its next dial has to exceed.
     lost_generation: HashMap<InstanceId, u64>,
     last_number: u64,
 }
@@ -39,7 +39,7 @@
         self.last_number
     }
 
-    /// The newest usable link to a peer.
+    /// Returns the newest usable link to a peer.
     pub(super) fn usable(&self, peer: &InstanceId) -> Option<Rc<Link>> {
         let links = self.by_peer.get(peer)?;
         links.iter().rev().find(|link| link.is_usable()).cloned()
@@ -48,21 +48,21 @@
     pub(super) fn add(&mut self, link: &Rc<Link>) {
         let links = self.by_peer.entry(link.peer.clone()).or_default();
         links.push(Rc::clone(link));
-        self.failed_at.remove(&link.peer);
+        self.dial_failed_at.remove(&link.peer);
     }
 
-    /// Takes a link out; tells whether it was there.
+    /// Removes a link and returns whether it was present.
     pub(super) fn remove(&mut self, link: &Link) -> bool {
         let Some(links) = self.by_peer.get_mut(&link.peer) else {
             return false;
         };
         let before = links.len();
         links.retain(|other| other.number != link.number);
-        let was_there = links.len() < before;
+        let was_present = links.len() < before;
         if links.is_empty() {
             self.by_peer.remove(&link.peer);
         }
-        was_there
+        was_present
     }
 
     pub(super) fn all(&self) -> Vec<Rc<Link>> {
@@ -70,48 +70,51 @@
     }
 
     pub(super) fn is_dialling(&self, peer: &InstanceId) -> bool {
-        self.dialling.contains_key(peer)
+        self.pending_dials.contains_key(peer)
     }
 
-    /// Whether a dial to the peer failed just now.
-    pub(super) fn has_just_failed(&self, peer: &InstanceId) -> bool {
-        self.failed_at
+    /// Whether the last dial to the peer failed less than [`REDIAL_DELAY`] ago.
+    pub(super) fn has_recent_failure(&self, peer: &InstanceId) -> bool {
+        self.dial_failed_at
             .get(peer)
-            .is_some_and(|at| at.elapsed() < DIAL_GAP)
+            .is_some_and(|at| at.elapsed() < REDIAL_DELAY)
     }
 
-    /// What waits for the dial to a peer; the entry itself says that a dial is on its way.
-    pub(super) fn dialling(&mut self, peer: &InstanceId) -> &mut Dialling {
-        self.dialling.entry(peer.clone()).or_default()
+    /// Returns the pending dial to a peer, creating it if absent. Its presence marks the dial as in
+    /// progress.
+    pub(super) fn pending_dial(&mut self, peer: &InstanceId) -> &mut PendingDial {
+        self.pending_dials.entry(peer.clone()).or_default()
     }
 
-    /// Ends a dial and returns what waited for it.
-    pub(super) fn end_dial(&mut self, peer: &InstanceId, is_connected: bool) -> Dialling {
+    /// Ends a dial and returns the messages and tasks that waited for it.
+    pub(super) fn end_dial(&mut self, peer: &InstanceId, is_connected: bool) -> PendingDial {
         if is_connected {
             self.lost_generation.remove(peer);
         } else {
-            self.failed_at.insert(peer.clone(), Instant::now());
+            self.dial_failed_at.insert(peer.clone(), Instant::now());
         }
-        self.failed_at.retain(|_, at| at.elapsed() < DIAL_GAP);
-        self.dialling.remove(peer).unwrap_or_default()
+        self.dial_failed_at
+            .retain(|_, at| at.elapsed() < REDIAL_DELAY);
+        self.pending_dials.remove(peer).unwrap_or_default()
     }
 
-    /// Notes that a flow from a local port of `generation` to the peer may be lost.
-    pub(super) fn note_lost(&mut self, peer: &InstanceId, generation: u64) {
+    /// Records that the flow to the peer from the local port of `generation` may be lost.
+    pub(super) fn record_lost_flow(&mut self, peer: &InstanceId, generation: u64) {
         let known = self.lost_generation.entry(peer.clone()).or_default();
         *known = generation.max(*known);
     }
 
-    /// Lowest generation of local port that may dial the peer.
-    pub(super) fn least_generation(&self, peer: &InstanceId) -> u64 {
+    /// Minimum generation of local port from which the peer may be dialled.
+    pub(super) fn min_generation(&self, peer: &InstanceId) -> u64 {
         self.lost_generation.get(peer).map_or(0, |lost| lost + 1)
     }
 }
 
-impl Dialling {
-    /// Lets a message wait for the dial; the oldest gives way. Tells whether one was dropped.
+impl PendingDial {
+    /// Queues a message until the dial ends. Drops the oldest one if the queue is full, and returns
+    /// whether it did.
     pub(super) fn push(&mut self, message: Message) -> bool {
-        let is_full = self.messages.len() >= MAX_WAITING_MESSAGES;
+        let is_full = self.messages.len() >= MAX_MESSAGES_PER_DIAL;
         if is_full {
             self.messages.remove(0);
         }
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,14 +1,14 @@
-//! Links between instances: one thread with a `quinn` endpoint and mutual TLS.
+//! Links between instances: a thread with `quinn` endpoints and mutual TLS.
 //!
-//! [`start`] runs the thread. The rest of the program talks to it through a [`Handle`]: bounded
-//! commands go in, and [`Inbound`] messages and [`IncomingForward`] requests come out through
-//! closures that must not block. Datagrams carry small messages, streams carry larger ones,
-//! documents and forwarded requests.
+//! [`start`] starts the link thread. Other threads send commands to it through a [`Handle`] with a
+//! bounded queue, and receive [`Inbound`] events and [`IncomingForward`] requests through closures
+//! that must not block. Small messages are sent as datagrams; large messages, documents and
+//! forwarded requests as streams.
 //!
-//! The name of a peer is bound to its certificate: whoever dials demands the certificate of the
-//! instance it means to reach, and whoever accepts checks the caller's claimed name against its
-//! certificate. A link on which nothing of use arrives while we send is dropped and dialled again
-//! from a new local port, because something between the two ends may have lost the old flow.
+//! The name of a peer is bound to its certificate: the dialling side requires the certificate of
+//! the instance that it dials, and the accepting side checks the name that the peer claims against
+//! the peer's certificate. A link on which messages get no reply is closed and dialled again from a
+//! new local port, because a middlebox on the path may have lost the state of the old flow.
 
 mod counters;
 mod dial;
--- a/crates/gateway/src/peers/pump.rs
+++ b/crates/gateway/src/peers/pump.rs
@@ -1,75 +1,75 @@
-//! Bodies between streams and the channels of the rest of the program.
+//! Copies bodies between QUIC streams and the channels of other threads.
 
 use super::forward::BodyChunk;
 use super::link::Link;
 use bytes::Bytes;
 use tokio::sync::mpsc;
 
-/// Code of a stream that was given up.
+/// QUIC error code of a cancelled stream.
 pub(super) const CANCELLED: u32 = 1;
-/// Largest part of a body that is read at a time, in bytes.
-const MAX_PART_BYTES: usize = 32 * 1_024;
+/// Maximum size of a chunk read from a stream, in bytes.
+const MAX_CHUNK_BYTES: usize = 32 * 1_024;
 
-/// Writes a body to a stream. A body that breaks off without its end resets the stream. Tells
-/// whether the whole body was written.
+/// Writes a body to a stream and returns whether all of it was written. A truncated body resets
+/// the stream.
 pub(super) async fn write_body(
     mut stream: quinn::SendStream,
     mut body: mpsc::Receiver<BodyChunk>,
     link: &Link,
 ) -> bool {
     loop {
-        let part = tokio::select! {
-            part = body.recv() => part,
+        let chunk = tokio::select! {
+            chunk = body.recv() => chunk,
             _ = stream.stopped() => None,
         };
-        let is_written = match part {
-            Some(BodyChunk::Data(bytes)) => write_part(&mut stream, bytes, link).await,
+        let is_written = match chunk {
+            Some(BodyChunk::Data(bytes)) => write_chunk_to(&mut stream, bytes, link).await,
             Some(BodyChunk::End) => return stream.finish().is_ok(),
             None => false,
         };
         if !is_written {
-            // A stream that is closed already needs no reset.
+            // Resetting a closed stream fails and has no effect.
             let _ = stream.reset(CANCELLED.into());
             return false;
         }
     }
 }
 
-async fn write_part(stream: &mut quinn::SendStream, bytes: Bytes, link: &Link) -> bool {
+async fn write_chunk_to(stream: &mut quinn::SendStream, bytes: Bytes, link: &Link) -> bool {
     let is_written = stream.write_chunk(bytes).await.is_ok();
     if is_written {
-        link.note_sent(false);
+        link.record_sent(false);
     }
     is_written
 }
 
-/// Reads a body from a stream. When the reader of `body` goes away, the stream is stopped. Tells
-/// whether the whole body was read and taken.
+/// Reads a body from a stream and returns whether all of it was read and passed on. Stops the
+/// stream when the receiver of `body` is dropped.
 pub(super) async fn read_body(
     mut stream: quinn::RecvStream,
     body: mpsc::Sender<BodyChunk>,
     link: &Link,
 ) -> bool {
     loop {
-        let chunk = tokio::select! {
-            chunk = stream.read_chunk(MAX_PART_BYTES, true) => chunk,
+        let read = tokio::select! {
+            read = stream.read_chunk(MAX_CHUNK_BYTES, true) => read,
             () = body.closed() => break,
         };
-        let part = match chunk {
-            Ok(Some(chunk)) => BodyChunk::Data(chunk.bytes),
+        let chunk = match read {
+            Ok(Some(read)) => BodyChunk::Data(read.bytes),
             Ok(None) => BodyChunk::End,
             Err(_) => return false,
         };
-        link.note_received();
-        let is_end = matches!(part, BodyChunk::End);
-        if body.send(part).await.is_err() {
+        link.record_received();
+        let is_end = matches!(chunk, BodyChunk::End);
+        if body.send(chunk).await.is_err() {
             break;
         }
         if is_end {
             return true;
         }
     }
-    // A stream that is closed already needs no stop.
+    // Stopping a closed stream fails and has no effect.
     let _ = stream.stop(CANCELLED.into());
     false
 }
--- a/crates/gateway/src/peers/run.rs
+++ b/crates/gateway/src/peers/run.rs
@@ -1,11 +1,11 @@
-//! The thread of the links: commands, accepted connections and upkeep.
+//! Main loop of the link thread: commands, incoming connections and periodic checks of all links.
 
 use super::counters::{count, Counters};
-use super::document::{self, Served};
+use super::document::{self, ServedDocument};
 use super::forward::{forward, OutgoingForward};
 use super::handle::Sinks;
 use super::links::Links;
-use super::shared::{open_dialler, Shared, Traffic};
+use super::shared::{open_dialler, Shared, UdpTraffic};
 use super::tls::TlsConfigs;
 use super::{dial, PeerSettings};
 use arc_swap::ArcSwapOption;
@@ -27,18 +27,18 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Time between two checks of all links.
-const UPKEEP_PERIOD: Duration = Duration::from_millis(250);
-/// Checks between two sums of the traffic.
-const UPKEEPS_PER_SUM: u64 = 4;
-/// Time without traffic after which a link with open requests is tested.
-const ECHO_AFTER: Duration = Duration::from_millis(500);
-/// Time that closing all links may take.
+/// Interval between checks of all links.
+const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Link checks per update of the traffic counters.
+const CHECKS_PER_TRAFFIC_UPDATE: u64 = 4;
+/// Time without received data after which a link with open requests is tested by an echo.
+const ECHO_DELAY: Duration = Duration::from_millis(500);
+/// Timeout for closing all links at the end of the thread.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Links from which on further connections are refused.
+/// Number of links at which further incoming connections are refused.
 const MAX_LINKS: usize = 1_024;
 
-/// What the rest of the program asks for.
+/// A command from another thread.
 pub(super) enum Command {
     /// Send a message.
     Send {
@@ -46,19 +46,19 @@
         addr: Option<SocketAddr>,
         message: Message,
     },
-    /// Fetch the document.
+    /// Fetch the document from a peer.
     Fetch {
         from: InstanceId,
         addr: SocketAddr,
         above_revision: u64,
     },
-    /// Forward a request.
+    /// Forward a request to a peer.
     Forward(OutgoingForward),
-    /// Use another certificate.
+    /// Replace the TLS configuration.
     Reload(Box<TlsConfigs>),
 }
 
-/// Runs the thread until it is cancelled.
+/// Runs the main loop until it is cancelled.
 #[expect(
     clippy::too_many_arguments,
     reason = "called once, at the start of the thread"
@@ -70,7 +70,7 @@
     socket: UdpSocket,
     queue: mpsc::Receiver<Command>,
     sinks: Sinks,
-    document: Arc<ArcSwapOption<Served>>,
+    document: Arc<ArcSwapOption<ServedDocument>>,
     counters: Arc<Counters>,
     cancel: CancellationToken,
 ) -> io::Result<()> {
@@ -93,7 +93,7 @@
             document,
             counters,
             cancel,
-            ended_traffic: Cell::new(Traffic::default()),
+            closed_link_traffic: Cell::new(UdpTraffic::default()),
         });
         serve(&shared, queue).await;
         close_all(&shared).await;
@@ -102,32 +102,32 @@
 }
 
 async fn serve(shared: &Rc<Shared>, mut queue: mpsc::Receiver<Command>) {
-    let mut upkeep = interval(UPKEEP_PERIOD);
-    upkeep.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut upkeeps: u64 = 0;
+    let mut check_timer = interval(LINK_CHECK_INTERVAL);
+    check_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut checks: u64 = 0;
     loop {
         tokio::select! {
             () = shared.cancel.cancelled() => return,
             command = queue.recv() => match command {
-                Some(command) => obey(shared, command),
+                Some(command) => execute(shared, command),
                 None => return,
             },
             incoming = shared.server.accept() => match incoming {
                 Some(incoming) => accept(shared, incoming),
                 None => return,
             },
-            _ = upkeep.tick() => {
+            _ = check_timer.tick() => {
                 check_links(shared);
-                if upkeeps.is_multiple_of(UPKEEPS_PER_SUM) {
-                    sum_traffic(shared);
+                if checks.is_multiple_of(CHECKS_PER_TRAFFIC_UPDATE) {
+                    update_traffic_counters(shared);
                 }
-                upkeeps += 1;
+                checks += 1;
             }
         }
     }
 }
 
-fn obey(shared: &Rc<Shared>, command: Command) {
+fn execute(shared: &Rc<Shared>, command: Command) {
     match command {
         Command::Send { to, addr, message } => dial::send(shared, &to, addr, message),
         Command::Fetch {
@@ -166,40 +166,40 @@
     }
 }
 
-/// Drops silent links, closes idle and retired ones, and tests those with open requests.
+/// Closes silent, idle and retired links, and sends an echo on quiet ones with open requests.
 fn check_links(shared: &Rc<Shared>) {
-    let silent = Duration::from_millis(shared.settings.reply_timeout_ms);
-    let idle = Duration::from_millis(shared.settings.idle_timeout_ms);
+    let reply_timeout = Duration::from_millis(shared.settings.reply_timeout_ms);
+    let idle_timeout = Duration::from_millis(shared.settings.idle_timeout_ms);
     let links = shared.links.borrow().all();
     shared
         .counters
         .links
         .store(links.len() as u64, Ordering::Relaxed);
     for link in links {
-        if link.is_silent(silent) {
+        if link.is_silent(reply_timeout) {
             log::info!(peer:% = link.peer; "peer_link_silent");
             count(&shared.counters.silent_links);
             shared
                 .links
                 .borrow_mut()
-                .note_lost(&link.peer, link.generation);
-            shared.forget_link(&link);
+                .record_lost_flow(&link.peer, link.generation);
+            shared.remove_link(&link);
             link.connection.close(0u32.into(), b"silent");
-        } else if link.is_idle(idle) || link.is_retired() && !link.is_busy() {
-            shared.forget_link(&link);
+        } else if link.is_idle(idle_timeout) || link.is_retired() && !link.is_busy() {
+            shared.remove_link(&link);
             link.connection.close(0u32.into(), b"idle");
-        } else if link.wants_echo(ECHO_AFTER) {
+        } else if link.needs_echo(ECHO_DELAY) {
             shared.send_over(&link, &Message::Echo(0));
         }
     }
 }
 
-fn sum_traffic(shared: &Shared) {
+fn update_traffic_counters(shared: &Shared) {
     let links = shared.links.borrow().all();
     let traffic = links
         .iter()
-        .map(|link| Traffic::of(&link.connection))
-        .fold(shared.ended_traffic.get(), Traffic::plus);
+        .map(|link| UdpTraffic::of(&link.connection))
+        .fold(shared.closed_link_traffic.get(), UdpTraffic::plus);
     let counters = &shared.counters;
     let pairs = [
         (&counters.sent_udp_bytes, traffic.sent_bytes),
@@ -218,7 +218,7 @@
         link.connection.close(0u32.into(), b"stop");
     }
     let dialler = shared.dialler.borrow().endpoint.clone();
-    // A peer that does not hear the close finds the silence by itself.
+    // A peer that misses the close detects the silent link by its own reply timeout.
     let _ = timeout(CLOSE_TIMEOUT, async {
         shared.server.wait_idle().await;
         dialler.wait_idle().await;
--- a/crates/gateway/src/peers/serve.rs
+++ b/crates/gateway/src/peers/serve.rs
@@ -1,4 +1,4 @@
-//! What arrives on a link.
+//! Receives datagrams, messages and requests on a link.
 
 use super::link::{Link, RequestGuard};
 use super::shared::Shared;
@@ -10,10 +10,10 @@
 use std::{rc::Rc, time::Duration};
 use tokio::{task::spawn_local, time::timeout};
 
-/// Time within which a message or a head has to arrive whole.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Timeout for receiving a complete message or head.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Serves a link until it ends, and takes it out of the table.
+/// Serves a link until it closes, then removes it from the table.
 pub(super) async fn run_link(shared: Rc<Shared>, link: Rc<Link>) {
     let connection = link.connection.clone();
     loop {
@@ -37,11 +37,11 @@
             break;
         }
     }
-    shared.forget_link(&link);
+    shared.remove_link(&link);
 }
 
 async fn receive_message(shared: Rc<Shared>, link: Rc<Link>, mut stream: quinn::RecvStream) {
-    let read = timeout(HEAD_TIMEOUT, stream.read_to_end(MAX_MESSAGE_BYTES)).await;
+    let read = timeout(READ_TIMEOUT, stream.read_to_end(MAX_MESSAGE_BYTES)).await;
     if let Ok(Ok(bytes)) = read {
         shared.receive(&link, &bytes);
     }
@@ -54,8 +54,8 @@
     mut receive: quinn::RecvStream,
 ) {
     let _guard = RequestGuard::new(&link);
-    let read = timeout(HEAD_TIMEOUT, read_head::<Request>(&mut receive)).await;
-    link.note_received();
+    let read = timeout(READ_TIMEOUT, read_head::<Request>(&mut receive)).await;
+    link.record_received();
     match read.unwrap_or_default() {
         Some(Request::Document {
             above_revision,
@@ -68,7 +68,8 @@
     }
 }
 
-/// Reads a length-prefixed head; none if the stream ends, breaks off or carries something else.
+/// Reads a length-prefixed head. Returns `None` if the stream ends early or the head is too large
+/// or invalid.
 pub(super) async fn read_head<T: DeserializeOwned>(stream: &mut quinn::RecvStream) -> Option<T> {
     let mut length = [0; LENGTH_BYTES];
     stream.read_exact(&mut length).await.ok()?;
--- a/crates/gateway/src/peers/shared.rs
+++ b/crates/gateway/src/peers/shared.rs
@@ -1,7 +1,7 @@
-//! State that the tasks of the thread share. All of them run on one thread.
+//! State shared by the tasks of the link thread, all of which run on that thread.
 
 use super::counters::{count, Counters};
-use super::document::Served;
+use super::document::ServedDocument;
 use super::handle::{Inbound, Sinks};
 use super::link::{LargeMessageGuard, Link};
 use super::links::Links;
@@ -20,21 +20,21 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Larger messages that may be on their way on one link.
+/// Maximum number of large messages being sent on one link.
 const MAX_LARGE_MESSAGES: u32 = 8;
-/// Time for which a larger message may be on its way.
+/// Timeout for sending a large message.
 const LARGE_MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Age of the dialling port below which it is not replaced again.
-const MIN_PORT_AGE: Duration = Duration::from_millis(250);
+/// Minimum age of the dialling port before it may be replaced again.
+const MIN_PORT_LIFETIME: Duration = Duration::from_millis(250);
 
-/// The local port that dials, and its generation.
+/// The endpoint used for dialling, and the generation of its local port.
 pub(super) struct Dialler {
     pub(super) endpoint: quinn::Endpoint,
     pub(super) generation: u64,
     pub(super) opened_at: Instant,
 }
 
-/// State that the tasks share.
+/// State shared by the tasks of the link thread.
 pub(super) struct Shared {
     pub(super) settings: PeerSettings,
     pub(super) tls: RefCell<TlsConfigs>,
@@ -42,23 +42,23 @@
     pub(super) dialler: RefCell<Dialler>,
     pub(super) links: RefCell<Links>,
     pub(super) sinks: RefCell<Sinks>,
-    pub(super) document: Arc<ArcSwapOption<Served>>,
+    pub(super) document: Arc<ArcSwapOption<ServedDocument>>,
     pub(super) counters: Arc<Counters>,
     pub(super) cancel: CancellationToken,
-    /// UDP traffic of links that have ended.
-    pub(super) ended_traffic: Cell<Traffic>,
+    /// UDP traffic of closed links.
+    pub(super) closed_link_traffic: Cell<UdpTraffic>,
 }
 
-/// UDP traffic in both directions.
+/// UDP traffic totals in both directions.
 #[derive(Clone, Copy, Default)]
-pub(super) struct Traffic {
+pub(super) struct UdpTraffic {
     pub(super) sent_bytes: u64,
     pub(super) received_bytes: u64,
     pub(super) sent_datagrams: u64,
     pub(super) received_datagrams: u64,
 }
 
-impl Traffic {
+impl UdpTraffic {
     pub(super) fn of(connection: &quinn::Connection) -> Self {
         let stats = connection.stats();
         Self {
@@ -79,7 +79,7 @@
     }
 }
 
-/// Opens a local port for dialling.
+/// Opens an endpoint on a new local port for dialling.
 pub(super) fn open_dialler(ip: IpAddr, generation: u64) -> io::Result<Dialler> {
     Ok(Dialler {
         endpoint: quinn::Endpoint::client(SocketAddr::new(ip, 0))?,
@@ -89,12 +89,13 @@
 }
 
 impl Shared {
-    /// The port to dial from, whose generation is at least `least`. A replaced port lives on for
-    /// as long as it has links.
-    pub(super) fn dialler(&self, least: u64) -> (quinn::Endpoint, u64) {
+    /// Returns the endpoint to dial from and its generation. If the generation is below
+    /// `min_generation`, the port is replaced first, unless it is too young. A replaced port stays
+    /// open while it has links.
+    pub(super) fn dialler(&self, min_generation: u64) -> (quinn::Endpoint, u64) {
         let mut dialler = self.dialler.borrow_mut();
-        let is_young = dialler.opened_at.elapsed() < MIN_PORT_AGE;
-        if dialler.generation < least && !is_young {
+        let is_recent = dialler.opened_at.elapsed() < MIN_PORT_LIFETIME;
+        if dialler.generation < min_generation && !is_recent {
             let generation = dialler.generation + 1;
             match open_dialler(self.settings.listen.ip(), generation) {
                 Ok(opened) => *dialler = opened,
@@ -104,14 +105,14 @@
         (dialler.endpoint.clone(), dialler.generation)
     }
 
-    /// Sends a message over a link: as a datagram if it fits, else over a stream.
+    /// Sends a message over a link: as a datagram if it fits, otherwise over a stream.
     pub(super) fn send_over(&self, link: &Rc<Link>, message: &Message) {
         let Some(bytes) = encode(message, link.version) else {
             count(&self.counters.unsent_messages);
             return;
         };
-        let room = link.connection.max_datagram_size().unwrap_or(0);
-        if bytes.len() <= room.min(MAX_DATAGRAM_BYTES) {
+        let datagram_bytes = link.connection.max_datagram_size().unwrap_or(0);
+        if bytes.len() <= datagram_bytes.min(MAX_DATAGRAM_BYTES) {
             if link.connection.send_datagram(bytes.into()).is_err() {
                 count(&self.counters.unsent_messages);
                 return;
@@ -127,15 +128,15 @@
             return;
         }
         count(&self.counters.sent_messages);
-        link.note_sent(message.expects_reply());
+        link.record_sent(message.expects_reply());
     }
 
-    /// Takes in the bytes of one message.
+    /// Decodes and handles the bytes of one message.
     pub(super) fn receive(&self, link: &Rc<Link>, bytes: &[u8]) {
         let message = match decode(bytes) {
             Ok(Decoded::Message(message)) => message,
             Ok(Decoded::Unknown { .. }) => {
-                link.note_received();
+                link.record_received();
                 count(&self.counters.unknown_messages);
                 return;
             }
@@ -144,7 +145,7 @@
                 return;
             }
         };
-        link.note_received();
+        link.record_received();
         count(&self.counters.received_messages);
         match message {
             Message::Echo(number) => self.send_over(link, &Message::EchoReply(number)),
@@ -156,24 +157,24 @@
         }
     }
 
-    /// Hands something to the rest of the program.
+    /// Passes an event to the inbound sink.
     pub(super) fn deliver(&self, inbound: Inbound) {
-        let is_taken = (self.sinks.borrow_mut().inbound)(inbound);
-        if !is_taken {
+        let is_accepted = (self.sinks.borrow_mut().inbound)(inbound);
+        if !is_accepted {
             count(&self.counters.dropped_inbound);
         }
     }
 
-    /// Takes a link out of the table, and keeps its traffic in the sums.
-    pub(super) fn forget_link(&self, link: &Link) {
+    /// Removes a link from the table and adds its traffic to that of closed links.
+    pub(super) fn remove_link(&self, link: &Link) {
         if self.links.borrow_mut().remove(link) {
-            let traffic = Traffic::of(&link.connection);
-            self.ended_traffic
-                .set(self.ended_traffic.get().plus(traffic));
+            let traffic = UdpTraffic::of(&link.connection);
+            self.closed_link_traffic
+                .set(self.closed_link_traffic.get().plus(traffic));
         }
     }
 
-    /// Whether `peer` is this instance itself.
+    /// Whether `peer` is this instance.
     pub(super) fn is_self(&self, peer: &InstanceId) -> bool {
         *peer == self.settings.instance
     }
@@ -186,6 +187,6 @@
         stream.finish().ok()?;
         stream.stopped().await.ok()
     };
-    // A message that does not get through in time is dropped, like a lost datagram.
+    // A message that is not acknowledged in time is dropped, like a lost datagram.
     let _ = tokio::time::timeout(LARGE_MESSAGE_TIMEOUT, send).await;
 }
--- a/crates/gateway/src/peers/tls.rs
+++ b/crates/gateway/src/peers/tls.rs
@@ -1,4 +1,4 @@
-//! TLS of the links: both sides present a certificate of the private authority.
+//! Mutual TLS for links: both sides present a certificate signed by the private authority.
 
 use super::{PeerError, TlsMaterial};
 use carobwheel_core::id::InstanceId;
@@ -8,22 +8,22 @@
 use rustls::{client::Resumption, crypto::CryptoProvider, RootCertStore};
 use std::{ops::RangeInclusive, sync::Arc, time::Duration};
 
-/// Name of the protocol in the handshake, followed by its version.
+/// ALPN protocol name, followed by the protocol version.
 const ALPN_PREFIX: &str = "carobwheel-peer/";
 /// Flow-control window of one stream, in bytes.
 const STREAM_WINDOW_BYTES: u32 = 512 * 1_024;
 /// Flow-control window of one connection, in bytes.
 const CONNECTION_WINDOW_BYTES: u32 = 4 * 1_024 * 1_024;
-/// Buffer for datagrams in one direction, in bytes.
+/// Size of the datagram buffer per direction, in bytes.
 const DATAGRAM_BUFFER_BYTES: usize = 64 * 1_024;
-/// Requests that a peer may have open on one link.
-const MAX_REQUESTS: u32 = 256;
-/// Larger messages that a peer may have open on one link.
-const MAX_LARGE_MESSAGES: u32 = 32;
-/// Time after which the library gives up a connection by itself, in milliseconds.
-const LIBRARY_IDLE_MS: u32 = 300_000;
+/// Maximum number of requests that a peer may have open on one link.
+const MAX_CONCURRENT_REQUESTS: u32 = 256;
+/// Maximum number of large messages that a peer may be sending on one link.
+const MAX_CONCURRENT_LARGE_MESSAGES: u32 = 32;
+/// Idle timeout of the QUIC library, in milliseconds. The link thread closes idle links earlier.
+const QUIC_IDLE_TIMEOUT_MS: u32 = 300_000;
 
-/// Ready configurations for both roles.
+/// QUIC configurations for accepting and dialling.
 #[derive(Clone)]
 pub(super) struct TlsConfigs {
     pub(super) server: quinn::ServerConfig,
@@ -38,23 +38,25 @@
     ) -> Result<Self, PeerError> {
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let chain = certificates(&material.cert_pem)?;
-        let leaf = chain.first().ok_or_else(|| fault("no certificate"))?;
+        let leaf = chain
+            .first()
+            .ok_or_else(|| tls_error("no instance certificate"))?;
         if !is_certificate_of(leaf, instance) {
-            return Err(fault(format!("the certificate does not name `{instance}`")));
+            return Err(tls_error(format!("certificate does not name `{instance}`")));
         }
         let roots = roots(&material.ca_pem)?;
         let transport = Arc::new(transport());
-        let mut server = server(&provider, &roots, &chain, key(material)?, versions)?;
+        let mut server = server(&provider, &roots, &chain, private_key(material)?, versions)?;
         server.transport_config(Arc::clone(&transport));
         server.migration(false);
-        let mut client = client(&provider, &roots, &chain, key(material)?, versions)?;
+        let mut client = client(&provider, &roots, &chain, private_key(material)?, versions)?;
         client.transport_config(transport);
         Ok(Self { server, client })
     }
 }
 
-/// Whether a verified certificate names `instance`. Names with capital letters are refused, since
-/// certificates do not tell them apart.
+/// Whether a verified certificate names `instance`. Names with upper-case letters are refused,
+/// since names in certificates are compared without regard to case.
 pub(super) fn is_certificate_of(cert: &CertificateDer<'_>, instance: &InstanceId) -> bool {
     let name = instance.as_str();
     if name.bytes().any(|b| b.is_ascii_uppercase()) {
@@ -69,7 +71,7 @@
     rustls::client::verify_server_name(&parsed, &name).is_ok()
 }
 
-/// The protocol version that a handshake agreed on.
+/// Returns the protocol version negotiated by the handshake.
 pub(super) fn agreed_version(connection: &quinn::Connection) -> Option<u8> {
     let data = connection
         .handshake_data()?
@@ -79,7 +81,7 @@
     name.strip_prefix(ALPN_PREFIX)?.parse().ok()
 }
 
-/// The peer's own certificate, verified by the handshake.
+/// Returns the peer's leaf certificate, as verified by the handshake.
 pub(super) fn peer_certificate(connection: &quinn::Connection) -> Option<CertificateDer<'static>> {
     let chain = connection
         .peer_identity()?
@@ -88,33 +90,33 @@
     chain.first().cloned()
 }
 
-fn fault(reason: impl ToString) -> PeerError {
+fn tls_error(reason: impl ToString) -> PeerError {
     PeerError::Tls(reason.to_string())
 }
 
 fn certificates(pem: &str) -> Result<Vec<CertificateDer<'static>>, PeerError> {
     CertificateDer::pem_slice_iter(pem.as_bytes())
         .collect::<Result<_, _>>()
-        .map_err(|err| fault(format!("not PEM: {err}")))
+        .map_err(|err| tls_error(format!("invalid PEM: {err}")))
 }
 
-fn key(material: &TlsMaterial) -> Result<PrivateKeyDer<'static>, PeerError> {
+fn private_key(material: &TlsMaterial) -> Result<PrivateKeyDer<'static>, PeerError> {
     PrivateKeyDer::from_pem_slice(material.key_pem.as_bytes())
-        .map_err(|err| fault(format!("no private key: {err}")))
+        .map_err(|err| tls_error(format!("invalid private key: {err}")))
 }
 
 fn roots(pem: &str) -> Result<Arc<RootCertStore>, PeerError> {
     let mut roots = RootCertStore::empty();
     for cert in certificates(pem)? {
-        roots.add(cert).map_err(fault)?;
+        roots.add(cert).map_err(tls_error)?;
     }
     if roots.is_empty() {
-        return Err(fault("no authority"));
+        return Err(tls_error("no certificate authority"));
     }
     Ok(Arc::new(roots))
 }
 
-/// Names of the protocol, the highest version first.
+/// Returns the ALPN protocol names, highest version first.
 fn alpn(versions: &RangeInclusive<u8>) -> Vec<Vec<u8>> {
     let name = |version| format!("{ALPN_PREFIX}{version}").into_bytes();
     versions.clone().rev().map(name).collect()
@@ -130,18 +132,18 @@
     let verifier =
         WebPkiClientVerifier::builder_with_provider(Arc::clone(roots), Arc::clone(provider))
             .build()
-            .map_err(fault)?;
+            .map_err(tls_error)?;
     let mut config = rustls::ServerConfig::builder_with_provider(Arc::clone(provider))
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(fault)?
+        .map_err(tls_error)?
         .with_client_cert_verifier(verifier)
         .with_single_cert(chain.to_vec(), key)
-        .map_err(fault)?;
+        .map_err(tls_error)?;
     config.alpn_protocols = alpn(versions);
-    // A resumed session would skip the check of the peer's certificate.
+    // A resumed session would skip verification of the peer's certificate.
     config.session_storage = Arc::new(NoServerSessionStorage {});
     config.send_tls13_tickets = 0;
-    let crypto = QuicServerConfig::try_from(config).map_err(fault)?;
+    let crypto = QuicServerConfig::try_from(config).map_err(tls_error)?;
     Ok(quinn::ServerConfig::with_crypto(Arc::new(crypto)))
 }
 
@@ -154,25 +156,25 @@
 ) -> Result<quinn::ClientConfig, PeerError> {
     let mut config = rustls::ClientConfig::builder_with_provider(Arc::clone(provider))
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(fault)?
+        .map_err(tls_error)?
         .with_root_certificates(Arc::clone(roots))
         .with_client_auth_cert(chain.to_vec(), key)
-        .map_err(fault)?;
+        .map_err(tls_error)?;
     config.alpn_protocols = alpn(versions);
     config.resumption = Resumption::disabled();
-    let crypto = QuicClientConfig::try_from(config).map_err(fault)?;
+    let crypto = QuicClientConfig::try_from(config).map_err(tls_error)?;
     Ok(quinn::ClientConfig::new(Arc::new(crypto)))
 }
 
 fn transport() -> quinn::TransportConfig {
     let mut transport = quinn::TransportConfig::default();
-    let idle = quinn::VarInt::from_u32(LIBRARY_IDLE_MS);
+    let idle = quinn::VarInt::from_u32(QUIC_IDLE_TIMEOUT_MS);
     transport
         .max_idle_timeout(Some(idle.into()))
         .mtu_discovery_config(None)
         .initial_rtt(Duration::from_millis(200))
-        .max_concurrent_bidi_streams(MAX_REQUESTS.into())
-        .max_concurrent_uni_streams(MAX_LARGE_MESSAGES.into())
+        .max_concurrent_bidi_streams(MAX_CONCURRENT_REQUESTS.into())
+        .max_concurrent_uni_streams(MAX_CONCURRENT_LARGE_MESSAGES.into())
         .stream_receive_window(STREAM_WINDOW_BYTES.into())
         .receive_window(CONNECTION_WINDOW_BYTES.into())
         .send_window(CONNECTION_WINDOW_BYTES.into())
