--- a/crates/gateway/src/store/backoff.rs
+++ b/crates/gateway/src/store/backoff.rs
@@ -1,20 +1,20 @@
-//! Pauses between attempts to reach a store that does not answer.
+//! Exponential back-off of calls to a store that does not answer.
 
 use carobwheel_core::time::Millis;
 
-/// Doublings after which a pause no longer grows.
+/// Maximum number of times that the delay is doubled.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// How the pauses grow.
+/// Parameters of the back-off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffOptions {
-    /// Failures in a row before calls pause (1 or more).
+    /// Consecutive failures at which calls start to back off (1 or more).
     pub failure_threshold: u32,
-    /// Longest first pause, in milliseconds.
+    /// Maximum of the first delay, in milliseconds.
     pub max_first_delay_ms: u64,
-    /// Longest pause, in milliseconds.
+    /// Maximum delay, in milliseconds.
     pub max_delay_ms: u64,
-    /// Time that a single attempt has before the next one may follow, in milliseconds.
+    /// Minimum interval between attempts while backing off, in milliseconds.
     pub attempt_interval_ms: u64,
 }
 
@@ -29,52 +29,52 @@
     }
 }
 
-/// Counts failures and decides when the next call may go out.
+/// Back-off state: counts consecutive failures and decides when the next call may be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     options: BackoffOptions,
     failures: u32,
-    until: Millis,
+    retry_at: Millis,
 }
 
 impl Backoff {
-    /// A state without failures.
+    /// Creates a state without failures.
     pub fn new(options: BackoffOptions) -> Self {
         Self {
             options,
             failures: 0,
-            until: Millis(0),
+            retry_at: Millis(0),
         }
     }
 
-    /// Calls pause, except for single attempts.
+    /// Whether calls back off; only one attempt per interval is admitted then.
     pub fn is_open(&self) -> bool {
         self.failures >= self.options.failure_threshold
     }
 
-    /// Admits a call. After a pause one attempt at a time goes out.
+    /// Admits a call. While backing off, one attempt per interval is admitted after the delay.
     ///
     /// # Errors
     ///
-    /// Returns the time to wait, in milliseconds.
+    /// Returns the remaining delay, in milliseconds.
     pub fn admit(&mut self, now: Millis) -> Result<(), u64> {
         if !self.is_open() {
             return Ok(());
         }
-        if now < self.until {
-            return Err(self.until.since(now));
+        if now < self.retry_at {
+            return Err(self.retry_at.since(now));
         }
-        self.until = now.plus(self.options.attempt_interval_ms);
+        self.retry_at = now.plus(self.options.attempt_interval_ms);
         Ok(())
     }
 
-    /// Notes that the store has answered.
+    /// Records that the store answered.
     pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
-    /// Notes that the store has not answered. `jitter`, from 0 up to 1, spreads the instances'
-    /// next attempts over the pause.
+    /// Records that the store did not answer. `jitter`, from 0 up to 1, spreads the next attempts
+    /// of the instances over the delay.
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_precision_loss,
@@ -89,8 +89,8 @@
         let factor = 1_u64 << doublings.min(MAX_DOUBLINGS);
         let max_delay_ms =
             (self.options.max_first_delay_ms * factor).min(self.options.max_delay_ms);
-        let shortest_ms = max_delay_ms / 4;
-        let spread_ms = (max_delay_ms - shortest_ms) as f64 * jitter;
-        self.until = now.plus(shortest_ms + spread_ms as u64);
+        let min_delay_ms = max_delay_ms / 4;
+        let spread_ms = (max_delay_ms - min_delay_ms) as f64 * jitter;
+        self.retry_at = now.plus(min_delay_ms + spread_ms as u64);
     }
 }
--- a/crates/gateway/src/store/budget.rs
+++ b/crates/gateway/src/store/budget.rs
@@ -1,48 +1,49 @@
-//! The share of the store's rates that one instance may use.
+//! Rate limits for one instance's calls to the store.
 
 use carobwheel_core::time::Millis;
 
-/// Reads that all instances together may make, in calls a second. A waiting watch counts as one.
+/// Rate of reads of the whole fleet, in calls per second. An open watch counts as one call per
+/// second.
 pub const FLEET_READS_PER_S: f64 = 1_600.0;
-/// Writes that all instances together may make, in calls a second.
+/// Rate of writes of the whole fleet, in calls per second.
 pub const FLEET_WRITES_PER_S: f64 = 300.0;
-/// Burst of reads. It is small, since news makes all instances read at the same time.
+/// Burst of reads. It is small, because an update causes all instances to read at the same time.
 const READ_BURST: Burst = Burst {
-    yield_s: 0.25,
+    fill_s: 0.25,
     min_calls: 1.0,
 };
-/// Burst of writes. Callers' actions come independently of each other, and a small burst would
+/// Burst of writes. Callers' actions arrive independently of each other, and a small burst would
 /// refuse many of them.
 const WRITE_BURST: Burst = Burst {
-    yield_s: 1.0,
+    fill_s: 1.0,
     min_calls: 4.0,
 };
 
-/// Calls that may be made at once.
+/// Size of a bucket, relative to its rate.
 #[derive(Clone, Copy, Debug)]
 struct Burst {
-    /// The yield of this time, in seconds.
-    yield_s: f64,
-    /// Smallest burst, in calls.
+    /// Time over which an empty bucket fills, in seconds.
+    fill_s: f64,
+    /// Minimum size, in calls.
     min_calls: f64,
 }
 
-/// Kind of a call, by the rate that it counts against.
+/// Kind of a call, which determines the rate limit that it counts against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// Reads and opening a watch.
+    /// A read, or the opening of a watch.
     Read,
-    /// Writes and calls about leases.
+    /// A write, or a call about a lease.
     Write,
 }
 
-/// A token bucket of calls.
+/// Token bucket of calls.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     burst: Burst,
     calls_per_s: f64,
-    level_calls: f64,
-    filled_at: Millis,
+    available_calls: f64,
+    refilled_at: Millis,
 }
 
 impl Bucket {
@@ -50,25 +51,25 @@
         let mut bucket = Self {
             burst,
             calls_per_s,
-            level_calls: 0.0,
-            filled_at: now,
+            available_calls: 0.0,
+            refilled_at: now,
         };
-        bucket.level_calls = bucket.burst_calls();
+        bucket.available_calls = bucket.burst_calls();
         bucket
     }
 
     fn burst_calls(&self) -> f64 {
-        (self.calls_per_s * self.burst.yield_s).max(self.burst.min_calls)
+        (self.calls_per_s * self.burst.fill_s).max(self.burst.min_calls)
     }
 
     fn refill(&mut self, now: Millis) {
-        let yielded = ms_to_s(now.since(self.filled_at)) * self.calls_per_s;
-        self.level_calls = (self.level_calls + yielded).min(self.burst_calls());
-        self.filled_at = self.filled_at.max(now);
+        let refilled = ms_to_s(now.since(self.refilled_at)) * self.calls_per_s;
+        self.available_calls = (self.available_calls + refilled).min(self.burst_calls());
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
 
-/// Calls that one instance may make.
+/// Rate limits of one instance's calls to the store.
 #[derive(Clone, Copy, Debug)]
 pub struct CallBudget {
     reads: Bucket,
@@ -76,49 +77,50 @@
 }
 
 impl CallBudget {
-    /// The share of one of `instances` instances. Each holds one waiting watch.
+    /// Creates the budget of one instance in a fleet of `instances`, each with one open watch.
     pub fn for_fleet(instances: u32, now: Millis) -> Self {
-        let (reads_per_s, writes_per_s) = shares(instances);
+        let (reads_per_s, writes_per_s) = rates_per_instance(instances);
         Self {
             reads: Bucket::new(READ_BURST, reads_per_s, now),
             writes: Bucket::new(WRITE_BURST, writes_per_s, now),
         }
     }
 
-    /// Changes the number of instances that share the store.
+    /// Sets the number of instances that share the store's rates.
     pub fn set_fleet(&mut self, instances: u32, now: Millis) {
         self.reads.refill(now);
         self.writes.refill(now);
-        (self.reads.calls_per_s, self.writes.calls_per_s) = shares(instances);
+        (self.reads.calls_per_s, self.writes.calls_per_s) = rates_per_instance(instances);
     }
 
-    /// Takes the place of one call.
+    /// Takes one call from the budget.
     ///
     /// # Errors
     ///
-    /// Returns the time after which a place is free, in milliseconds.
+    /// Returns the time until a call is available, in milliseconds.
     pub fn take(&mut self, kind: CallKind, now: Millis) -> Result<(), u64> {
         let bucket = self.bucket(kind);
         bucket.refill(now);
-        if bucket.level_calls >= 1.0 {
-            bucket.level_calls -= 1.0;
+        if bucket.available_calls >= 1.0 {
+            bucket.available_calls -= 1.0;
             return Ok(());
         }
-        Err(s_to_ms((1.0 - bucket.level_calls) / bucket.calls_per_s))
+        Err(s_to_ms((1.0 - bucket.available_calls) / bucket.calls_per_s))
     }
 
-    /// Counts a call that has to be made; later calls wait for it.
+    /// Charges a call that is made in any case. The bucket may go below zero, which delays later
+    /// calls.
     pub fn charge(&mut self, kind: CallKind, now: Millis) {
         let bucket = self.bucket(kind);
         bucket.refill(now);
-        bucket.level_calls -= 1.0;
+        bucket.available_calls -= 1.0;
     }
 
-    /// Gives up saved calls, so that the fleet does not spend them all when the store returns.
+    /// Empties the buckets, so that the fleet does not send a burst when the store recovers.
     pub fn drain(&mut self, now: Millis) {
         for bucket in [&mut self.reads, &mut self.writes] {
             bucket.refill(now);
-            bucket.level_calls = bucket.level_calls.min(0.0);
+            bucket.available_calls = bucket.available_calls.min(0.0);
         }
     }
 
@@ -130,10 +132,10 @@
     }
 }
 
-fn shares(instances: u32) -> (f64, f64) {
+fn rates_per_instance(instances: u32) -> (f64, f64) {
     let instances = f64::from(instances.max(1));
-    let waiting_watches = instances;
-    let reads_per_s = (FLEET_READS_PER_S - waiting_watches).max(1.0) / instances;
+    let open_watches = instances;
+    let reads_per_s = (FLEET_READS_PER_S - open_watches).max(1.0) / instances;
     (reads_per_s, FLEET_WRITES_PER_S / instances)
 }
 
--- a/crates/gateway/src/store/call.rs
+++ b/crates/gateway/src/store/call.rs
@@ -1,4 +1,4 @@
-//! One call and its attempts.
+//! Sends calls to the store, with a timeout per attempt and at most one retry.
 
 use super::{lock, CallKind, StoreClient, StoreError};
 use carobwheel_wire::etcd::ErrorBody;
@@ -7,47 +7,47 @@
 use std::{sync::Arc, time::Duration};
 use tokio::time::{sleep, timeout};
 
-/// Idle connections kept for the next call.
+/// Maximum number of idle connections in the pool.
 const MAX_IDLE_CONNECTIONS: usize = 2;
-/// Time after which an idle connection is no longer used.
-const MAX_IDLE: Duration = Duration::from_secs(20);
+/// Time after which an idle connection is closed.
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Builds an HTTP client that leaves every decision about repeating and redirecting to us.
+/// Builds an HTTP client that neither retries nor follows redirects by itself.
 pub(super) fn build_client(is_pooling: bool) -> Result<Client, StoreError> {
-    // An error means that a provider is in place already.
+    // An error means that a provider is already installed.
     let _ = rustls::crypto::ring::default_provider().install_default();
     Client::builder()
         .no_proxy()
         .redirect(Policy::none())
         .retry(reqwest::retry::never())
         .tcp_nodelay(true)
-        .pool_idle_timeout(MAX_IDLE)
+        .pool_idle_timeout(IDLE_CONNECTION_TIMEOUT)
         .pool_max_idle_per_host(if is_pooling { MAX_IDLE_CONNECTIONS } else { 0 })
         .build()
         .map_err(|err| StoreError::Setup(err.to_string()))
 }
 
-/// Which connection an attempt goes out on.
+/// Connection used for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Connection {
-    /// One that may have been used before.
+    /// A connection from the pool, possibly used before.
     Pooled,
-    /// One of its own, from a new local port.
+    /// A new connection, from a new local port.
     Fresh,
 }
 
 impl StoreClient {
-    /// Waits for the place of one call in the budget.
+    /// Waits until the budget and the back-off admit one call.
     pub(super) async fn admit(&self, kind: CallKind) -> Result<(), StoreError> {
-        let deadline_ms = self.inner.options.budget_timeout_ms;
+        let timeout_ms = self.inner.options.budget_timeout_ms;
         let start = self.inner.clock.now();
         loop {
             let now = self.inner.clock.now();
-            let taken = lock(&self.inner.budget).take(kind, now);
-            let Err(retry_after_ms) = taken else {
+            let admission = lock(&self.inner.budget).take(kind, now);
+            let Err(retry_after_ms) = admission else {
                 break;
             };
-            if now.since(start) + retry_after_ms > deadline_ms {
+            if now.since(start) + retry_after_ms > timeout_ms {
                 return Err(StoreError::OverBudget { retry_after_ms });
             }
             sleep(Duration::from_millis(retry_after_ms)).await;
@@ -58,36 +58,35 @@
             .map_err(|retry_after_ms| StoreError::BackingOff { retry_after_ms })
     }
 
-    /// Counts a call that is made in any case.
+    /// Charges the budget for a call that is made in any case.
     pub(super) fn charge(&self, kind: CallKind) {
         lock(&self.inner.budget).charge(kind, self.inner.clock.now());
     }
 
-    /// Makes one attempt of a call and notes how the store fared.
+    /// Makes one attempt of a call and records the result for the back-off.
     pub(super) async fn attempt<A: DeserializeOwned>(
         &self,
         path: &str,
         request: &impl Serialize,
         connection: Connection,
     ) -> Result<A, StoreError> {
-        let deadline_ms = self.inner.options.attempt_timeout_ms;
+        let timeout_ms = self.inner.options.attempt_timeout_ms;
         let exchange = async {
             let response = self.send(path, request, connection).await?;
-            let body = response.bytes().await.map_err(broken)?;
+            let body = response.bytes().await.map_err(connection_error)?;
             serde_json::from_slice(&body).map_err(|err| StoreError::Malformed(err.to_string()))
         };
-        let result = timeout(Duration::from_millis(deadline_ms), exchange)
+        let result = timeout(Duration::from_millis(timeout_ms), exchange)
             .await
-            .unwrap_or(Err(StoreError::Timeout(deadline_ms)));
-        self.note(result.as_ref().err());
+            .unwrap_or(Err(StoreError::Timeout(timeout_ms)));
+        self.record_result(result.as_ref().err());
         if matches!(result, Err(StoreError::Timeout(_))) && connection == Connection::Pooled {
-            self.forget_idle_connections();
+            self.discard_idle_connections();
         }
         result
     }
 
-    /// Makes a call that may be repeated without harm: a second attempt goes out on a connection
-    /// of its own.
+    /// Makes an idempotent call, with one retry on a new connection.
     pub(super) async fn call<A: DeserializeOwned>(
         &self,
         kind: CallKind,
@@ -97,7 +96,7 @@
         self.admit(kind).await?;
         let first = self.attempt(path, request, Connection::Pooled).await;
         match first {
-            Err(err) if err.is_worth_another_attempt() => {
+            Err(err) if err.is_retryable() => {
                 self.charge(kind);
                 self.attempt(path, request, Connection::Fresh).await
             }
@@ -105,7 +104,7 @@
         }
     }
 
-    /// Sends a request and waits for the head of a successful answer.
+    /// Sends a request and waits for the head of a successful response.
     pub(super) async fn send(
         &self,
         path: &str,
@@ -131,16 +130,16 @@
         if response.status().is_success() {
             return Ok(response);
         }
-        Err(failure(response).await)
+        Err(error_response(response).await)
     }
 
-    /// Notes the result of an attempt for the pauses between calls.
-    pub(super) fn note(&self, error: Option<&StoreError>) {
+    /// Records the result of an attempt for the back-off.
+    pub(super) fn record_result(&self, error: Option<&StoreError>) {
         let now = self.inner.clock.now();
         let jitter = self.jitter();
         let mut backoff = lock(&self.inner.backoff);
         match error {
-            Some(err) if err.is_worth_another_attempt() => backoff.record_failure(now, jitter),
+            Some(err) if err.is_retryable() => backoff.record_failure(now, jitter),
             _ => backoff.record_success(),
         }
         let is_open = backoff.is_open();
@@ -150,15 +149,15 @@
         }
     }
 
-    /// Replaces the client whose idle connections may all have gone silent.
-    fn forget_idle_connections(&self) {
+    /// Replaces the pooled client, all of whose idle connections may be dead.
+    fn discard_idle_connections(&self) {
         if let Ok(client) = build_client(true) {
             self.inner.pooled.store(Arc::new(client));
         }
     }
 }
 
-async fn failure(response: Response) -> StoreError {
+async fn error_response(response: Response) -> StoreError {
     let status = response.status().as_u16();
     let body = response.bytes().await.unwrap_or_default();
     let parsed: Result<ErrorBody, _> = serde_json::from_slice(&body);
@@ -169,7 +168,7 @@
     StoreError::Refused { status, message }
 }
 
-pub(super) fn broken(err: reqwest::Error) -> StoreError {
+pub(super) fn connection_error(err: reqwest::Error) -> StoreError {
     StoreError::Broken(root_cause(&err))
 }
 
--- a/crates/gateway/src/store/error.rs
+++ b/crates/gateway/src/store/error.rs
@@ -1,19 +1,19 @@
-//! Why a call failed.
+//! Errors of calls to the store.
 
 use std::fmt;
 
-/// Why a call to the store gave no usable answer.
+/// Error of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
     /// The HTTP client cannot be set up.
     Setup(String),
-    /// No connection came about, so nothing was sent.
+    /// No connection could be established, so nothing was sent.
     Connect(String),
-    /// The answer did not come within the deadline, in milliseconds.
+    /// No complete answer arrived within this timeout, in milliseconds.
     Timeout(u64),
-    /// The connection broke before the answer was complete.
+    /// The connection failed before the answer was complete.
     Broken(String),
-    /// The store answered that it cannot serve now.
+    /// The store answered that it cannot serve the call at present.
     Unavailable {
         /// HTTP status.
         status: u16,
@@ -27,22 +27,22 @@
         /// Message of the store.
         message: String,
     },
-    /// The answer does not have the published form.
+    /// The answer does not follow the store's published format.
     Malformed(String),
-    /// The instance's share of the store's rates is used up; nothing was sent.
+    /// The call budget of this instance is exhausted; nothing was sent.
     OverBudget {
-        /// Time after which a call has a place, in milliseconds.
+        /// Time until the budget admits a call, in milliseconds.
         retry_after_ms: u64,
     },
-    /// The store has not been answering; nothing was sent.
+    /// Calls back off because the store has not been answering; nothing was sent.
     BackingOff {
-        /// Time after which the next attempt is due, in milliseconds.
+        /// Time until the next attempt is admitted, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
 impl StoreError {
-    /// The call surely had no effect.
+    /// Whether the call certainly had no effect.
     pub fn is_without_effect(&self) -> bool {
         matches!(
             self,
@@ -54,8 +54,8 @@
         )
     }
 
-    /// Another attempt may have another result.
-    pub(super) fn is_worth_another_attempt(&self) -> bool {
+    /// Whether a retry may succeed.
+    pub(super) fn is_retryable(&self) -> bool {
         matches!(
             self,
             Self::Connect(_) | Self::Timeout(_) | Self::Broken(_) | Self::Unavailable { .. }
@@ -66,10 +66,10 @@
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Setup(cause) => write!(f, "HTTP client cannot be set up: {cause}"),
-            Self::Connect(cause) => write!(f, "no connection to the store: {cause}"),
-            Self::Timeout(ms) => write!(f, "no answer from the store for {ms} ms"),
-            Self::Broken(cause) => write!(f, "connection to the store broke: {cause}"),
+            Self::Setup(cause) => write!(f, "cannot set up the HTTP client of the store: {cause}"),
+            Self::Connect(cause) => write!(f, "cannot connect to the store: {cause}"),
+            Self::Timeout(ms) => write!(f, "no answer from the store within {ms} ms"),
+            Self::Broken(cause) => write!(f, "connection to the store failed: {cause}"),
             Self::Unavailable { status, message } => {
                 write!(f, "store unavailable ({status}): {message}")
             }
@@ -78,7 +78,10 @@
             }
             Self::Malformed(cause) => write!(f, "unexpected answer from the store: {cause}"),
             Self::OverBudget { retry_after_ms } => {
-                write!(f, "store budget used up for {retry_after_ms} ms")
+                write!(
+                    f,
+                    "store call budget exhausted, next call in {retry_after_ms} ms"
+                )
             }
             Self::BackingOff { retry_after_ms } => {
                 write!(
--- a/crates/gateway/src/store/lease.rs
+++ b/crates/gateway/src/store/lease.rs
@@ -1,4 +1,4 @@
-//! Leases.
+//! Grants, renews and revokes leases.
 
 use super::{CallKind, StoreClient, StoreError};
 use carobwheel_wire::etcd::{
@@ -8,30 +8,30 @@
 };
 use rand::Rng;
 
-/// HTTP status of a call about a lease that does not exist.
+/// HTTP status of the answer to a call about a lease that does not exist.
 const NOT_FOUND: u16 = 404;
 
-/// Whether a lease still lives.
+/// State of a lease after a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
-    /// The lease lives for this long from the time the call was sent, in seconds.
+    /// The lease is valid for `ttl_s` from the time the call was sent.
     Held {
-        /// Lifetime, in seconds.
+        /// Time to live, in seconds.
         ttl_s: u64,
     },
-    /// The lease has expired, and its keys are gone.
+    /// The lease has expired and its keys are deleted.
     Expired,
 }
 
 impl StoreClient {
-    /// Grants a lease with a lifetime of `ttl_s` seconds and returns its number.
+    /// Grants a lease with a time to live of `ttl_s` seconds and returns its identifier.
     ///
     /// # Errors
     ///
-    /// Fails when neither of two attempts gave an answer. A lease granted without our knowledge
-    /// ends by itself.
+    /// Fails when neither of two attempts is answered. A lease whose grant was not answered
+    /// expires by itself.
     pub async fn lease_grant(&self, ttl_s: u64) -> Result<i64, StoreError> {
-        // A number of our own lets a second attempt find the lease of the first.
+        // With an identifier chosen by the client, a retry finds the lease of the first attempt.
         let id = super::lock(&self.inner.rng).random_range(1..i64::MAX);
         let request = LeaseGrantRequest {
             ttl_s: i64::try_from(ttl_s).unwrap_or(i64::MAX),
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when neither of two attempts gave an answer; the lease may have been renewed.
+    /// Fails when neither of two attempts is answered; the lease may have been renewed.
     pub async fn lease_keep_alive(&self, id: i64) -> Result<LeaseState, StoreError> {
         let request = LeaseKeepAliveRequest { id };
         let item: StreamItem<LeaseKeepAliveResponse> = self
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when neither of two attempts gave an answer; the lease may have been revoked.
+    /// Fails when neither of two attempts is answered; the lease may have been revoked.
     pub async fn lease_revoke(&self, id: i64) -> Result<(), StoreError> {
         let request = LeaseRevokeRequest { id };
         let revoked: Result<LeaseRevokeResponse, _> = self
--- a/crates/gateway/src/store/mod.rs
+++ b/crates/gateway/src/store/mod.rs
@@ -1,8 +1,8 @@
 //! Client of the platform's key-value store.
 //!
-//! Every call has a deadline and at most one more attempt, on a connection of its own. A write
-//! whose answer was lost is settled by repeating the same compare-and-swap and reading back, see
-//! `docs/design/store.md`.
+//! Every call has a timeout and at most one retry, on a new connection. The outcome of a write
+//! whose answer was lost is determined by repeating the same compare-and-swap and reading the key
+//! back; see `docs/design/store.md`.
 
 mod backoff;
 mod budget;
@@ -31,29 +31,29 @@
     Arc, Mutex, MutexGuard, PoisonError,
 };
 
-/// How to reach the store.
+/// Options of a store client.
 #[derive(Clone, Debug)]
 pub struct StoreClientOptions {
     /// Base URL of the store, without a path.
     pub url: String,
-    /// Name of this writer; no other process and no earlier start of this one may have the same.
+    /// Name of this writer, unique among all processes and all starts of this instance.
     pub writer: String,
-    /// Longest time for one attempt of a call, in milliseconds.
+    /// Timeout of one attempt of a call, in milliseconds.
     pub attempt_timeout_ms: u64,
-    /// Longest time that a call waits for its place in the budget, in milliseconds.
+    /// Maximum time that a call waits for the call budget, in milliseconds.
     pub budget_timeout_ms: u64,
-    /// Longest silence of a watch before it moves to a new connection, in milliseconds.
+    /// Maximum time without data on a watch before it moves to a new connection, in milliseconds.
     pub watch_idle_timeout_ms: u64,
-    /// Number of instances that share the store's rates (1 or more).
+    /// Number of instances that share the fleet's call rates (1 or more).
     pub instances: u32,
-    /// Pauses between attempts to reach a store that does not answer.
+    /// Back-off of calls while the store does not answer.
     pub backoff: BackoffOptions,
-    /// Seed of the jitter.
+    /// Seed of the random jitter.
     pub seed: u64,
 }
 
 impl StoreClientOptions {
-    /// Options with the usual deadlines, for a fleet of one.
+    /// Creates options with the default timeouts, for a fleet of one.
     pub fn new(url: impl Into<String>, writer: impl Into<String>) -> Self {
         Self {
             url: url.into(),
@@ -71,9 +71,9 @@
 struct Inner {
     options: StoreClientOptions,
     clock: Clock,
-    /// Keeps idle connections for the next call.
+    /// Client that reuses idle connections.
     pooled: ArcSwap<reqwest::Client>,
-    /// Opens a connection for each call.
+    /// Client that opens a new connection for each call.
     fresh: reqwest::Client,
     next_mark: AtomicU64,
     budget: Mutex<CallBudget>,
@@ -81,14 +81,14 @@
     rng: Mutex<StdRng>,
 }
 
-/// A client of the store. Cloning it shares connections and budget.
+/// Client of the store. Clones share connections, budget and back-off.
 #[derive(Clone)]
 pub struct StoreClient {
     inner: Arc<Inner>,
 }
 
 impl StoreClient {
-    /// Creates a client; nothing is sent yet.
+    /// Creates a client without sending anything.
     ///
     /// # Errors
     ///
@@ -110,23 +110,23 @@
         })
     }
 
-    /// Adapts the budget to the number of instances that share the store.
+    /// Sets the number of instances that share the fleet's call rates.
     pub fn set_instances(&self, instances: u32) {
         lock(&self.inner.budget).set_fleet(instances, self.inner.clock.now());
     }
 
-    /// Reports whether the last calls found the store not answering.
+    /// Whether calls back off because the store did not answer the last ones.
     pub fn is_backing_off(&self) -> bool {
         lock(&self.inner.backoff).is_open()
     }
 
-    /// A mark that no other write carries.
+    /// Returns a mark that is unique to one write.
     fn next_mark(&self) -> String {
         let number = self.inner.next_mark.fetch_add(1, Ordering::Relaxed);
         format!("{}.{number}", self.inner.options.writer)
     }
 
-    /// A random number below one.
+    /// Returns a random number from 0 up to 1.
     fn jitter(&self) -> f64 {
         lock(&self.inner.rng).random_range(0.0..1.0)
     }
--- a/crates/gateway/src/store/read.rs
+++ b/crates/gateway/src/store/read.rs
@@ -1,12 +1,12 @@
-//! Reads.
+//! Reads of keys and key ranges.
 
 use super::{CallKind, StoreClient, StoreError, StoredRecord};
 use carobwheel_wire::etcd::{prefix_end, RangeRequest, RangeResponse, RANGE_PATH};
 
-/// Most keys in one answer.
+/// Maximum number of keys per page of a range read.
 const PAGE_KEYS: i64 = 1_000;
 
-/// Keys that a read or a watch is about.
+/// Keys to read or watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyRange {
     /// One key.
@@ -16,7 +16,7 @@
 }
 
 impl KeyRange {
-    /// First key and end of the range.
+    /// Returns the first key and the end of the range in the store's encoding.
     pub(super) fn bounds(&self) -> (Vec<u8>, Vec<u8>) {
         match self {
             Self::Key(key) => (key.as_bytes().to_vec(), Vec::new()),
@@ -25,12 +25,12 @@
     }
 }
 
-/// Keys as they stood together at one revision.
+/// Consistent state of a range of keys at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Revision of the store; a watch goes on from the next one.
+    /// Revision of the store. A watch continues from the next one.
     pub revision: i64,
-    /// Keys found, in ascending order.
+    /// Records found, in ascending order of their keys.
     pub records: Vec<StoredRecord>,
 }
 
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when neither of two attempts gave an answer.
+    /// Fails when neither of two attempts is answered.
     pub async fn get(&self, key: &str) -> Result<Option<StoredRecord>, StoreError> {
         let snapshot = self.read(&KeyRange::Key(key.to_owned())).await?;
         Ok(snapshot.records.into_iter().next())
@@ -49,18 +49,18 @@
     ///
     /// # Errors
     ///
-    /// Fails when neither of two attempts gave an answer.
+    /// Fails when neither of two attempts is answered.
     pub async fn range(&self, prefix: &str) -> Result<Snapshot, StoreError> {
         self.read(&KeyRange::Prefix(prefix.to_owned())).await
     }
 
-    /// Reads the keys of `scope`, all at the same revision.
+    /// Reads the keys of `range` in pages, all at the same revision.
     ///
     /// # Errors
     ///
-    /// Fails when neither of two attempts gave an answer.
-    pub async fn read(&self, scope: &KeyRange) -> Result<Snapshot, StoreError> {
-        let (key, range_end) = scope.bounds();
+    /// Fails when neither of two attempts is answered.
+    pub async fn read(&self, range: &KeyRange) -> Result<Snapshot, StoreError> {
+        let (key, range_end) = range.bounds();
         let mut request = RangeRequest {
             key,
             range_end,
--- a/crates/gateway/src/store/record.rs
+++ b/crates/gateway/src/store/record.rs
@@ -1,14 +1,14 @@
-//! Values and their writer marks.
+//! Stored values and their writer marks.
 //!
-//! The gateway's own values are stored in an envelope, `{"mark":"<writer>.<n>","value":...}`. No
-//! two writes carry the same mark, so a writer recognises its own. Keys under [`PLAIN_PREFIX`]
-//! belong to operators and consoles, who read and write them too; their values stand bare.
+//! Values are stored in an envelope, `{"mark":"<writer>.<n>","value":...}`. Each write has a unique
+//! mark, by which the writer recognises its own value. Values of keys under [`PLAIN_PREFIX`] have
+//! no envelope, because operators and consoles read and write them too.
 
 use carobwheel_wire::etcd::KeyValue;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// Prefix of the keys whose values stand without an envelope.
+/// Prefix of keys whose values are stored without an envelope.
 pub const PLAIN_PREFIX: &str = "config/";
 
 #[derive(Serialize, Deserialize)]
@@ -19,28 +19,28 @@
     value: &'a RawValue,
 }
 
-/// A key as the store holds it.
+/// A key with its value and revisions, as read from the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredRecord {
     /// The key.
     pub key: String,
     /// The value without its envelope.
     pub value: Vec<u8>,
-    /// Mark of the write; absent when the value stands bare.
+    /// Mark of the last write; absent if the value has no envelope.
     pub mark: Option<String>,
     /// Revision of the write that created the key.
     pub create_revision: i64,
-    /// Revision of the last write, to be named in the next compare-and-swap.
+    /// Revision of the last write, which the next compare-and-swap has to expect.
     pub mod_revision: i64,
     /// Number of writes since the key was created.
     pub version: i64,
-    /// Lease that the key hangs on; 0 for none.
+    /// Lease that the key is attached to; 0 for none.
     pub lease: i64,
 }
 
 impl StoredRecord {
     pub(super) fn new(kv: KeyValue) -> Self {
-        let (value, mark) = open(&kv.key, kv.value);
+        let (value, mark) = decode_value(&kv.key, kv.value);
         Self {
             key: String::from_utf8_lossy(&kv.key).into_owned(),
             value,
@@ -53,8 +53,12 @@
     }
 }
 
-/// The bytes to store for `value`, which has to be JSON unless the key takes it bare.
-pub(super) fn seal(key: &str, value: &[u8], mark: &str) -> Result<Vec<u8>, serde_json::Error> {
+/// Returns the bytes to store for `value`, which has to be JSON if the key takes an envelope.
+pub(super) fn encode_value(
+    key: &str,
+    value: &[u8],
+    mark: &str,
+) -> Result<Vec<u8>, serde_json::Error> {
     if key.starts_with(PLAIN_PREFIX) {
         return Ok(value.to_vec());
     }
@@ -62,7 +66,7 @@
     serde_json::to_vec(&Envelope { mark, value })
 }
 
-fn open(key: &[u8], stored: Vec<u8>) -> (Vec<u8>, Option<String>) {
+fn decode_value(key: &[u8], stored: Vec<u8>) -> (Vec<u8>, Option<String>) {
     if key.starts_with(PLAIN_PREFIX.as_bytes()) {
         return (stored, None);
     }
--- a/crates/gateway/src/store/watch.rs
+++ b/crates/gateway/src/store/watch.rs
@@ -1,7 +1,7 @@
-//! Watches.
+//! Watches on keys, which survive lost connections.
 
 use super::{
-    call::{broken, Connection},
+    call::{connection_error, Connection},
     CallKind, KeyRange, Snapshot, StoreClient, StoreError, StoredRecord,
 };
 use carobwheel_wire::etcd::{
@@ -11,21 +11,21 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Longest line of a watch, in bytes.
+/// Maximum length of a line of a watch's response, in bytes.
 const MAX_LINE_BYTES: usize = 16 << 20;
-/// Part of the idle deadline that is spread at random, so that the fleet does not reopen at once.
-const IDLE_SPREAD: f64 = 0.25;
-/// Half of the longest pause after the first lost connection, in milliseconds.
-const FIRST_PAUSE_MS: u64 = 100;
-/// Doublings after which the pause no longer grows.
+/// Random share of the idle timeout, so that the fleet does not reconnect all at once.
+const IDLE_TIMEOUT_JITTER: f64 = 0.25;
+/// Half of the maximum reconnect delay after the first lost connection, in milliseconds.
+const BASE_RECONNECT_DELAY_MS: u64 = 100;
+/// Maximum number of times that the reconnect delay is doubled.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// A change of one key.
+/// Change of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// The key was written.
     Put(StoredRecord),
-    /// The key was deleted, or its lease has expired.
+    /// The key was deleted, or its lease expired.
     Deleted {
         /// The key.
         key: String,
@@ -34,58 +34,59 @@
     },
 }
 
-/// What a watch has to say.
+/// Update reported by a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchUpdate {
-    /// Keys changed, in the order of their revisions.
+    /// Keys changed. The changes are in the order of their revisions.
     Changes(Vec<Change>),
-    /// Changes were missed for good; this is how the keys stand now.
+    /// Changes can no longer be reported one by one; this is the current state of all keys.
     Reset(Snapshot),
-    /// The watch has no connection and goes on trying.
+    /// The watch has lost its connection and will reconnect.
     Lost(StoreError),
 }
 
-/// An open connection of a watch.
-struct Link {
+/// Open connection of a watch.
+struct WatchConnection {
     response: reqwest::Response,
     buffer: Vec<u8>,
-    has_spoken: bool,
+    has_received: bool,
 }
 
-/// A watch that goes on over lost and silent connections. Dropping it closes its connection.
+/// A watch that reconnects after lost and silent connections without missing changes. Dropping it
+/// closes its connection.
 pub struct Watch {
     client: StoreClient,
-    scope: KeyRange,
-    /// First revision that has not been reported; 0 for changes from now on.
+    range: KeyRange,
+    /// First revision not reported yet; 0 to start at the current one.
     next_revision: i64,
-    link: Option<Link>,
+    connection: Option<WatchConnection>,
     is_reset_due: bool,
-    /// Connections lost in a row without news from the store.
-    losses: u32,
+    /// Consecutive connections lost before the store sent anything but the creation of the watch.
+    lost_connections: u32,
 }
 
 impl StoreClient {
-    /// Watches the keys of `scope` from `from_revision` on; 0 stands for changes from now on.
-    pub fn watch(&self, scope: KeyRange, from_revision: i64) -> Watch {
+    /// Watches the keys of `range` from `from_revision` on, or from the current revision if it is 0.
+    pub fn watch(&self, range: KeyRange, from_revision: i64) -> Watch {
         Watch {
             client: self.clone(),
-            scope,
+            range,
             next_revision: from_revision,
-            link: None,
+            connection: None,
             is_reset_due: false,
-            losses: 0,
+            lost_connections: 0,
         }
     }
 }
 
 impl Watch {
-    /// First revision that has not been reported yet.
+    /// Returns the first revision that has not been reported yet.
     pub fn next_revision(&self) -> i64 {
         self.next_revision
     }
 
-    /// Waits for the next update. After [`WatchUpdate::Lost`] the next call tries again, in its
-    /// time.
+    /// Waits for the next update. After [`WatchUpdate::Lost`] the next call reconnects after a
+    /// delay.
     pub async fn next(&mut self) -> WatchUpdate {
         loop {
             match self.step().await {
@@ -98,9 +99,9 @@
                     sleep(Duration::from_millis(retry_after_ms)).await;
                 }
                 Err(err) => {
-                    if self.link.take().is_some() {
-                        self.losses += 1;
-                        self.client.note(Some(&err));
+                    if self.connection.take().is_some() {
+                        self.lost_connections += 1;
+                        self.client.record_result(Some(&err));
                     }
                     return WatchUpdate::Lost(err);
                 }
@@ -108,7 +109,7 @@
         }
     }
 
-    /// The updates as a stream that never ends.
+    /// Converts the watch into a stream of updates, which never ends.
     pub fn into_stream(self) -> impl Stream<Item = WatchUpdate> {
         futures::stream::unfold(self, |mut watch| async move {
             let update = watch.next().await;
@@ -118,53 +119,59 @@
 
     async fn step(&mut self) -> Result<Option<WatchUpdate>, StoreError> {
         if self.is_reset_due {
-            let snapshot = self.client.read(&self.scope).await?;
+            let snapshot = self.client.read(&self.range).await?;
             self.next_revision = snapshot.revision + 1;
             self.is_reset_due = false;
             return Ok(Some(WatchUpdate::Reset(snapshot)));
         }
-        let Some(link) = &mut self.link else {
-            sleep(Duration::from_millis(self.pause_ms())).await;
-            self.link = Some(self.open().await?);
+        let Some(connection) = &mut self.connection else {
+            sleep(Duration::from_millis(self.reconnect_delay_ms())).await;
+            self.connection = Some(self.open().await?);
             return Ok(None);
         };
-        let silence_ms = match link.has_spoken {
-            true => watch_idle_timeout_ms(&self.client),
+        let read_timeout_ms = match connection.has_received {
+            true => idle_timeout_ms(&self.client),
             false => self.client.inner.options.attempt_timeout_ms,
         };
-        match timeout(Duration::from_millis(silence_ms), link.next_line()).await {
+        match timeout(
+            Duration::from_millis(read_timeout_ms),
+            connection.next_line(),
+        )
+        .await
+        {
             Ok(line) => {
-                link.has_spoken = true;
-                self.take(parse(&line?)?)
+                connection.has_received = true;
+                self.apply(parse(&line?)?)
             }
-            Err(_) if !link.has_spoken => Err(StoreError::Timeout(silence_ms)),
-            // Silence means either that nothing changes or that the connection is dead. A new one
-            // tells, and reports what was missed.
+            Err(_) if !connection.has_received => Err(StoreError::Timeout(read_timeout_ms)),
+            // Without data, either nothing has changed or the connection is dead. A new connection
+            // resumes at the next revision and reports missed changes.
             Err(_) => {
-                self.link = None;
-                self.losses = 0;
+                self.connection = None;
+                self.lost_connections = 0;
                 Ok(None)
             }
         }
     }
 
-    /// Time to wait before the next connection, in milliseconds.
+    /// Returns the delay before the next connection, in milliseconds.
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_precision_loss,
         clippy::cast_sign_loss
     )]
-    fn pause_ms(&self) -> u64 {
-        if self.losses == 0 {
+    fn reconnect_delay_ms(&self) -> u64 {
+        if self.lost_connections == 0 {
             return 0;
         }
-        let longest_ms = (FIRST_PAUSE_MS << self.losses.min(MAX_DOUBLINGS)) as f64;
-        (longest_ms * (0.5 + 0.5 * self.client.jitter())) as u64
+        let max_delay_ms =
+            (BASE_RECONNECT_DELAY_MS << self.lost_connections.min(MAX_DOUBLINGS)) as f64;
+        (max_delay_ms * (0.5 + 0.5 * self.client.jitter())) as u64
     }
 
-    async fn open(&self) -> Result<Link, StoreError> {
+    async fn open(&self) -> Result<WatchConnection, StoreError> {
         self.client.admit(CallKind::Read).await?;
-        let (key, range_end) = self.scope.bounds();
+        let (key, range_end) = self.range.bounds();
         let request = WatchRequest {
             create_request: WatchCreateRequest {
                 key,
@@ -173,42 +180,43 @@
                 progress_notify: true,
             },
         };
-        let deadline_ms = self.client.inner.options.attempt_timeout_ms;
+        let timeout_ms = self.client.inner.options.attempt_timeout_ms;
         let sending = self.client.send(WATCH_PATH, &request, Connection::Fresh);
-        let result = timeout(Duration::from_millis(deadline_ms), sending)
+        let result = timeout(Duration::from_millis(timeout_ms), sending)
             .await
-            .unwrap_or(Err(StoreError::Timeout(deadline_ms)));
-        self.client.note(result.as_ref().err());
-        Ok(Link {
+            .unwrap_or(Err(StoreError::Timeout(timeout_ms)));
+        self.client.record_result(result.as_ref().err());
+        Ok(WatchConnection {
             response: result?,
             buffer: Vec::new(),
-            has_spoken: false,
+            has_received: false,
         })
     }
 
-    fn take(&mut self, message: WatchResponse) -> Result<Option<WatchUpdate>, StoreError> {
+    fn apply(&mut self, message: WatchResponse) -> Result<Option<WatchUpdate>, StoreError> {
         let revision = message.header.revision;
         if message.canceled {
-            self.link = None;
+            self.connection = None;
             self.is_reset_due = message.compact_revision > 0;
             return if self.is_reset_due {
                 Ok(None)
             } else {
                 Err(StoreError::Broken(
-                    "the store has ended the watch".to_owned(),
+                    "the store cancelled the watch".to_owned(),
                 ))
             };
         }
         if !message.created {
-            self.losses = 0;
+            self.lost_connections = 0;
         }
         if message.created {
             if self.next_revision == 0 {
                 self.next_revision = revision + 1;
             }
-            // A store that has gone back to an earlier revision would keep silent for long.
+            // After the store was reset to an earlier revision, it would report nothing until it
+            // reached the requested one.
             if revision + 1 < self.next_revision {
-                self.link = None;
+                self.connection = None;
                 self.is_reset_due = true;
             }
         } else if message.events.is_empty() {
@@ -237,7 +245,7 @@
     }
 }
 
-impl Link {
+impl WatchConnection {
     async fn next_line(&mut self) -> Result<Vec<u8>, StoreError> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
@@ -245,11 +253,13 @@
                 return Ok(std::mem::replace(&mut self.buffer, rest));
             }
             if self.buffer.len() > MAX_LINE_BYTES {
-                return Err(StoreError::Malformed("endless line in a watch".to_owned()));
+                return Err(StoreError::Malformed(
+                    "line of a watch is too long".to_owned(),
+                ));
             }
-            match self.response.chunk().await.map_err(broken)? {
+            match self.response.chunk().await.map_err(connection_error)? {
                 Some(chunk) => self.buffer.extend_from_slice(&chunk),
-                None => return Err(StoreError::Broken("the watch has ended".to_owned())),
+                None => return Err(StoreError::Broken("the store closed the watch".to_owned())),
             }
         }
     }
@@ -268,7 +278,7 @@
     clippy::cast_precision_loss,
     clippy::cast_sign_loss
 )]
-fn watch_idle_timeout_ms(client: &StoreClient) -> u64 {
-    let longest_ms = client.inner.options.watch_idle_timeout_ms as f64;
-    (longest_ms * (1.0 - IDLE_SPREAD * client.jitter())) as u64
+fn idle_timeout_ms(client: &StoreClient) -> u64 {
+    let max_timeout_ms = client.inner.options.watch_idle_timeout_ms as f64;
+    (max_timeout_ms * (1.0 - IDLE_TIMEOUT_JITTER * client.jitter())) as u64
 }
--- a/crates/gateway/src/store/write.rs
+++ b/crates/gateway/src/store/write.rs
@@ -1,4 +1,4 @@
-//! Writes, and settling those whose answer was lost.
+//! Conditional writes, and determining the outcome of those whose answer was lost.
 
 use super::{call::Connection, record, CallKind, StoreClient, StoreError, StoredRecord};
 use carobwheel_wire::etcd::{
@@ -7,40 +7,40 @@
     TXN_PATH,
 };
 
-/// Most old values read to find a lost write under later ones.
-const MAX_SETTLE_READS: usize = 8;
-/// HTTP status for a value that is not JSON or too long, which is refused here already.
+/// Maximum number of earlier values read to find a write that later ones have replaced.
+const MAX_RESOLVE_READS: usize = 8;
+/// HTTP status reported for a value that the client itself refuses: not JSON, or too long.
 const BAD_REQUEST: u16 = 400;
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// The write took effect, exactly once.
     Written {
-        /// Revision of the write, to be named in the next compare-and-swap.
+        /// Revision of the write, which the next compare-and-swap has to expect.
         revision: i64,
     },
-    /// The key was not as expected, and the write had no effect.
+    /// The key did not have the expected revision, and the write had no effect.
     Conflict {
-        /// The key as it stands; `None` if absent.
+        /// Current record of the key; `None` if absent.
         current: Option<StoredRecord>,
     },
-    /// The write had no effect, and the state of the key is not known.
+    /// The write had no effect; the state of the key is unknown.
     NotWritten {
-        /// Why nothing was written.
+        /// Error that prevented the write.
         cause: StoreError,
     },
-    /// The write may have had an effect, or may have one yet.
+    /// The write may have taken effect or may still do so.
     Unknown {
-        /// Why the last attempt failed.
+        /// Error of the last attempt.
         cause: StoreError,
     },
 }
 
-/// One conditional write.
+/// A conditional write of one key.
 struct Write<'a> {
     key: &'a str,
-    /// Revision that the key has to have; 0 if it has to be absent.
+    /// Expected revision of the key; 0 if it has to be absent.
     expected: i64,
     /// Bytes to store; `None` to delete the key.
     stored: Option<Vec<u8>>,
@@ -73,20 +73,20 @@
 }
 
 impl StoreClient {
-    /// Creates `key`, which has to be absent. With a `lease` other than 0 the key ends with it.
+    /// Creates `key`, which has to be absent. A `lease` other than 0 is attached to it.
     pub async fn create(&self, key: &str, value: &[u8], lease: i64) -> WriteOutcome {
         self.put_if(key, 0, value, lease).await
     }
 
-    /// Replaces the value of `key`, whose last write has to have the revision `expected`.
+    /// Replaces the value of `key` if its last write has the revision `expected`.
     pub async fn compare_and_swap(&self, key: &str, expected: i64, value: &[u8]) -> WriteOutcome {
         self.put_if(key, expected, value, 0).await
     }
 
-    /// Writes `key` if its last write has the revision `expected`; with 0, if it is absent. With a
-    /// `lease` other than 0 the key ends with it.
+    /// Writes `key` if its last write has the revision `expected`, or if it is absent when
+    /// `expected` is 0. A `lease` other than 0 is attached to the key.
     pub async fn put_if(&self, key: &str, expected: i64, value: &[u8], lease: i64) -> WriteOutcome {
-        let stored = match self.seal(key, value) {
+        let stored = match self.encode_value(key, value) {
             Ok(stored) => stored,
             Err(cause) => return WriteOutcome::NotWritten { cause },
         };
@@ -99,8 +99,8 @@
         self.write(&write).await
     }
 
-    /// Deletes `key` if its last write has the revision `expected`. A key found absent after a lost
-    /// answer counts as deleted by this call.
+    /// Deletes `key` if its last write has the revision `expected`. If the answer is lost and the
+    /// key is then found absent, it counts as deleted by this call.
     pub async fn delete_if(&self, key: &str, expected: i64) -> WriteOutcome {
         let write = Write {
             key,
@@ -111,10 +111,10 @@
         self.write(&write).await
     }
 
-    /// Writes `key` whatever it holds. Only for keys with a single writer, since a repeated attempt
-    /// may overwrite what another one wrote in between.
+    /// Writes `key` unconditionally. Only for keys with a single writer, since a retry may
+    /// overwrite a value that another writer wrote in between.
     pub async fn put(&self, key: &str, value: &[u8], lease: i64) -> WriteOutcome {
-        let stored = match self.seal(key, value) {
+        let stored = match self.encode_value(key, value) {
             Ok(stored) => stored,
             Err(cause) => return WriteOutcome::NotWritten { cause },
         };
@@ -138,17 +138,17 @@
         }
     }
 
-    fn seal(&self, key: &str, value: &[u8]) -> Result<Vec<u8>, StoreError> {
+    fn encode_value(&self, key: &str, value: &[u8]) -> Result<Vec<u8>, StoreError> {
         let refused = |message| StoreError::Refused {
             status: BAD_REQUEST,
             message,
         };
-        let stored = record::seal(key, value, &self.next_mark())
-            .map_err(|err| refused(format!("the value of `{key}` is not JSON: {err}")))?;
+        let stored = record::encode_value(key, value, &self.next_mark())
+            .map_err(|err| refused(format!("value of `{key}` is not JSON: {err}")))?;
         if stored.len() > MAX_VALUE_BYTES {
             let bytes = stored.len();
             return Err(refused(format!(
-                "the value of `{key}` has {bytes} bytes, at most {MAX_VALUE_BYTES} are allowed"
+                "value of `{key}` has {bytes} bytes; at most {MAX_VALUE_BYTES} are allowed"
             )));
         }
         Ok(stored)
@@ -162,10 +162,10 @@
         let first = self.attempt(TXN_PATH, &request, Connection::Pooled).await;
         let first_error = match first {
             Ok(answer) => return first_outcome(answer),
-            Err(cause) if !cause.is_worth_another_attempt() => return lost(cause, true),
+            Err(cause) if !cause.is_retryable() => return failed_outcome(cause, true),
             Err(cause) => cause,
         };
-        // The same condition makes a second attempt harmless: at most one of the two takes effect.
+        // Both attempts have the same condition, so at most one of them takes effect.
         self.charge(CallKind::Write);
         let second: Result<TxnResponse, _> =
             self.attempt(TXN_PATH, &request, Connection::Fresh).await;
@@ -173,19 +173,19 @@
             Ok(answer) if answer.succeeded || first_error.is_without_effect() => {
                 first_outcome(answer)
             }
-            Ok(answer) => self.settle(write, found(answer)).await,
-            Err(cause) => lost(cause, first_error.is_without_effect()),
+            Ok(answer) => self.resolve(write, read_back(answer)).await,
+            Err(cause) => failed_outcome(cause, first_error.is_without_effect()),
         }
     }
 
-    /// Finds out whether a first attempt took effect, given what stands at the key now.
-    async fn settle(&self, write: &Write<'_>, current: Option<KeyValue>) -> WriteOutcome {
+    /// Determines whether the first attempt took effect, given the current value of the key.
+    async fn resolve(&self, write: &Write<'_>, current: Option<KeyValue>) -> WriteOutcome {
         let conflict = WriteOutcome::Conflict {
             current: current.clone().map(StoredRecord::new),
         };
-        let Some(mut seen) = current else {
+        let Some(mut candidate) = current else {
             return match &write.stored {
-                // The key is absent, as the caller wanted.
+                // The key is absent, as requested.
                 None => WriteOutcome::Written { revision: 0 },
                 Some(_) => conflict,
             };
@@ -193,29 +193,29 @@
         let Some(stored) = &write.stored else {
             return conflict;
         };
-        for _ in 0..MAX_SETTLE_READS {
-            if seen.mod_revision <= write.expected {
+        for _ in 0..MAX_RESOLVE_READS {
+            if candidate.mod_revision <= write.expected {
                 return conflict;
             }
-            if seen.value == *stored {
+            if candidate.value == *stored {
                 return WriteOutcome::Written {
-                    revision: seen.mod_revision,
+                    revision: candidate.mod_revision,
                 };
             }
-            if seen.version <= 1 {
+            if candidate.version <= 1 {
                 return conflict;
             }
-            match self.read_before(&seen).await {
-                Ok(Some(earlier)) => seen = earlier,
+            match self.read_before(&candidate).await {
+                Ok(Some(earlier)) => candidate = earlier,
                 Ok(None) => return conflict,
                 Err(cause) => return WriteOutcome::Unknown { cause },
             }
         }
-        let cause = StoreError::Malformed("too many writes since the lost one".to_owned());
+        let cause = StoreError::Malformed("too many writes since the unanswered one".to_owned());
         WriteOutcome::Unknown { cause }
     }
 
-    /// The value that `kv` replaced.
+    /// Reads the value that `kv` replaced.
     async fn read_before(&self, kv: &KeyValue) -> Result<Option<KeyValue>, StoreError> {
         let request = RangeRequest {
             key: kv.key.clone(),
@@ -227,7 +227,7 @@
     }
 }
 
-/// The outcome of an answer when no earlier attempt can have taken effect.
+/// Returns the outcome of an answer if no earlier attempt can have taken effect.
 fn first_outcome(answer: TxnResponse) -> WriteOutcome {
     if answer.succeeded {
         return WriteOutcome::Written {
@@ -235,20 +235,20 @@
         };
     }
     WriteOutcome::Conflict {
-        current: found(answer).map(StoredRecord::new),
+        current: read_back(answer).map(StoredRecord::new),
     }
 }
 
-/// The outcome when the last attempt failed.
-fn lost(cause: StoreError, is_first_without_effect: bool) -> WriteOutcome {
+/// Returns the outcome if the last attempt failed.
+fn failed_outcome(cause: StoreError, is_first_without_effect: bool) -> WriteOutcome {
     if is_first_without_effect && cause.is_without_effect() {
         return WriteOutcome::NotWritten { cause };
     }
     WriteOutcome::Unknown { cause }
 }
 
-/// The key that a failed condition read back.
-fn found(answer: TxnResponse) -> Option<KeyValue> {
+/// Returns the key as read back by a transaction whose condition failed.
+fn read_back(answer: TxnResponse) -> Option<KeyValue> {
     let read = answer
         .responses
         .into_iter()
