--- a/crates/gateway/src/platform/document.rs
+++ b/crates/gateway/src/platform/document.rs
@@ -1,4 +1,4 @@
-//! Follows the configuration document in the store.
+//! Reads the configuration document from the store and follows its changes.
 
 use super::report;
 use crate::{
@@ -10,17 +10,17 @@
 use std::{sync::Arc, time::Duration};
 use tokio::{sync::watch, time};
 
-/// Key of the document. Operators and consoles write it too, so the value stands bare.
+/// Key of the document. Operators and consoles write it too, so its value has no envelope.
 pub const DOCUMENT_KEY: &str = "config/document";
-/// Time between two reads of an instance that does not watch.
-const REREAD_PERIOD: Duration = Duration::from_secs(1_800);
-const READ_PAUSE: Duration = Duration::from_millis(200);
+/// Interval between reads on an instance that does not watch the document.
+const REREAD_INTERVAL: Duration = Duration::from_secs(1_800);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Reads the document and reports every later one, for ever.
+/// Reads the document and reports every later revision; never returns.
 ///
-/// A change goes to every instance that watches, whole, so only a few in each region do; the
-/// others hear of a new revision by heartbeats, fetch from a peer what has changed, and read the
-/// store now and then in case that all fails.
+/// The store sends every change as a complete document to each watcher, so only a few instances per
+/// region watch. The others receive the new revision number in heartbeats and fetch the difference
+/// from a peer; they read the store periodically as a fallback.
 pub(super) async fn follow(
     store: &StoreClient,
     decide: &Sender<decide::Event>,
@@ -35,7 +35,7 @@
             }
         } else {
             tokio::select! {
-                () = time::sleep(REREAD_PERIOD) => {}
+                () = time::sleep(REREAD_INTERVAL) => {}
                 () = changed(&mut is_watcher) => {}
             }
         }
@@ -48,20 +48,20 @@
     }
 }
 
-/// Reads the document as soon as the store answers; returns the revision to watch from.
+/// Reads the document, retrying until the store answers, and returns the revision to watch from.
 async fn read(store: &StoreClient, decide: &Sender<decide::Event>) -> i64 {
-    let scope = KeyRange::Key(DOCUMENT_KEY.to_owned());
+    let range = KeyRange::Key(DOCUMENT_KEY.to_owned());
     loop {
-        match store.read(&scope).await {
+        match store.read(&range).await {
             Ok(snapshot) => {
                 for record in &snapshot.records {
-                    take(record, decide).await;
+                    report_document(record, decide).await;
                 }
                 return snapshot.revision + 1;
             }
-            Err(err) => log::debug!("cannot read the document: {err}"),
+            Err(err) => log::debug!("cannot read the document from the store: {err}"),
         }
-        time::sleep(READ_PAUSE).await;
+        time::sleep(READ_RETRY_DELAY).await;
     }
 }
 
@@ -71,31 +71,31 @@
         match watch.next().await {
             WatchUpdate::Changes(changes) => {
                 for change in &changes {
-                    take_change(change, decide).await;
+                    report_change(change, decide).await;
                 }
             }
             WatchUpdate::Reset(snapshot) => {
                 for record in &snapshot.records {
-                    take(record, decide).await;
+                    report_document(record, decide).await;
                 }
             }
-            WatchUpdate::Lost(err) => log::debug!("lost the watch on the document: {err}"),
+            WatchUpdate::Lost(err) => log::debug!("watch on the document lost: {err}"),
         }
     }
 }
 
-async fn take_change(change: &Change, decide: &Sender<decide::Event>) {
+async fn report_change(change: &Change, decide: &Sender<decide::Event>) {
     match change {
-        Change::Put(record) => take(record, decide).await,
-        // An accepted document never reverts, so a deleted key changes nothing.
+        Change::Put(record) => report_document(record, decide).await,
+        // An accepted document stays in force, so the deletion of the key has no effect.
         Change::Deleted { revision, .. } => {
-            log::error!(revision = *revision; "the document was deleted; the last one stays");
+            log::error!(revision = *revision; "document deleted from the store; keeping the last one");
         }
     }
 }
 
-/// Validates a document and hands it on. An invalid one is left out as a whole.
-async fn take(record: &StoredRecord, decide: &Sender<decide::Event>) {
+/// Validates a document and reports it. An invalid one is rejected as a whole.
+async fn report_document(record: &StoredRecord, decide: &Sender<decide::Event>) {
     let Ok(revision) = u64::try_from(record.mod_revision) else {
         return;
     };
--- a/crates/gateway/src/platform/live_list.rs
+++ b/crates/gateway/src/platform/live_list.rs
@@ -1,4 +1,4 @@
-//! Polls the platform's live list and keeps this instance's entry in the directory.
+//! Polls the platform's live list and maintains this instance's entry in the directory.
 
 use super::report;
 use crate::{
@@ -13,12 +13,12 @@
 use tokio::time;
 use tokio_util::sync::CancellationToken;
 
-const POLL_PERIOD: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-const ENTRY_LIFE_S: u64 = 15;
-const RENEWAL_PERIOD: Duration = Duration::from_secs(5);
+const ENTRY_TTL_S: u64 = 15;
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Polls the live list, for ever.
+/// Polls the live list and reports it; never returns.
 pub(super) async fn poll(url: &str, client: &Client, clock: Clock, decide: &Sender<decide::Event>) {
     let url = format!("{url}{INSTANCES_PATH}");
     loop {
@@ -28,9 +28,9 @@
                 let read = LiveListRead { list, began };
                 report(decide::Event::LiveList(Box::new(read)), decide).await;
             }
-            Err(err) => log::debug!("cannot read the live list: {err}"),
+            Err(err) => log::debug!("cannot read the live list of the platform: {err}"),
         }
-        time::sleep(POLL_PERIOD).await;
+        time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -39,8 +39,8 @@
     response.error_for_status()?.json().await
 }
 
-/// Keeps the entry in the directory until `leave` is cancelled, then takes it out.
-pub(super) async fn enter(
+/// Renews the entry in the directory until `leave` is cancelled, then removes it.
+pub(super) async fn maintain_entry(
     url: &str,
     client: &Client,
     settings: &Settings,
@@ -51,18 +51,18 @@
         id: settings.instance.id.clone(),
         region: settings.instance.region.clone(),
         caller_address: settings.callers.address,
-        ttl_s: ENTRY_LIFE_S,
+        ttl_s: ENTRY_TTL_S,
     };
     while !leave.is_cancelled() {
         let put = client.put(&url).json(&entry).timeout(CALL_TIMEOUT);
         if let Err(err) = put.send().await {
-            log::debug!("cannot renew the entry in the directory: {err}");
+            log::debug!("cannot renew the directory entry: {err}");
         }
         tokio::select! {
-            () = time::sleep(RENEWAL_PERIOD) => {}
+            () = time::sleep(RENEWAL_INTERVAL) => {}
             () = leave.cancelled() => {}
         }
     }
-    // The entry ends by itself if the directory does not answer now.
+    // If the directory does not answer, the entry expires by itself.
     let _ = client.delete(&url).timeout(CALL_TIMEOUT).send().await;
 }
--- a/crates/gateway/src/platform/mod.rs
+++ b/crates/gateway/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! The store, the live list and the directory as seen by one instance.
+//! Connects one instance to the store, the live list and the directory.
 //!
-//! One thread with an event loop of its own. What it learns goes to the deciding thread as events;
-//! what the deciding thread wants done comes in as [`Command`] values.
+//! Runs on one thread with its own event loop. It reports events to the decision thread and executes
+//! the [`Command`]s of the decision thread.
 
 mod document;
 mod live_list;
@@ -28,24 +28,24 @@
 use tokio::{runtime, sync::watch, time};
 use tokio_util::sync::CancellationToken;
 
-/// Commands that wait for the platform thread at most.
+/// Capacity of the command ring of the platform thread.
 pub const COMMAND_RING_CAPACITY: usize = 256;
-/// Longest silence of a watch before it moves to a new connection, in milliseconds.
-const WATCH_IDLE_MS: u64 = 4_000;
-const RING_PAUSE: Duration = Duration::from_millis(5);
+/// Maximum time without data on a watch before it moves to a new connection, in milliseconds.
+const WATCH_IDLE_TIMEOUT_MS: u64 = 4_000;
+const RING_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// What the deciding thread wants done.
+/// A command of the decision thread to the platform thread.
 #[derive(Debug)]
 pub enum Command {
-    /// Read the record of slots of the own region.
+    /// Read the slot ownership record of this instance's region.
     ReadSlots,
-    /// Write the record of slots of the own region, then read it.
+    /// Write the slot ownership record of this instance's region, then read it back.
     WriteSlots(Box<slot::OwnershipWrite>),
-    /// Write a verdict on a rollout unless there is one.
+    /// Write a verdict on a rollout, unless the store already has one.
     WriteVerdict {
         /// The rollout.
         rollout: RolloutId,
-        /// Number of the call.
+        /// Number of the call, returned with its answer.
         call: u32,
         /// The verdict.
         verdict: Verdict,
@@ -54,18 +54,19 @@
     ReadVerdict {
         /// The rollout.
         rollout: RolloutId,
-        /// Number of the call.
+        /// Number of the call, returned with its answer.
         call: u32,
     },
-    /// Watch the document in the store, or leave that to others.
+    /// Start (`true`) or stop (`false`) watching the document in the store.
     WatchDocument(bool),
-    /// So many instances share the store's rates.
+    /// Set the number of instances that share the store's call rates.
     SetInstances(u32),
-    /// This instance is leaving: take its entry out of the directory.
+    /// Remove this instance's entry from the directory, because the instance is leaving.
     Leave,
 }
 
-/// A client of the store that `settings` name, for the process `incarnation` of this instance.
+/// Creates a client of the store given in `settings`, for the process `incarnation` of this
+/// instance.
 ///
 /// # Errors
 ///
@@ -74,13 +75,13 @@
     let writer = format!("{}.{incarnation:x}", settings.instance.id);
     let options = StoreClientOptions {
         attempt_timeout_ms: settings.store.timeout_ms,
-        watch_idle_timeout_ms: WATCH_IDLE_MS,
+        watch_idle_timeout_ms: WATCH_IDLE_TIMEOUT_MS,
         ..StoreClientOptions::new(&settings.store.url, writer)
     };
     StoreClient::new(options).context("cannot set up the store client")
 }
 
-/// Starts the platform thread, which ends when `cancel` is cancelled.
+/// Starts the platform thread, which runs until `cancel` is cancelled.
 ///
 /// # Errors
 ///
@@ -96,18 +97,18 @@
     let event_loop = runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .context("cannot set up the platform's event loop")?;
+        .context("cannot set up the event loop of the platform thread")?;
     let client = Client::builder()
         .no_proxy()
         .redirect(redirect::Policy::none())
         .retry(retry::never())
         .build()
-        .context("cannot set up the platform's HTTP client")?;
+        .context("cannot set up the HTTP client of the platform thread")?;
     let settings = settings.clone();
     thread::Builder::new()
         .name("platform".to_owned())
         .spawn(move || {
-            let duties = Duties {
+            let tasks = PlatformTasks {
                 settings,
                 clock,
                 store,
@@ -116,7 +117,7 @@
             };
             event_loop.block_on(async {
                 tokio::select! {
-                    () = duties.run(commands) => {}
+                    () = tasks.run(commands) => {}
                     () = cancel.cancelled() => {}
                 }
             });
@@ -124,7 +125,7 @@
         .context("cannot start the platform thread")
 }
 
-struct Duties {
+struct PlatformTasks {
     settings: Settings,
     clock: Clock,
     store: StoreClient,
@@ -132,15 +133,15 @@
     client: Client,
 }
 
-impl Duties {
+impl PlatformTasks {
     async fn run(&self, commands: AsyncReceiver<Command>) {
         let leave = CancellationToken::new();
-        // An instance that knows nobody yet watches for itself.
+        // An instance that has no members yet watches the document itself.
         let (watching, is_watcher) = watch::channel(true);
         tokio::join!(
             document::follow(&self.store, &self.decide, is_watcher),
             slots::follow(&self.store, self.clock, &self.decide),
-            self.obey(commands, &leave, &watching),
+            self.run_commands(commands, &leave, &watching),
             self.follow_platform(&leave),
         );
     }
@@ -150,12 +151,12 @@
             let url = &platform.url;
             tokio::join!(
                 live_list::poll(url, &self.client, self.clock, &self.decide),
-                live_list::enter(url, &self.client, &self.settings, leave),
+                live_list::maintain_entry(url, &self.client, &self.settings, leave),
             );
         }
     }
 
-    async fn obey(
+    async fn run_commands(
         &self,
         mut commands: AsyncReceiver<Command>,
         leave: &CancellationToken,
@@ -176,8 +177,8 @@
                     verdict,
                 } => {
                     let (store, decide) = (self.store.clone(), self.decide.clone());
-                    let me = self.settings.instance.id.clone();
-                    let writing = verdicts::write(store, decide, me, rollout, call, verdict);
+                    let instance = self.settings.instance.id.clone();
+                    let writing = verdicts::write(store, decide, instance, rollout, call, verdict);
                     tokio::spawn(writing);
                 }
                 Command::ReadVerdict { rollout, call } => {
@@ -196,7 +197,7 @@
     }
 }
 
-/// Hands an event to the deciding thread, waiting for room.
+/// Sends an event to the decision thread, waiting while its ring is full.
 async fn report(event: decide::Event, decide: &Sender<decide::Event>) {
     let mut event = event;
     while let Err(Full(unsent)) = decide.try_send(event) {
@@ -204,6 +205,6 @@
             return;
         }
         event = unsent;
-        time::sleep(RING_PAUSE).await;
+        time::sleep(RING_RETRY_DELAY).await;
     }
 }
--- a/crates/gateway/src/platform/slots.rs
+++ b/crates/gateway/src/platform/slots.rs
@@ -1,4 +1,4 @@
-//! Follows the records of slot owners in the store, and writes the one of the own region.
+//! Follows the slot ownership records in the store and writes the one of this instance's region.
 
 use super::report;
 use crate::{
@@ -14,43 +14,44 @@
 use std::time::Duration;
 use tokio::time;
 
-/// Prefix of the records; the region's name follows.
-const PREFIX: &str = "slots/";
-const READ_PAUSE: Duration = Duration::from_millis(200);
+/// Prefix of the keys of ownership records, followed by the name of the region.
+const KEY_PREFIX: &str = "slots/";
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Reads the records of all regions and reports every change, for ever.
+/// Reads the ownership records of all regions and reports every change; never returns.
 pub(super) async fn follow(store: &StoreClient, clock: Clock, decide: &Sender<decide::Event>) {
-    let scope = KeyRange::Prefix(PREFIX.to_owned());
+    let range = KeyRange::Prefix(KEY_PREFIX.to_owned());
     let (began, snapshot) = loop {
         let began = clock.now();
-        match store.read(&scope).await {
+        match store.read(&range).await {
             Ok(snapshot) => break (began, snapshot),
-            Err(err) => log::debug!("cannot read the owners of slots: {err}"),
+            Err(err) => log::debug!("cannot read slot ownership: {err}"),
         }
-        time::sleep(READ_PAUSE).await;
+        time::sleep(READ_RETRY_DELAY).await;
     };
-    let mut watch = store.watch(scope, snapshot.revision + 1);
-    take_all(&snapshot.records, began, decide).await;
+    let mut watch = store.watch(range, snapshot.revision + 1);
+    report_records(&snapshot.records, began, decide).await;
     report(decide::Event::SlotsKnown, decide).await;
     loop {
         match watch.next().await {
             WatchUpdate::Changes(changes) => {
                 for change in &changes {
                     if let Change::Put(stored) = change {
-                        // A watch may report late, so this is no proof that a slot is still held.
-                        take(stored, Millis::default(), decide).await;
+                        // A watch may report late, so its records do not prove that a slot is still
+                        // owned.
+                        report_record(stored, Millis::default(), decide).await;
                     }
                 }
             }
             WatchUpdate::Reset(snapshot) => {
-                take_all(&snapshot.records, Millis::default(), decide).await;
+                report_records(&snapshot.records, Millis::default(), decide).await;
             }
-            WatchUpdate::Lost(err) => log::debug!("lost the watch on the slots: {err}"),
+            WatchUpdate::Lost(err) => log::debug!("watch on slot ownership lost: {err}"),
         }
     }
 }
 
-/// Reads the record of `region` once, if the store answers.
+/// Reads the ownership record of `region` once and reports it if the store answers.
 pub(super) async fn read(
     store: &StoreClient,
     clock: Clock,
@@ -59,7 +60,7 @@
 ) {
     let began = clock.now();
     match store.get(&key(region)).await {
-        Ok(Some(stored)) => take(&stored, began, decide).await,
+        Ok(Some(stored)) => report_record(&stored, began, decide).await,
         Ok(None) => {
             let read = SlotsRead {
                 region: region.clone(),
@@ -69,11 +70,11 @@
             };
             report(decide::Event::Slots(Box::new(read)), decide).await;
         }
-        Err(err) => log::debug!("cannot read the owners of slots: {err}"),
+        Err(err) => log::debug!("cannot read slot ownership: {err}"),
     }
 }
 
-/// Writes the record of `region` and reads it again, whatever the answer.
+/// Writes the ownership record of `region` and reads it back, whatever the outcome.
 pub(super) async fn write(
     store: &StoreClient,
     clock: Clock,
@@ -85,39 +86,39 @@
         serde_json::to_vec(&write.next),
         i64::try_from(write.base_revision),
     ) else {
-        log::error!("the record of slots cannot be written");
+        log::error!("cannot encode the slot ownership record");
         return;
     };
     match store.compare_and_swap(&key(region), base, &value).await {
         WriteOutcome::Written { revision } => {
-            log::info!(revision = revision; "owners of slots written");
+            log::info!(revision = revision; "slot ownership written");
         }
-        WriteOutcome::Conflict { .. } => log::debug!("another instance has changed the slots"),
+        WriteOutcome::Conflict { .. } => log::debug!("slot ownership changed by another instance"),
         WriteOutcome::NotWritten { cause } | WriteOutcome::Unknown { cause } => {
-            log::debug!("cannot write the owners of slots: {cause}");
+            log::debug!("cannot write slot ownership: {cause}");
         }
     }
     read(store, clock, region, decide).await;
 }
 
 fn key(region: &RegionId) -> String {
-    format!("{PREFIX}{region}")
+    format!("{KEY_PREFIX}{region}")
 }
 
-async fn take_all(records: &[Stored], began: Millis, decide: &Sender<decide::Event>) {
+async fn report_records(records: &[Stored], began: Millis, decide: &Sender<decide::Event>) {
     for stored in records {
-        take(stored, began, decide).await;
+        report_record(stored, began, decide).await;
     }
 }
 
-async fn take(stored: &Stored, began: Millis, decide: &Sender<decide::Event>) {
+async fn report_record(stored: &Stored, began: Millis, decide: &Sender<decide::Event>) {
     let region = stored
         .key
-        .strip_prefix(PREFIX)
+        .strip_prefix(KEY_PREFIX)
         .and_then(|region| region.parse().ok());
     let record = serde_json::from_slice(&stored.value);
     let (Some(region), Ok(record)) = (region, record) else {
-        log::error!(key = stored.key.as_str(); "the record of slots cannot be read");
+        log::error!(key = stored.key.as_str(); "cannot parse the slot ownership record");
         return;
     };
     let read = SlotsRead {
--- a/crates/gateway/src/platform/verdicts.rs
+++ b/crates/gateway/src/platform/verdicts.rs
@@ -1,4 +1,4 @@
-//! Verdicts on rollouts in the store.
+//! Writes and reads verdicts on rollouts in the store.
 
 use super::report;
 use crate::{
@@ -11,7 +11,7 @@
     rollout::{verdict_key, Verdict, VerdictAnswer, VerdictRecord},
 };
 
-/// Writes a verdict unless there is one.
+/// Writes a verdict, unless the store already has one, and reports the answer.
 pub(super) async fn write(
     store: StoreClient,
     decide: Sender<decide::Event>,
@@ -28,10 +28,10 @@
         Ok(value) => answer_of(store.create(&verdict_key(&rollout), &value, 0).await),
         Err(_) => VerdictAnswer::NotSent,
     };
-    tell(rollout, call, answer, &decide).await;
+    report_answer(rollout, call, answer, &decide).await;
 }
 
-/// Reads a verdict.
+/// Reads a verdict and reports the answer.
 pub(super) async fn read(
     store: StoreClient,
     decide: Sender<decide::Event>,
@@ -39,14 +39,14 @@
     call: u32,
 ) {
     let answer = match store.get(&verdict_key(&rollout)).await {
-        Ok(Some(record)) => found(&record),
+        Ok(Some(record)) => parse_verdict(&record),
         Ok(None) => VerdictAnswer::Absent,
         Err(_) => VerdictAnswer::Lost,
     };
-    tell(rollout, call, answer, &decide).await;
+    report_answer(rollout, call, answer, &decide).await;
 }
 
-async fn tell(
+async fn report_answer(
     rollout: RolloutId,
     call: u32,
     answer: VerdictAnswer,
@@ -65,18 +65,18 @@
         WriteOutcome::Written { .. } => VerdictAnswer::Written,
         WriteOutcome::Conflict {
             current: Some(record),
-        } => found(&record),
+        } => parse_verdict(&record),
         WriteOutcome::Conflict { current: None } => VerdictAnswer::Absent,
         WriteOutcome::NotWritten { .. } => VerdictAnswer::NotSent,
         WriteOutcome::Unknown { .. } => VerdictAnswer::Lost,
     }
 }
 
-fn found(record: &StoredRecord) -> VerdictAnswer {
+fn parse_verdict(record: &StoredRecord) -> VerdictAnswer {
     match serde_json::from_slice::<VerdictRecord>(&record.value) {
         Ok(stored) => VerdictAnswer::Found(stored.verdict),
         Err(err) => {
-            log::error!(key = record.key.as_str(); "the verdict cannot be read: {err}");
+            log::error!(key = record.key.as_str(); "cannot parse the verdict: {err}");
             VerdictAnswer::Lost
         }
     }
