--- a/crates/gateway/src/settings/mod.rs
+++ b/crates/gateway/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one instance: read, checked whole and turned into plain structs.
+//! Settings of one instance: parsing, validation and defaults.
 
 mod check;
 
@@ -10,69 +10,69 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, net::SocketAddr, path::Path};
 
-/// Largest settings file, in bytes.
+/// Maximum size of the settings file, in bytes.
 pub const MAX_SETTINGS_BYTES: u64 = 1_000_000;
 
-/// Who this instance is.
+/// Name and location of the instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Identity {
     /// Name of the instance, unique in the fleet.
     pub id: InstanceId,
-    /// Region that the instance stands in.
+    /// Region that the instance runs in.
     pub region: RegionId,
-    /// Data centre that the instance stands in.
+    /// Data centre that the instance runs in.
     pub data_centre: DataCentreId,
 }
 
-/// Where callers reach this instance.
+/// Settings of the listener for callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Callers {
-    /// Address to listen on; `/v1/entry` names it, so it has to be one that callers can reach.
+    /// Address to listen on. `/v1/entry` returns it, so callers have to be able to reach it.
     pub address: SocketAddr,
-    /// Threads that read requests and write answers (1 to 64).
+    /// Number of threads that read requests and write answers (1 to 64).
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// Requests in flight at most (1 to 65,536).
+    /// Maximum number of requests in flight (1 to 65,536).
     #[serde(default = "default_max_requests")]
     pub max_requests: usize,
-    /// Bytes of request bodies held at most, over all requests (1 MB to 16 GB).
+    /// Maximum bytes of request bodies held in memory, over all requests (1 MB to 16 GB).
     #[serde(default = "default_max_body_bytes_held")]
     pub max_body_bytes_held: usize,
-    /// Longest time in which a request body has to arrive, in milliseconds (100 to 3,600,000).
+    /// Timeout for receiving a complete request body, in milliseconds (100 to 3,600,000).
     #[serde(default = "default_body_timeout_ms")]
     pub body_timeout_ms: u64,
 }
 
-/// Where other instances reach this one, and the material of mutual TLS.
+/// Settings of the links to other instances: addresses and material for mutual TLS.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
     /// UDP address to listen on.
     pub address: SocketAddr,
-    /// Address that other instances dial, where it is not the one listened on.
+    /// Address that other instances dial, if it differs from `address`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub advertised_address: Option<SocketAddr>,
-    /// File with the certificates of the authorities that sign instances, as PEM.
+    /// PEM file with the certificates of the authorities that sign instance certificates.
     pub ca_pem_file: String,
-    /// File with this instance's certificate chain, as PEM.
+    /// PEM file with the certificate chain of this instance.
     pub certificate_pem_file: String,
-    /// File with this instance's private key, as PEM.
+    /// PEM file with the private key of this instance.
     pub key_pem_file: String,
 }
 
 impl Peers {
-    /// Address that other instances dial.
+    /// Returns the address that other instances dial.
     pub fn dialled_address(&self) -> SocketAddr {
         self.advertised_address.unwrap_or(self.address)
     }
 
-    /// Reads the files of the material for mutual TLS.
+    /// Reads the PEM files for mutual TLS.
     ///
     /// # Errors
     ///
-    /// Names every file that cannot be read.
+    /// Returns a fault for every file that cannot be read.
     pub fn read_tls(&self) -> Result<TlsMaterial, Vec<Fault>> {
         let mut faults = Vec::new();
         let mut read = |path: &str, file: &str| {
@@ -93,18 +93,18 @@
     }
 }
 
-/// The platform's key-value service.
+/// Settings of the client of the platform's key-value store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Store {
     /// Base URL, such as `http://10.0.0.9:2379`.
     pub url: String,
-    /// Deadline of one call, in milliseconds (10 to 60,000).
+    /// Timeout of one attempt of a call, in milliseconds (10 to 60,000).
     #[serde(default = "default_store_timeout_ms")]
     pub timeout_ms: u64,
 }
 
-/// The platform's live list and directory.
+/// Settings of the client of the platform's live list and directory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
@@ -112,24 +112,24 @@
     pub url: String,
 }
 
-/// Where metrics go.
+/// Settings of the metrics export.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Metrics {
     /// UDP address of a statsd collector.
     pub statsd_address: SocketAddr,
-    /// Prefix of each metric's name.
+    /// Prefix of all metric names.
     pub prefix: String,
 }
 
-/// How the instance stops.
+/// Settings of the shutdown.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Shutdown {
-    /// Time between the announcement that the instance leaves and the closing of its port, in
-    /// milliseconds (0 to 600,000).
+    /// Minimum time between the announcement that the instance is leaving and the closing of its
+    /// port, in milliseconds (0 to 600,000).
     pub announce_ms: u64,
-    /// Longest time for which running requests are waited for, in milliseconds (0 to 86,400,000).
+    /// Maximum time to wait for running requests to end, in milliseconds (0 to 86,400,000).
     pub drain_ms: u64,
 }
 
@@ -146,31 +146,31 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Who this instance is.
+    /// Name and location of the instance.
     pub instance: Identity,
-    /// Where callers reach it.
+    /// Listener for callers.
     pub callers: Callers,
     /// Address on which operators read `/status`; absent for none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub operators_address: Option<SocketAddr>,
-    /// Links to other instances; absent for an instance that stands alone.
+    /// Links to other instances; absent for an instance without peers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peers: Option<Peers>,
-    /// The platform's key-value service.
+    /// Client of the platform's key-value store.
     pub store: Store,
-    /// The platform's live list and directory; absent if there is none.
+    /// Client of the platform's live list and directory; absent if there is none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub platform: Option<Platform>,
-    /// Credential that each upstream expects as a bearer token, by upstream name.
+    /// Bearer token for each upstream, by upstream name.
     #[serde(default)]
     pub upstream_credentials: BTreeMap<UpstreamId, String>,
-    /// Metrics; absent for none.
+    /// Metrics export; absent for none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub metrics: Option<Metrics>,
-    /// How the instance stops.
+    /// Shutdown timing.
     #[serde(default)]
     pub shutdown: Shutdown,
-    /// Least severe level logged: `error`, `warn`, `info`, `debug` or `trace`.
+    /// Minimum severity of logged lines: `error`, `warn`, `info`, `debug` or `trace`.
     #[serde(default = "default_log_level")]
     pub log_level: String,
 }
@@ -200,11 +200,11 @@
 }
 
 impl Settings {
-    /// Reads and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
     ///
-    /// Returns every fault found; a syntax error is one fault at the root.
+    /// Returns all faults found. A syntax error is a single fault at the root.
     pub fn parse(bytes: &[u8]) -> Result<Self, Vec<Fault>> {
         let settings: Self = serde_json::from_slice(bytes)
             .map_err(|err| vec![Fault::new("", format!("not settings: {err}"))])?;
@@ -215,18 +215,18 @@
         Err(faults)
     }
 
-    /// Reads and checks the settings file at `path`.
+    /// Reads, parses and validates the settings file at `path`.
     ///
     /// # Errors
     ///
-    /// Returns every fault found; an unreadable or oversized file is one fault at the root.
+    /// Returns all faults found. An unreadable or oversized file is a single fault at the root.
     pub fn read(path: &Path) -> Result<Self, Vec<Fault>> {
         let root_fault = |message: String| vec![Fault::new("", message)];
         let size_bytes = std::fs::metadata(path)
             .map_err(|err| root_fault(format!("cannot read {}: {err}", path.display())))?
             .len();
         if size_bytes > MAX_SETTINGS_BYTES {
-            let message = format!("{size_bytes} bytes, at most {MAX_SETTINGS_BYTES} are allowed");
+            let message = format!("{size_bytes} bytes; at most {MAX_SETTINGS_BYTES} are allowed");
             return Err(root_fault(message));
         }
         let bytes = std::fs::read(path)
