--- a/crates/gateway/src/daemon/links.rs
+++ b/crates/gateway/src/daemon/links.rs
@@ -11,11 +11,11 @@
 use std::{sync::Arc, thread::JoinHandle};
 use tokio_util::sync::CancellationToken;
 
-/// Starts the thread of the links, if the settings name an address for them.
+/// Starts the link thread if the settings contain an address for it.
 ///
 /// # Errors
 ///
-/// Fails if the material is missing or cannot be used, or the address cannot be bound.
+/// Fails if the TLS material is missing or invalid, or if the address cannot be bound.
 pub(super) fn start(
     settings: &Settings,
     tls: Option<TlsMaterial>,
@@ -26,15 +26,16 @@
     let Some(peers) = &settings.peers else {
         return Ok(None);
     };
-    let tls = tls.context("links to other instances need a certificate, a key and authorities")?;
+    let tls =
+        tls.context("links to other instances require a certificate, a key and authorities")?;
     let peer_settings = PeerSettings::new(settings.instance.id.clone(), peers.address, tls);
     let decide = decide.clone();
     let sinks = Sinks {
-        inbound: Box::new(move |inbound| match event_of(inbound) {
+        inbound: Box::new(move |inbound| match event_from(inbound) {
             Some(event) => decide.try_send(event).is_ok(),
             None => true,
         }),
-        // A request that finds no room is dropped, which refuses it.
+        // If the ring is full, the request is dropped, which refuses it.
         forward: Box::new(move |incoming| drop(forwarded.try_send(incoming))),
     };
     let started = peers::start(peer_settings, sinks, cancel)
@@ -42,8 +43,9 @@
     Ok(Some(started))
 }
 
-// Documents are parsed on this thread, since they may be large.
-fn event_of(inbound: Inbound) -> Option<Event> {
+// Converts an inbound event for the decision thread. Documents may be large, so they are parsed on
+// the link thread.
+fn event_from(inbound: Inbound) -> Option<Event> {
     let Inbound::Document {
         from,
         revision,
@@ -56,7 +58,7 @@
         Ok(in_force) => Some(Event::Document(Arc::new(in_force))),
         Err(faults) => {
             let count = faults.len();
-            log::error!(from = from.as_str(), count; "a peer sent an invalid document");
+            log::error!(from = from.as_str(), count; "invalid document received from a peer");
             None
         }
     }
--- a/crates/gateway/src/daemon/mod.rs
+++ b/crates/gateway/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! Joins the threads of one instance, and stops them in order.
+//! Starts the threads of one instance, connects them and stops them in order.
 
 mod links;
 
@@ -31,10 +31,10 @@
 use tokio::sync::Semaphore;
 use tokio_util::sync::CancellationToken;
 
-/// Longest time for which the hand-over of slots is waited for, in milliseconds. The store may be
-/// down, and then the slots are taken over once this instance is known to be gone.
-const HAND_OVER_MS: u64 = 2_000;
-const DRAIN_POLL: Duration = Duration::from_millis(10);
+/// Timeout for handing over slots, in milliseconds. If the store is down, other instances take the
+/// slots over once they consider this instance gone.
+const HAND_OVER_TIMEOUT_MS: u64 = 2_000;
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A running instance.
 pub struct Daemon {
@@ -50,17 +50,17 @@
     threads: Vec<thread::JoinHandle<()>>,
 }
 
-/// Starts every thread of an instance. `tls` is the material for links to other instances, and
-/// needed if the settings name an address for them.
+/// Starts all threads of an instance. `tls` is the material for links to other instances, which is
+/// required if the settings contain an address for them.
 ///
 /// # Errors
 ///
-/// Fails if an address cannot be bound, the material cannot be used or a thread cannot be started.
+/// Fails if an address cannot be bound, the TLS material is invalid or a thread cannot be started.
 pub fn start(settings: &Settings, tls: Option<TlsMaterial>) -> anyhow::Result<Daemon> {
     let clock = Clock::default();
     let incarnation = clock.unix_now().0;
     let cancel = CancellationToken::new();
-    // Ends the threads that run already if a later one cannot be started.
+    // Stops the threads already started if a later one cannot be started.
     let guard = cancel.clone().drop_guard();
     let current = Current::default();
     let entries = Entries::default();
@@ -158,37 +158,37 @@
 }
 
 impl Daemon {
-    /// Address on which callers reach the instance.
+    /// Returns the address that the instance listens on for callers.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Requests in flight.
+    /// Returns the requests in flight.
     pub fn in_flight(&self) -> Arc<InFlight> {
         Arc::clone(&self.shared.in_flight)
     }
 
-    /// Whether a thread has ended by itself, which only a broken invariant makes it do.
+    /// Whether a thread has ended by itself, which only happens if an invariant is violated.
     pub fn is_broken(&self) -> bool {
         self.threads.iter().any(thread::JoinHandle::is_finished)
     }
 
-    /// Links to other instances; none for an instance that stands alone.
+    /// Returns the handle to the link thread; `None` for an instance without peers.
     pub fn peers(&self) -> Option<peers::Handle> {
         self.peers.clone()
     }
 
-    /// Announces that the instance leaves: it is not ready any more and takes no new callers,
-    /// while running requests go on.
+    /// Announces that the instance is leaving: it stops being ready and accepts no new callers,
+    /// while running requests continue.
     pub fn leave(&self) {
         self.shared.is_leaving.store(true, Ordering::Relaxed);
         if self.decide.try_send(decide::Event::Leave).is_err() {
-            log::warn!("the deciding ring is full, so peers hear late that this instance leaves");
+            log::warn!("decision ring full; peers are notified late that this instance is leaving");
         }
     }
 
-    /// Announces the departure, waits for running requests and stops every thread. Returns the
-    /// number of requests that were cut because they outlasted the configured time.
+    /// Announces that the instance is leaving, waits for running requests and stops all threads.
+    /// Returns the number of requests cancelled because they exceeded the drain timeout.
     pub fn stop(self) -> usize {
         self.leave();
         thread::sleep(Duration::from_millis(self.shutdown.announce_ms));
@@ -196,13 +196,13 @@
         while self.shared.in_flight.count() > 0
             && self.clock.now().since(began) < self.shutdown.drain_ms
         {
-            thread::sleep(DRAIN_POLL);
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
-        let cut = self.shared.in_flight.count();
+        let cancelled_requests = self.shared.in_flight.count();
         while !self.has_handed_over.load(Ordering::Relaxed)
-            && self.clock.now().since(began) < HAND_OVER_MS
+            && self.clock.now().since(began) < HAND_OVER_TIMEOUT_MS
         {
-            thread::sleep(DRAIN_POLL);
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
         self.server.stop();
         if let Some(operators) = self.operators {
@@ -214,6 +214,6 @@
                 log::error!("a thread panicked");
             }
         }
-        cut
+        cancelled_requests
     }
 }
