--- a/crates/gateway/tests/peers_forward.rs
+++ b/crates/gateway/tests/peers_forward.rs
@@ -1,4 +1,4 @@
-//! Requests forwarded between instances, and documents fetched from them.
+//! Tests of requests forwarded between instances and of documents fetched from peers.
 
 mod peers_support;
 
@@ -20,7 +20,7 @@
         .block_on(future)
 }
 
-/// Opens a forward in the background.
+/// Starts a forwarded request to `b` on a task of its own.
 fn open(
     from: &Peer,
     addr: SocketAddr,
@@ -37,8 +37,8 @@
 }
 
 fn next_forward(peer: &Peer) -> IncomingForward {
-    let patience = std::time::Duration::from_secs(30);
-    tokio::task::block_in_place(|| peer.forwards.recv_timeout(patience)).expect("a forward")
+    let timeout = std::time::Duration::from_secs(30);
+    tokio::task::block_in_place(|| peer.forwards.recv_timeout(timeout)).expect("a forward")
 }
 
 async fn read_all(body: &mut mpsc::Receiver<BodyChunk>) -> (Vec<u8>, bool) {
@@ -58,7 +58,7 @@
         .is_ok()
 }
 
-/// A forward that has been accepted, with both ends of both bodies.
+/// An accepted forwarded request with both ends of both bodies.
 struct Exchange {
     request: mpsc::Sender<BodyChunk>,
     incoming_body: mpsc::Receiver<BodyChunk>,
@@ -98,17 +98,17 @@
         assert!(write(&exchange.request, b"one ").await);
         assert!(write(&exchange.request, b"two").await);
         exchange.request.send(BodyChunk::End).await.unwrap();
-        let whole = read_all(&mut exchange.incoming_body).await;
-        assert_eq!(whole, (b"one two".to_vec(), true));
+        let received = read_all(&mut exchange.incoming_body).await;
+        assert_eq!(received, (b"one two".to_vec(), true));
         assert!(write(&exchange.reply, b"three").await);
         exchange.reply.send(BodyChunk::End).await.unwrap();
-        let whole = read_all(&mut exchange.answer.body).await;
-        assert_eq!(whole, (b"three".to_vec(), true));
+        let received = read_all(&mut exchange.answer.body).await;
+        assert_eq!(received, (b"three".to_vec(), true));
     });
 }
 
 #[test]
-fn a_caller_that_goes_away_cancels_the_request_at_the_peer() {
+fn a_caller_that_disconnects_cancels_the_request_at_the_peer() {
     let (a, b) = pair();
     block_on(async {
         let exchange = exchange(&a, &b, b.addr()).await;
@@ -119,26 +119,26 @@
 }
 
 #[test]
-fn a_request_body_that_breaks_off_arrives_as_broken_off() {
+fn a_truncated_request_body_is_received_as_truncated() {
     let (a, b) = pair();
     block_on(async {
         let mut exchange = exchange(&a, &b, b.addr()).await;
         assert!(write(&exchange.request, b"half").await);
         drop(exchange.request);
-        let (_, is_whole) = read_all(&mut exchange.incoming_body).await;
-        assert!(!is_whole);
+        let (_, is_complete) = read_all(&mut exchange.incoming_body).await;
+        assert!(!is_complete);
     });
 }
 
 #[test]
-fn an_answer_that_breaks_off_arrives_as_broken_off() {
+fn a_truncated_answer_is_received_as_truncated() {
     let (a, b) = pair();
     block_on(async {
         let mut exchange = exchange(&a, &b, b.addr()).await;
         assert!(write(&exchange.reply, b"half").await);
         drop(exchange.reply);
-        let (_, is_whole) = read_all(&mut exchange.answer.body).await;
-        assert!(!is_whole);
+        let (_, is_complete) = read_all(&mut exchange.answer.body).await;
+        assert!(!is_complete);
     });
 }
 
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_request_to_an_absent_peer_was_surely_not_sent() {
+fn a_request_to_an_absent_peer_is_reported_as_not_sent() {
     let (a, b) = pair();
     let addr = b.addr();
     drop(b);
@@ -167,16 +167,16 @@
 }
 
 #[test]
-fn a_forward_over_a_lost_flow_breaks_off_on_both_sides() {
+fn a_forward_over_a_lost_flow_fails_on_both_sides() {
     let (a, b) = pair();
     let relay = Relay::start(b.addr());
     block_on(async {
         let mut exchange = exchange(&a, &b, relay.addr).await;
         relay.lose_flows();
-        let (_, is_whole) = read_all(&mut exchange.answer.body).await;
-        assert!(!is_whole);
+        let (_, is_complete) = read_all(&mut exchange.answer.body).await;
+        assert!(!is_complete);
         exchange.cancelled.cancelled().await;
-        // The next request takes a new flow.
+        // The next request uses a new flow.
         let (request, body) = mpsc::channel(1);
         let answered = open(&a, relay.addr, body);
         let incoming = next_forward(&b);
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_document_comes_from_a_peer_that_has_a_higher_revision() {
+fn a_document_is_fetched_from_a_peer_with_a_higher_revision() {
     let (a, b) = pair();
     let bytes = Bytes::from(vec![b'x'; 900_000]);
     let fetch = |above| {
@@ -208,7 +208,7 @@
     assert_eq!(fetch(7), failed);
 }
 
-/// A document of which one line changes from one revision to the next.
+/// Returns a document in which only the 100 bytes of one line depend on the revision.
 fn document(line: u8) -> Bytes {
     let mut bytes = vec![b'x'; 900_000];
     bytes[500_000..500_100].fill(line);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn only_what_changed_travels_to_a_peer_that_has_an_earlier_revision() {
+fn a_peer_with_an_earlier_revision_receives_only_the_difference() {
     let (a, b) = pair();
     a.handle.serve_document(7, document(7));
     b.handle.serve_document(7, document(7));
@@ -228,12 +228,12 @@
         bytes: document(8),
     };
     assert_eq!(a.next(), expected);
-    a.wait_stats("traffic is summed", |stats| stats.received_udp_bytes > 0);
+    a.wait_stats("traffic is counted", |stats| stats.received_udp_bytes > 0);
     assert!(a.handle.stats().received_udp_bytes < 20_000);
 }
 
 #[test]
-fn a_base_of_other_content_is_noticed_and_the_document_comes_whole() {
+fn a_base_with_other_content_is_detected_and_the_document_sent_in_full() {
     let (a, b) = pair();
     let mut other = document(7).to_vec();
     other[0] = 0;
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn links_end_with_the_thread() {
+fn links_close_when_the_thread_of_the_peer_ends() {
     let (a, b) = pair();
     a.handle.fetch_document(id("b"), b.addr(), 0).unwrap();
     a.next();
--- a/crates/gateway/tests/peers_support/instance.rs
+++ b/crates/gateway/tests/peers_support/instance.rs
@@ -1,4 +1,4 @@
-//! A membership table over real links, driven by a thread of its own.
+//! Test instances: a membership table over real links, each driven by its own thread.
 
 use super::{authority, id, issue, wait};
 use bytes::Bytes;
@@ -16,16 +16,16 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What an instance shows.
+/// State of an instance as seen by a test.
 #[derive(Clone, Default)]
 pub(crate) struct View {
     pub(crate) states: BTreeMap<String, (u64, MemberState)>,
     pub(crate) document: Option<(u64, Bytes)>,
 }
 
-/// A running instance.
+/// A running test instance.
 pub(crate) struct Instance {
     pub(crate) identity: Identity,
     pub(crate) handle: Handle,
@@ -63,7 +63,7 @@
             caller_addr: handle.local_addr(),
         };
         let view = Arc::new(Mutex::new(View::default()));
-        let mut table = Table {
+        let mut table = MemberTable {
             members: Members::new(identity.clone(), 0, incarnation, Millis(0)),
             handle: handle.clone(),
             clock: Clock::default(),
@@ -72,7 +72,7 @@
         let token = cancel.clone();
         let decide = thread::spawn(move || {
             while !token.is_cancelled() {
-                if let Ok(event) = queue.recv_timeout(TICK) {
+                if let Ok(event) = queue.recv_timeout(TICK_INTERVAL) {
                     table.on_event(event);
                 }
                 table.tick();
@@ -88,7 +88,7 @@
         }
     }
 
-    pub(crate) fn give_live_list(&self, list: &[Identity]) {
+    pub(crate) fn set_live_list(&self, list: &[Identity]) {
         let line = |identity: &Identity| LiveListEntry {
             identity: identity.clone(),
             is_leaving: false,
@@ -108,7 +108,7 @@
         self.view.lock().expect("not poisoned").clone()
     }
 
-    /// Names of the instances that this one sees in `state`, with their incarnations.
+    /// Returns the names and incarnations of the instances that this one has in `state`.
     pub(crate) fn seen_as(&self, state: MemberState) -> Vec<(String, u64)> {
         let states = self.view().states;
         let in_state = states.into_iter().filter(|(_, seen)| seen.1 == state);
@@ -129,14 +129,14 @@
     }
 }
 
-struct Table {
+struct MemberTable {
     members: Members,
     handle: Handle,
     clock: Clock,
     view: Arc<Mutex<View>>,
 }
 
-impl Table {
+impl MemberTable {
     fn on_event(&mut self, event: Event) {
         let now = self.clock.now();
         let out = match event {
@@ -184,7 +184,7 @@
     fn fetch(&mut self) {
         let above = self.revision();
         if let Some((from, addr)) = self.members.choose_fetch_peer(self.clock.now()) {
-            // The links may stop before this thread does.
+            // Fails if the link thread has stopped before this one.
             let _ = self.handle.fetch_document(from, addr, above);
         }
     }
@@ -196,13 +196,13 @@
 
     fn send(&self, out: Vec<Outgoing>) {
         for Outgoing { to, addr, packet } in out {
-            // The links may stop before this thread does.
+            // Fails if the link thread has stopped before this one.
             let _ = self.handle.send(to, addr, Message::Member(packet));
         }
     }
 }
 
-/// Six instances in three regions that know each other from the live list.
+/// Six instances in three regions that discover each other by the live list.
 pub(crate) struct Fleet {
     authority: Authority,
     pub(crate) instances: Vec<Option<Instance>>,
@@ -226,7 +226,7 @@
         for at in 0..NAMES.len() {
             fleet.start_one(at, 1);
         }
-        fleet.give_live_list();
+        fleet.set_live_list();
         fleet
     }
 
@@ -236,10 +236,10 @@
         self.instances[at] = Some(instance);
     }
 
-    pub(crate) fn give_live_list(&self) {
+    pub(crate) fn set_live_list(&self) {
         let running: Vec<Identity> = self.running().map(|i| i.identity.clone()).collect();
         for instance in self.running() {
-            instance.give_live_list(&running);
+            instance.set_live_list(&running);
         }
     }
 
@@ -251,20 +251,20 @@
         self.instances[at].as_ref().expect("runs")
     }
 
-    /// Waits until every running instance sees every running one as alive in its incarnation.
-    pub(crate) fn wait_agreed(&self) {
+    /// Waits until every running instance has all running ones as alive in their incarnations.
+    pub(crate) fn wait_until_all_alive(&self) {
         let mut expected: Vec<(String, u64)> = self
             .running()
             .map(|i| (i.identity.instance.to_string(), i.identity.incarnation.0))
             .collect();
         expected.sort();
-        wait("all see all", || {
+        wait("every instance has all others as alive", || {
             self.running()
                 .all(|instance| instance.seen_as(MemberState::Alive) == expected)
         });
     }
 
-    pub(crate) fn wait_revision(&self, revision: u64) {
+    pub(crate) fn wait_for_revision(&self, revision: u64) {
         wait("the revision is in force everywhere", || {
             self.running().all(|instance| {
                 let document = instance.view().document;
--- a/crates/gateway/tests/peers_support/mod.rs
+++ b/crates/gateway/tests/peers_support/mod.rs
@@ -1,6 +1,6 @@
-//! Real links on loopback for tests, and a relay that can lose track of one flow.
+//! Test support: real links on loopback, and a UDP relay that can drop flows.
 
-#![allow(dead_code, reason = "each test binary uses a part of it")]
+#![allow(dead_code, reason = "each test binary uses only some items")]
 
 pub(crate) mod instance;
 
@@ -17,10 +17,10 @@
 use std::time::{Duration, Instant};
 use tokio_util::sync::CancellationToken;
 
-/// Bound on every wait; reaching it fails the test.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of every wait; reaching it fails the test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The links of one instance, with what arrived.
+/// The links of one instance, with queues of received messages and forwarded requests.
 pub(crate) struct Peer {
     pub(crate) id: InstanceId,
     pub(crate) handle: Handle,
@@ -98,10 +98,10 @@
     }
 
     pub(crate) fn next(&self) -> Inbound {
-        self.inbound.recv_timeout(PATIENCE).expect("a message")
+        self.inbound.recv_timeout(TEST_TIMEOUT).expect("a message")
     }
 
-    /// Sends `message` again and again until the other side has got one.
+    /// Sends `message` repeatedly until the other side has received one.
     pub(crate) fn send_until_received(&self, to: &Peer, addr: SocketAddr, message: &Message) {
         let start = Instant::now();
         loop {
@@ -109,7 +109,7 @@
             if to.inbound.recv_timeout(Duration::from_millis(100)).is_ok() {
                 return;
             }
-            assert!(start.elapsed() < PATIENCE, "nothing arrived");
+            assert!(start.elapsed() < TEST_TIMEOUT, "no message received");
         }
     }
 
@@ -127,17 +127,19 @@
     }
 }
 
-/// Waits for a condition.
+/// Waits until a condition holds.
 pub(crate) fn wait(what: &str, mut is_reached: impl FnMut() -> bool) {
     let start = Instant::now();
     while !is_reached() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain: {what}");
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "timed out waiting for: {what}"
+        );
         thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// Connects to `to` with a valid certificate, but introduces itself under another name, and sends
-/// a message.
+/// Connects to `to` with a valid certificate but claims another name, then sends a message.
 pub(crate) async fn claim_name(to: &Peer, tls: &TlsMaterial, name: &str) {
     use rustls::pki_types::{pem::PemObject, CertificateDer, PrivateKeyDer};
     let certs = |pem: &str| -> Vec<CertificateDer<'static>> {
@@ -167,39 +169,39 @@
     stream.write_all(&head).await.expect("written");
     stream.finish().expect("open");
     let bytes = encode(&Message::opaque(1, Vec::new()), 1).expect("small");
-    // The connection may have been closed by now.
+    // Fails if the peer has already closed the connection.
     let _ = connection.send_datagram(bytes.into());
     connection.closed().await;
 }
 
-/// State of the relay.
+/// Flows of the relay by client, and the clients whose flows are dropped.
 #[derive(Default)]
-struct RelayState {
+struct RelayFlows {
     flows: BTreeMap<SocketAddr, Arc<UdpSocket>>,
-    lost: BTreeSet<SocketAddr>,
+    lost_clients: BTreeSet<SocketAddr>,
 }
 
-/// A relay of UDP before one address, like a middlebox with a table of flows.
+/// UDP relay in front of one address, like a middlebox with a flow table.
 pub(crate) struct Relay {
     pub(crate) addr: SocketAddr,
-    state: Arc<Mutex<RelayState>>,
+    state: Arc<Mutex<RelayFlows>>,
 }
 
 impl Relay {
     pub(crate) fn start(target: SocketAddr) -> Self {
-        let front = Arc::new(UdpSocket::bind("127.0.0.1:0").expect("free port"));
-        let addr = front.local_addr().expect("bound");
-        let state = Arc::new(Mutex::new(RelayState::default()));
+        let client_socket = Arc::new(UdpSocket::bind("127.0.0.1:0").expect("free port"));
+        let addr = client_socket.local_addr().expect("bound");
+        let state = Arc::new(Mutex::new(RelayFlows::default()));
         let shared = Arc::clone(&state);
-        thread::spawn(move || forward_all(&front, target, &shared));
+        thread::spawn(move || forward_all(&client_socket, target, &shared));
         Self { addr, state }
     }
 
-    /// Loses every flow that exists now, for good. New flows work.
+    /// Drops all existing flows permanently and returns their number. New flows still work.
     pub(crate) fn lose_flows(&self) -> usize {
         let mut state = self.state.lock().expect("not poisoned");
         let flows: Vec<_> = state.flows.keys().copied().collect();
-        state.lost.extend(flows.iter().copied());
+        state.lost_clients.extend(flows.iter().copied());
         flows.len()
     }
 
@@ -208,43 +210,55 @@
     }
 }
 
-fn forward_all(front: &Arc<UdpSocket>, target: SocketAddr, shared: &Arc<Mutex<RelayState>>) {
+fn forward_all(
+    client_socket: &Arc<UdpSocket>,
+    target: SocketAddr,
+    shared: &Arc<Mutex<RelayFlows>>,
+) {
     let mut buffer = [0; 2_048];
-    while let Ok((length, client)) = front.recv_from(&mut buffer) {
-        let back = {
+    while let Ok((length, client)) = client_socket.recv_from(&mut buffer) {
+        let target_socket = {
             let mut state = shared.lock().expect("not poisoned");
-            if state.lost.contains(&client) {
+            if state.lost_clients.contains(&client) {
                 continue;
             }
             let known = state.flows.get(&client).cloned();
             known.unwrap_or_else(|| {
-                let back = open_flow(front, target, client, shared);
-                state.flows.insert(client, Arc::clone(&back));
-                back
+                let target_socket = open_flow(client_socket, target, client, shared);
+                state.flows.insert(client, Arc::clone(&target_socket));
+                target_socket
             })
         };
-        // A datagram that cannot be passed on is lost, like any other.
-        let _ = back.send(&buffer[..length]);
+        // A datagram that cannot be relayed is lost, as on a real network.
+        let _ = target_socket.send(&buffer[..length]);
     }
 }
 
 fn open_flow(
-    front: &Arc<UdpSocket>,
+    client_socket: &Arc<UdpSocket>,
     target: SocketAddr,
     client: SocketAddr,
-    shared: &Arc<Mutex<RelayState>>,
+    shared: &Arc<Mutex<RelayFlows>>,
 ) -> Arc<UdpSocket> {
-    let back = Arc::new(UdpSocket::bind("127.0.0.1:0").expect("free port"));
-    back.connect(target).expect("connected");
-    let (front, shared, reader) = (Arc::clone(front), Arc::clone(shared), Arc::clone(&back));
+    let target_socket = Arc::new(UdpSocket::bind("127.0.0.1:0").expect("free port"));
+    target_socket.connect(target).expect("connected");
+    let (client_socket, shared, reader) = (
+        Arc::clone(client_socket),
+        Arc::clone(shared),
+        Arc::clone(&target_socket),
+    );
     thread::spawn(move || {
         let mut buffer = [0; 2_048];
         while let Ok(length) = reader.recv(&mut buffer) {
-            let is_lost = shared.lock().expect("not poisoned").lost.contains(&client);
+            let is_lost = shared
+                .lock()
+                .expect("not poisoned")
+                .lost_clients
+                .contains(&client);
             if !is_lost {
-                let _ = front.send_to(&buffer[..length], client);
+                let _ = client_socket.send_to(&buffer[..length], client);
             }
         }
     });
-    back
+    target_socket
 }
--- a/crates/gateway/tests/store_bench/mod.rs
+++ b/crates/gateway/tests/store_bench/mod.rs
@@ -1,4 +1,4 @@
-//! A store, a proxy before it, and a client that goes through the proxy.
+//! Test bench: a store, a proxy in front of it, and a client that connects through the proxy.
 
 #![allow(clippy::unwrap_used, dead_code)]
 
@@ -12,13 +12,13 @@
 use std::{future::Future, time::Duration};
 use tokio::time::timeout;
 
-/// Longest wait for a result before a test fails.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Deadline of one attempt, in milliseconds.
-pub(crate) const ATTEMPT_MS: u64 = 1_000;
+/// Timeout of every wait; reaching it fails the test.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout of one attempt of a call, in milliseconds.
+pub(crate) const ATTEMPT_TIMEOUT_MS: u64 = 1_000;
 
-/// Longest pause between calls to a store that does not answer, in milliseconds.
-const PAUSE_MS: u64 = 4_000;
+/// Maximum back-off delay, in milliseconds.
+const BACKOFF_DELAY_MS: u64 = 4_000;
 
 pub(crate) struct Bench {
     pub(crate) store: Store,
@@ -28,11 +28,11 @@
 
 pub(crate) fn client(url: String, writer: &str) -> StoreClient {
     let options = StoreClientOptions {
-        attempt_timeout_ms: ATTEMPT_MS,
+        attempt_timeout_ms: ATTEMPT_TIMEOUT_MS,
         watch_idle_timeout_ms: 300,
         backoff: BackoffOptions {
-            max_first_delay_ms: PAUSE_MS,
-            max_delay_ms: PAUSE_MS,
+            max_first_delay_ms: BACKOFF_DELAY_MS,
+            max_delay_ms: BACKOFF_DELAY_MS,
             ..BackoffOptions::default()
         },
         seed: 1,
@@ -57,7 +57,7 @@
 }
 
 pub(crate) async fn within<T>(future: impl Future<Output = T>) -> T {
-    timeout(PATIENCE, future).await.unwrap()
+    timeout(TEST_TIMEOUT, future).await.unwrap()
 }
 
 pub(crate) fn revision_of(outcome: &WriteOutcome) -> i64 {
--- a/crates/gateway/tests/store_budget.rs
+++ b/crates/gateway/tests/store_budget.rs
@@ -1,4 +1,4 @@
-//! A fleet at the target size returning to a store after an outage, on a simulated clock.
+//! Tests of a fleet's call rates, also after a store outage, at target size on a simulated clock.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,32 +13,32 @@
 const STEP_MS: u64 = 10;
 const OUTAGE_STARTS: Millis = Millis(20_000);
 const OUTAGE_ENDS: Millis = Millis(80_000);
-const END: Millis = Millis(140_000);
-/// What the store takes, in calls a second.
+const RUN_ENDS: Millis = Millis(140_000);
+/// Rates that the store can serve, in calls per second.
 const STORE_READS_PER_S: u64 = 2_000;
 const STORE_WRITES_PER_S: u64 = 400;
-/// Time between two turns of an instance, in milliseconds.
-const TURN_MS: u64 = 5_000;
-/// Calls that each instance wants to make at its turn, and again when the store returns.
+/// Interval at which an instance wants to make calls, in milliseconds.
+const DEMAND_INTERVAL_MS: u64 = 5_000;
+/// Calls that each instance wants to make at each interval, and when the store recovers.
 const WANTED_READS: u64 = 12;
 const WANTED_WRITES: u64 = 3;
 
 struct Instance {
-    next_turn: Millis,
+    next_demand_at: Millis,
     budget: CallBudget,
     backoff: Backoff,
     reads: u64,
     writes: u64,
 }
 
-/// Calls that reach the store, by second.
+/// Number of calls that reach the store, by second.
 #[derive(Default)]
-struct Seconds {
+struct CallsPerSecond {
     reads: Vec<u64>,
     writes: Vec<u64>,
 }
 
-impl Seconds {
+impl CallsPerSecond {
     fn count(&mut self, kind: CallKind, now: Millis) {
         let counts = match kind {
             CallKind::Read => &mut self.reads,
@@ -50,14 +50,14 @@
     }
 }
 
-/// Lets every instance make all the calls it may, a backlog included, and returns what the store
-/// got and how many calls are still wanted at the end.
-fn run(seed: u64) -> (Seconds, u64) {
+/// Runs a fleet in which every instance makes all calls that it may, including its backlog. Returns
+/// the calls that reached the store and the backlog at the end.
+fn run(seed: u64) -> (CallsPerSecond, u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut seconds = Seconds::default();
+    let mut per_second = CallsPerSecond::default();
     let mut fleet: Vec<_> = (0..INSTANCES)
         .map(|_| Instance {
-            next_turn: Millis(rng.random_range(0..TURN_MS)),
+            next_demand_at: Millis(rng.random_range(0..DEMAND_INTERVAL_MS)),
             budget: CallBudget::for_fleet(INSTANCES, Millis(0)),
             backoff: Backoff::new(BackoffOptions::default()),
             reads: 0,
@@ -65,12 +65,12 @@
         })
         .collect();
     let mut now = Millis(0);
-    while now < END {
+    while now < RUN_ENDS {
         let is_down = (OUTAGE_STARTS..OUTAGE_ENDS).contains(&now);
         for instance in &mut fleet {
-            let is_turn = now >= instance.next_turn && now <= OUTAGE_ENDS;
-            if is_turn || now == OUTAGE_ENDS {
-                instance.next_turn = now.plus(TURN_MS);
+            let is_due = now >= instance.next_demand_at && now <= OUTAGE_ENDS;
+            if is_due || now == OUTAGE_ENDS {
+                instance.next_demand_at = now.plus(DEMAND_INTERVAL_MS);
                 instance.reads = WANTED_READS;
                 instance.writes = WANTED_WRITES;
             }
@@ -82,7 +82,7 @@
                     writes
                 };
                 for _ in 0..wanted {
-                    if !call(instance, kind, now, is_down, &mut rng, &mut seconds) {
+                    if !call(instance, kind, now, is_down, &mut rng, &mut per_second) {
                         break;
                     }
                 }
@@ -90,25 +90,25 @@
         }
         now = now.plus(STEP_MS);
     }
-    let rest = fleet
+    let backlog = fleet
         .iter()
         .map(|instance| instance.reads + instance.writes);
-    (seconds, rest.sum())
+    (per_second, backlog.sum())
 }
 
-/// Makes a call if the instance may, and says whether it may go on.
+/// Makes a call if it is admitted, and returns whether the instance may make another one.
 fn call(
     instance: &mut Instance,
     kind: CallKind,
     now: Millis,
     is_down: bool,
     rng: &mut StdRng,
-    seconds: &mut Seconds,
+    per_second: &mut CallsPerSecond,
 ) -> bool {
     if instance.budget.take(kind, now).is_err() || instance.backoff.admit(now).is_err() {
         return false;
     }
-    seconds.count(kind, now);
+    per_second.count(kind, now);
     if is_down {
         instance
             .backoff
@@ -129,36 +129,37 @@
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
-fn fleet_that_returns_after_an_outage_stays_within_the_stores_rates(seed: u64) {
-    let (seconds, rest) = run(seed);
-    let reads = seconds.reads.iter().max().copied().unwrap_or_default();
-    let writes = seconds.writes.iter().max().copied().unwrap_or_default();
-    let waiting_watches = u64::from(INSTANCES);
+fn fleet_recovering_from_an_outage_stays_within_the_stores_rates(seed: u64) {
+    let (per_second, backlog) = run(seed);
+    let reads = per_second.reads.iter().max().copied().unwrap_or_default();
+    let writes = per_second.writes.iter().max().copied().unwrap_or_default();
+    let open_watches = u64::from(INSTANCES);
     assert!(
-        reads + waiting_watches <= STORE_READS_PER_S,
+        reads + open_watches <= STORE_READS_PER_S,
         "{reads} reads in a second"
     );
     assert!(writes <= STORE_WRITES_PER_S, "{writes} writes in a second");
-    assert_eq!(rest, 0, "the backlog is worked off");
+    assert_eq!(backlog, 0, "the backlog is empty");
     if seed == 1 {
         let during = |calls: &[u64]| calls[40..80].iter().sum::<u64>() / 40;
         let after = |calls: &[u64]| calls[80..].iter().max().copied().unwrap_or_default();
         let summary = format!(
             "per second: outage {} reads {} writes, return at most {} reads {} writes",
-            during(&seconds.reads),
-            during(&seconds.writes),
-            after(&seconds.reads),
-            after(&seconds.writes)
+            during(&per_second.reads),
+            during(&per_second.writes),
+            after(&per_second.reads),
+            after(&per_second.writes)
         );
         insta::assert_snapshot!(summary, @"per second: outage 54 reads 16 writes, return at most 768 reads 196 writes");
     }
 }
 
-/// Calls that one instance makes in a second if it always wants to, after `saved_ms` of quiet.
-fn calls_in_a_second(kind: CallKind, saved_ms: u64) -> u64 {
+/// Returns the calls that an instance with unlimited demand makes in a second after `idle_ms`
+/// without calls.
+fn calls_in_a_second(kind: CallKind, idle_ms: u64) -> u64 {
     let mut budget = CallBudget::for_fleet(INSTANCES, Millis(0));
     budget.drain(Millis(0));
-    let start = Millis(saved_ms);
+    let start = Millis(idle_ms);
     let instants = (0..1_000).map(|ms| start.plus(ms));
     let made = instants.map(|now| {
         let mut calls = 0;
@@ -171,19 +172,19 @@
 }
 
 #[test]
-fn even_simultaneous_reads_of_all_instances_stay_within_the_stores_rate() {
-    const QUIET_MS: u64 = 60_000;
-    let waiting_watches = u64::from(INSTANCES);
-    let reads = u64::from(INSTANCES) * calls_in_a_second(CallKind::Read, QUIET_MS);
+fn simultaneous_reads_of_all_instances_stay_within_the_stores_rate() {
+    const IDLE_MS: u64 = 60_000;
+    let open_watches = u64::from(INSTANCES);
+    let reads = u64::from(INSTANCES) * calls_in_a_second(CallKind::Read, IDLE_MS);
     assert!(
-        reads + waiting_watches <= STORE_READS_PER_S,
+        reads + open_watches <= STORE_READS_PER_S,
         "{reads} reads in a second"
     );
 }
 
 #[test_case(CallKind::Read, FLEET_READS_PER_S)]
 #[test_case(CallKind::Write, FLEET_WRITES_PER_S)]
-fn lasting_demand_of_all_instances_gets_the_fleets_rate(kind: CallKind, fleet_per_s: f64) {
+fn sustained_demand_of_all_instances_gets_the_fleets_rate(kind: CallKind, fleet_per_s: f64) {
     const SECONDS: u32 = 100;
     let mut budget = CallBudget::for_fleet(INSTANCES, Millis(0));
     budget.drain(Millis(0));
--- a/crates/gateway/tests/store_client.rs
+++ b/crates/gateway/tests/store_client.rs
@@ -1,4 +1,4 @@
-//! Tests of the store client against a store that fails.
+//! Tests of the store client against a store and connections that fail.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,13 +10,13 @@
     store::{Availability, StoreOptions},
 };
 use std::time::Duration;
-use store_bench::{bench, bench_with, client, revision_of, value_of, within, ATTEMPT_MS};
+use store_bench::{bench, bench_with, client, revision_of, value_of, within, ATTEMPT_TIMEOUT_MS};
 use test_case::test_case;
 
 const KEY: &str = "once/authority/a-17";
 
 #[tokio::test]
-async fn values_come_back_as_written_under_a_mark() {
+async fn values_are_read_back_as_written_and_marked() {
     let bench = bench();
     let revision = revision_of(&bench.client.create(KEY, br#"{"a":1}"#, 0).await);
     let record = bench.client.get(KEY).await.unwrap().unwrap();
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test]
-async fn document_stands_bare_for_operators() {
+async fn document_is_stored_without_an_envelope() {
     const DOCUMENT: &str = "config/document";
     let bench = bench();
     bench.store.set_value(DOCUMENT, b"{ \"schema\": 1 }");
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn second_writer_sees_a_conflict_with_the_first_ones_record() {
+async fn second_writer_gets_a_conflict_with_the_record_of_the_first() {
     let bench = bench();
     let rival = client(bench.store.url(), "s1.1");
     let (one, two) = tokio::join!(
@@ -67,18 +67,18 @@
     let (winner, loser) = match (&one, &two) {
         (WriteOutcome::Written { .. }, WriteOutcome::Conflict { current }) => ("1", current),
         (WriteOutcome::Conflict { current }, WriteOutcome::Written { .. }) => ("2", current),
-        other => panic!("not one winner: {other:?}"),
+        other => panic!("not exactly one writer succeeded: {other:?}"),
     };
     assert_eq!(value_of(loser.clone()), winner);
 }
 
-/// Races writers that each raise a counter by compare-and-swap, with answers lost at random: every
-/// write that a writer believes in counts once, and none counts twice.
+/// Runs writers that increment one counter by compare-and-swap while answers are lost at random.
+/// Every write reported as written counts exactly once, and no write counts twice.
 #[test_case(11)]
 #[test_case(12)]
 #[test_case(13)]
 #[tokio::test]
-async fn racing_writers_and_lost_answers_lose_and_double_nothing(seed: u64) {
+async fn racing_writers_with_lost_answers_apply_each_write_once(seed: u64) {
     const WRITERS: u64 = 4;
     const WRITES: u64 = 15;
     let bench = bench_with(&StoreOptions {
@@ -87,7 +87,7 @@
     });
     revision_of(&bench.client.create("count", b"0", 0).await);
     bench.store.set_lost_answers_ppm(150_000);
-    let raise = |writer: u64| {
+    let increment = |writer: u64| {
         let client = client(bench.store.url(), &format!("w{writer}.1"));
         async move {
             let mut written = 0;
@@ -110,7 +110,7 @@
             (written, unknown)
         }
     };
-    let results = within(futures::future::join_all((0..WRITERS).map(raise))).await;
+    let results = within(futures::future::join_all((0..WRITERS).map(increment))).await;
     let written: u64 = results.iter().map(|(written, _)| written).sum();
     let unknown: u64 = results.iter().map(|(_, unknown)| unknown).sum();
     let count: u64 =
@@ -119,12 +119,15 @@
             .as_u64()
             .unwrap();
     let is_accounted_for = written <= count && count <= written + unknown;
-    assert!(is_accounted_for, "{written} + {unknown} against {count}");
+    assert!(
+        is_accounted_for,
+        "{written} written + {unknown} unknown, but the count is {count}"
+    );
     assert!(written > unknown, "{written} written, {unknown} unknown");
 }
 
 #[tokio::test]
-async fn lost_answer_is_settled_as_written_once() {
+async fn write_with_a_lost_answer_is_resolved_as_written_once() {
     let bench = bench();
     bench.store.lose_answers(1);
     let revision = revision_of(&bench.client.create(KEY, b"1", 0).await);
@@ -133,10 +136,10 @@
 }
 
 #[tokio::test]
-async fn lost_answer_is_settled_under_a_later_write() {
+async fn write_with_a_lost_answer_is_found_under_a_later_write() {
     let bench = bench();
     let first = revision_of(&bench.client.create(KEY, b"1", 0).await);
-    // The answer is held back on its way while another writer builds on the value.
+    // The answer is delayed in the proxy while another writer overwrites the value.
     bench.proxy.set(Direction::ToCaller, Way::partitioned());
     let write = bench.client.compare_and_swap(KEY, first, b"2");
     let overwrite = async {
@@ -160,7 +163,7 @@
 }
 
 #[tokio::test]
-async fn lost_answer_of_a_deletion_is_settled() {
+async fn deletion_with_a_lost_answer_is_resolved() {
     let bench = bench();
     let revision = revision_of(&bench.client.create(KEY, b"1", 0).await);
     bench.store.lose_answers(1);
@@ -175,19 +178,16 @@
     let bench = bench();
     bench.proxy.set(Direction::ToCaller, Way::partitioned());
     let outcome = within(bench.client.create(KEY, b"1", 0)).await;
-    let cause = StoreError::Timeout(ATTEMPT_MS);
+    let cause = StoreError::Timeout(ATTEMPT_TIMEOUT_MS);
     assert_eq!(outcome, WriteOutcome::Unknown { cause });
-    assert!(
-        bench.store.value(KEY).is_some(),
-        "the write did take effect"
-    );
+    assert!(bench.store.value(KEY).is_some(), "the write took effect");
 }
 
 #[tokio::test]
 async fn write_to_a_store_that_refuses_connections_is_not_written() {
     let bench = bench();
     bench.store.set_availability(Availability::Refusing);
-    // The switch takes effect a little later.
+    // The change takes effect with a delay.
     let refused = async {
         while tokio::net::TcpStream::connect(bench.store.addr())
             .await
@@ -208,7 +208,7 @@
 }
 
 #[tokio::test]
-async fn silent_connection_costs_one_deadline_and_no_write() {
+async fn silent_connection_costs_one_timeout_and_no_write() {
     let bench = bench();
     revision_of(&bench.client.create("warm", b"1", 0).await);
     let opened = bench.proxy.counts().opened;
@@ -226,25 +226,25 @@
 #[test_case(Availability::Refusing)]
 #[test_case(Availability::Unavailable)]
 #[tokio::test]
-async fn outage_makes_calls_pause_and_ends_by_itself(outage: Availability) {
+async fn calls_back_off_during_an_outage_and_recover(outage: Availability) {
     let bench = bench();
     revision_of(&bench.client.create(KEY, b"1", 0).await);
     bench.store.set_availability(outage);
-    let until_pausing = async {
+    let until_backing_off = async {
         while !bench.client.is_backing_off() {
             bench.client.get(KEY).await.unwrap_or_default();
         }
     };
-    within(until_pausing).await;
+    within(until_backing_off).await;
     let before = bench.store.counts().calls();
     let outcome = bench.client.compare_and_swap(KEY, 1, b"2").await;
-    let is_paused = matches!(
+    let is_backed_off = matches!(
         outcome,
         WriteOutcome::NotWritten {
             cause: StoreError::BackingOff { .. } | StoreError::OverBudget { .. }
         }
     );
-    assert!(is_paused, "{outcome:?}");
+    assert!(is_backed_off, "{outcome:?}");
     assert_eq!(bench.store.counts().calls(), before);
     bench.store.set_availability(Availability::Up);
     let record = async {
@@ -260,24 +260,24 @@
 }
 
 #[tokio::test]
-async fn slow_store_is_waited_for_within_the_deadline() {
+async fn slow_store_answers_within_the_timeout() {
     let bench = bench();
-    bench.store.set_delay(0, ATTEMPT_MS / 4);
+    bench.store.set_delay(0, ATTEMPT_TIMEOUT_MS / 4);
     revision_of(&bench.client.create(KEY, b"1", 0).await);
     assert_eq!(bench.store.counts().writes, 1);
 }
 
 #[tokio::test]
-async fn slower_store_than_the_deadline_leaves_the_write_unknown() {
+async fn write_to_a_store_slower_than_the_timeout_is_unknown() {
     let bench = bench();
-    bench.store.set_delay(0, ATTEMPT_MS * 4);
+    bench.store.set_delay(0, ATTEMPT_TIMEOUT_MS * 4);
     let outcome = within(bench.client.create(KEY, b"1", 0)).await;
-    let cause = StoreError::Timeout(ATTEMPT_MS);
+    let cause = StoreError::Timeout(ATTEMPT_TIMEOUT_MS);
     assert_eq!(outcome, WriteOutcome::Unknown { cause });
 }
 
 #[tokio::test]
-async fn lease_is_renewed_and_its_keys_end_with_it() {
+async fn lease_is_renewed_and_its_keys_are_deleted_with_it() {
     let bench = bench();
     let lease = bench.client.lease_grant(60).await.unwrap();
     revision_of(&bench.client.create(KEY, b"1", lease).await);
--- a/crates/gateway/tests/store_watch.rs
+++ b/crates/gateway/tests/store_watch.rs
@@ -1,4 +1,4 @@
-//! Tests of watches against a store and connections that fail.
+//! Tests of watches on a store whose connections fail.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,13 +9,13 @@
 use store_bench::{bench, bench_with, client, revision_of, value_of, within, Bench};
 use test_case::test_case;
 
-/// Values that a watch reports until it has seen `last`; a deleted key as `-key`.
+/// Collects the values that a watch reports up to `last`, with a deleted key as `-key`.
 async fn values_until(watch: &mut Watch, last: &str) -> Vec<String> {
     let mut values = Vec::new();
     while values.last().map(String::as_str) != Some(last) {
         match within(watch.next()).await {
             WatchUpdate::Changes(changes) => values.extend(changes.into_iter().map(text)),
-            WatchUpdate::Reset(snapshot) => panic!("started over: {snapshot:?}"),
+            WatchUpdate::Reset(snapshot) => panic!("watch was reset: {snapshot:?}"),
             WatchUpdate::Lost(_) => {}
         }
     }
@@ -51,7 +51,7 @@
 #[test_case(|bench| bench.proxy.cut(); "connection that is cut")]
 #[test_case(|bench| bench.store.cut(); "store that cuts connections")]
 #[tokio::test]
-async fn watch_misses_nothing_over_a(fault: fn(&Bench)) {
+async fn watch_reports_every_change_after_a(fault: fn(&Bench)) {
     let bench = bench();
     let mut watch = watch(&bench);
     bench.store.set_value("w/a", b"0");
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn watch_of_a_store_that_went_back_starts_over_from_a_snapshot() {
+async fn watch_of_a_store_reset_to_an_earlier_revision_starts_over_from_a_snapshot() {
     let bench = bench();
     bench.store.set_value("w/a", b"1");
     let mut watch = bench.client.watch(KeyRange::Key("w/a".to_owned()), 1_000);
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn silent_watch_reports_that_it_is_lost_and_comes_back() {
+async fn silent_watch_reports_its_loss_and_reconnects() {
     let bench = bench();
     bench.store.set_watch_silent(true);
     let mut watch = watch(&bench);
@@ -109,7 +109,7 @@
 }
 
 #[tokio::test]
-async fn quiet_watch_moves_to_new_connections_and_keeps_one() {
+async fn idle_watch_moves_to_new_connections_and_closes_old_ones() {
     let bench = bench();
     let mut watch = watch(&bench);
     let wait_for_moves = async {
