--- a/crates/gateway/src/store/read.rs
+++ b/crates/gateway/src/store/read.rs
@@ -1,22 +1,22 @@
-//! Reads.
+//! Reads of keys and key ranges.
 
-use super::{CallKind, Record, StoreClient, StoreError};
+use super::{CallKind, StoreClient, StoreError, StoredRecord};
 use carobwheel_wire::etcd::{prefix_end, RangeRequest, RangeResponse, RANGE_PATH};
 
-/// Most keys in one answer.
+/// Maximum number of keys per page of a range read.
 const PAGE_KEYS: i64 = 1_000;
 
-/// Keys that a read or a watch is about.
+/// Keys to read or watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum KeyRange {
     /// One key.
     Key(String),
     /// All keys with this prefix.
     Prefix(String),
 }
 
-impl Scope {
-    /// First key and end of the range.
+impl KeyRange {
+    /// Returns the first key and the end of the range in the store's encoding.
     pub(super) fn bounds(&self) -> (Vec<u8>, Vec<u8>) {
         match self {
             Self::Key(key) => (key.as_bytes().to_vec(), Vec::new()),
@@ -25,13 +25,13 @@
     }
 }
 
-/// Keys as they stood together at one revision.
+/// Consistent state of a range of keys at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Revision of the store; a watch goes on from the next one.
+    /// Revision of the store. A watch continues from the next one.
     pub revision: i64,
-    /// Keys found, in ascending order.
-    pub records: Vec<Record>,
+    /// Records found, in ascending order of their keys.
+    pub records: Vec<StoredRecord>,
 }
 
 impl StoreClient {
@@ -39,9 +39,9 @@
     ///
     /// # Errors
     ///
-    /// Fails when neither of two attempts gave an answer.
-    pub async fn get(&self, key: &str) -> Result<Option<Record>, StoreError> {
-        let snapshot = self.read(&Scope::Key(key.to_owned())).await?;
+    /// Fails when neither of two attempts is answered.
+    pub async fn get(&self, key: &str) -> Result<Option<StoredRecord>, StoreError> {
+        let snapshot = self.read(&KeyRange::Key(key.to_owned())).await?;
         Ok(snapshot.records.into_iter().next())
     }
 
@@ -49,18 +49,18 @@
     ///
     /// # Errors
     ///
-    /// Fails when neither of two attempts gave an answer.
+    /// Fails when neither of two attempts is answered.
     pub async fn range(&self, prefix: &str) -> Result<Snapshot, StoreError> {
-        self.read(&Scope::Prefix(prefix.to_owned())).await
+        self.read(&KeyRange::Prefix(prefix.to_owned())).await
     }
 
-    /// Reads the keys of `scope`, all at the same revision.
+    /// Reads the keys of `range` in pages, all at the same revision.
     ///
     /// # Errors
     ///
-    /// Fails when neither of two attempts gave an answer.
-    pub async fn read(&self, scope: &Scope) -> Result<Snapshot, StoreError> {
-        let (key, range_end) = scope.bounds();
+    /// Fails when neither of two attempts is answered.
+    pub async fn read(&self, range: &KeyRange) -> Result<Snapshot, StoreError> {
+        let (key, range_end) = range.bounds();
         let mut request = RangeRequest {
             key,
             range_end,
@@ -77,7 +77,7 @@
             let last_key = page.kvs.last().map(|kv| kv.key.clone());
             snapshot
                 .records
-                .extend(page.kvs.into_iter().map(Record::new));
+                .extend(page.kvs.into_iter().map(StoredRecord::new));
             match last_key {
                 Some(last_key) if page.more => {
                     request.key = last_key;
