--- a/crates/gateway/src/daemon/mod.rs
+++ b/crates/gateway/src/daemon/mod.rs
@@ -9,8 +9,8 @@
     in_force::Current,
     intake::{
         self,
-        forwarded::{self, RING_FORWARDED},
-        Claims, Entries, Server, Shared, BODY_UNIT_BYTES,
+        forwarded::{self, MAX_QUEUED_FORWARDS},
+        ActionRecords, IntakeState, Server, SharedEntryPoints, BODY_UNIT_BYTES,
     },
     peers::{self, TlsMaterial},
     platform, report,
@@ -38,7 +38,7 @@
 
 /// A running instance.
 pub struct Daemon {
-    shared: Arc<Shared>,
+    shared: Arc<IntakeState>,
     server: Server,
     operators: Option<Server>,
     peers: Option<peers::Handle>,
@@ -63,13 +63,13 @@
     // Ends the threads that run already if a later one cannot be started.
     let guard = cancel.clone().drop_guard();
     let current = Current::default();
-    let entries = Entries::default();
+    let entries = SharedEntryPoints::default();
     let is_ready = Arc::new(AtomicBool::new(false));
     let has_handed_over = Arc::new(AtomicBool::new(false));
     let store = platform::store_client(settings, incarnation)?;
     let (decide, events) = ring::ring(decide::RING_EVENTS);
     let (commands, platform_commands) = ring::async_ring(platform::RING_COMMANDS);
-    let (forwarded, forwards) = ring::async_ring(RING_FORWARDED);
+    let (forwarded, forwards) = ring::async_ring(MAX_QUEUED_FORWARDS);
     let mut threads = Vec::new();
     let links = links::start(settings, tls, &decide, forwarded, cancel.child_token())?;
     let peers = links.map(|(handle, thread)| {
@@ -110,7 +110,7 @@
     threads.push(dispatch_thread);
     let callers = &settings.callers;
     let body_units = callers.max_body_bytes_held / BODY_UNIT_BYTES;
-    let shared = Arc::new(Shared {
+    let shared = Arc::new(IntakeState {
         instance: settings.instance.id.clone(),
         clock,
         current,
@@ -118,11 +118,11 @@
         dispatch,
         report,
         peers: peers.clone(),
-        claims: Claims::new(store),
+        action_records: ActionRecords::new(store),
         credentials: settings.upstream_credentials.clone(),
         entries,
         in_flight: Arc::new(InFlight::new(callers.max_requests)),
-        body_room: Arc::new(Semaphore::new(body_units)),
+        body_memory: Arc::new(Semaphore::new(body_units)),
         body_timeout_ms: callers.body_timeout_ms,
         is_ready,
         is_leaving: AtomicBool::new(false),
--- a/crates/gateway/src/decide/membership.rs
+++ b/crates/gateway/src/decide/membership.rs
@@ -2,7 +2,7 @@
 
 use super::{event::LiveListRead, slots::peer_of, state::State};
 use crate::{
-    intake::{Entry, EntryList, LIFETIME_S},
+    intake::{EntryPoint, EntryPointList, ENTRY_POINTS_LIFETIME_S},
     peers::Inbound,
     platform::Command,
     settings::{Peers, Settings},
@@ -199,16 +199,16 @@
         };
         let entries = members
             .into_iter()
-            .map(|member| Entry {
+            .map(|member| EntryPoint {
                 url: format!("http://{}", member.identity.caller_addr),
                 owned_shards: owned_shards(&peer_of(&member)),
                 instance: member.identity.instance,
                 region: member.identity.region,
             })
             .collect();
-        self.outlets.entries.store(EntryList {
+        self.outlets.entries.store(EntryPointList {
             entries,
-            lifetime_s: LIFETIME_S,
+            lifetime_s: ENTRY_POINTS_LIFETIME_S,
         });
     }
 }
--- a/crates/gateway/src/decide/outlets.rs
+++ b/crates/gateway/src/decide/outlets.rs
@@ -1,7 +1,8 @@
 //! Where the deciding thread's decisions go.
 
 use crate::{
-    in_force::Current, intake::Entries, peers, platform, report::StatusBoard, ring::Sender,
+    in_force::Current, intake::SharedEntryPoints, peers, platform, report::StatusBoard,
+    ring::Sender,
 };
 use carobwheel_core::{id::InstanceId, member};
 use carobwheel_wire::peer::Message;
@@ -15,7 +16,7 @@
     /// The document in force.
     pub current: Current,
     /// Instances that callers may use.
-    pub entries: Entries,
+    pub entries: SharedEntryPoints,
     /// The status page.
     pub board: StatusBoard,
     /// The instance can serve requests.
--- a/crates/gateway/src/dispatch/exchange.rs
+++ b/crates/gateway/src/dispatch/exchange.rs
@@ -1,6 +1,6 @@
 //! One exchange with an upstream, from the first byte sent to the last byte received.
 
-use super::{client::Clients, ExchangeError, Head, Job};
+use super::{client::Clients, AnswerHead, ExchangeError, UpstreamCall};
 use bytes::Bytes;
 use carobwheel_core::time::Clock;
 use reqwest::Response;
@@ -15,7 +15,7 @@
 
 /// Runs `job`. Dropping the response on any early return closes its connection, so that a late
 /// answer can never be taken for that of another request.
-pub(super) async fn run(clients: Clients, clock: Clock, job: Job) {
+pub(super) async fn run(clients: Clients, clock: Clock, job: UpstreamCall) {
     if clock.now() >= job.send_before {
         let detail = "the decision to send is too old".to_owned();
         // The receiver may be gone already.
@@ -52,7 +52,7 @@
         }
     };
     let (sender, chunks) = mpsc::channel(CHUNKS_WAITING);
-    let head = Head {
+    let head = AnswerHead {
         status: response.status().as_u16(),
         headers: response.headers().clone(),
         chunks,
--- a/crates/gateway/src/dispatch/job.rs
+++ b/crates/gateway/src/dispatch/job.rs
@@ -8,7 +8,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// A call to an upstream.
-pub struct Job {
+pub struct UpstreamCall {
     /// Method.
     pub method: Method,
     /// Whole URL.
@@ -27,12 +27,12 @@
     /// Ends the exchange and closes its connection.
     pub cancel: CancellationToken,
     /// Where the head of the answer goes.
-    pub reply: oneshot::Sender<Result<Head, ExchangeError>>,
+    pub reply: oneshot::Sender<Result<AnswerHead, ExchangeError>>,
 }
 
 /// Head of an upstream's answer.
 #[derive(Debug)]
-pub struct Head {
+pub struct AnswerHead {
     /// HTTP status.
     pub status: u16,
     /// Headers as received.
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -8,7 +8,7 @@
 mod exchange;
 mod job;
 
-pub use job::{ExchangeError, Head, Job};
+pub use job::{AnswerHead, ExchangeError, UpstreamCall};
 
 use crate::ring::{async_ring, Sender};
 use anyhow::Context as _;
@@ -19,7 +19,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Jobs that wait for the dispatching thread at most.
-pub const RING_JOBS: usize = 8_192;
+pub const MAX_QUEUED_CALLS: usize = 8_192;
 
 /// Starts the dispatching thread, which ends when `cancel` is cancelled.
 ///
@@ -29,8 +29,8 @@
 pub fn start(
     clock: Clock,
     cancel: CancellationToken,
-) -> anyhow::Result<(Sender<Job>, thread::JoinHandle<()>)> {
-    let (sender, mut receiver) = async_ring::<Job>(RING_JOBS);
+) -> anyhow::Result<(Sender<UpstreamCall>, thread::JoinHandle<()>)> {
+    let (sender, mut receiver) = async_ring::<UpstreamCall>(MAX_QUEUED_CALLS);
     let clients = Clients::new()?;
     let event_loop = runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/gateway/src/intake/action/claims.rs
+++ b/crates/gateway/src/intake/action/claims.rs
@@ -8,12 +8,12 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 /// The records of this instance's actions.
-pub(crate) struct Claims {
+pub(crate) struct ActionRecords {
     store: StoreClient,
     leases: Mutex<LeasePool>,
 }
 
-impl Claims {
+impl ActionRecords {
     pub(crate) fn new(store: StoreClient) -> Self {
         Self {
             store,
--- a/crates/gateway/src/intake/action/mod.rs
+++ b/crates/gateway/src/intake/action/mod.rs
@@ -6,17 +6,17 @@
 mod claims;
 mod upstream;
 
-pub(crate) use claims::Claims;
+pub(crate) use claims::ActionRecords;
 
 use super::{
     answer::Answer,
     forward,
     work::{self, Found, Work},
-    Shared,
+    IntakeState,
 };
 use crate::{
     in_flight::Running,
-    refusal::{run_of_status, Cause, Execution, Refusal},
+    refusal::{execution_of_status, Cause, Execution, Refusal},
 };
 use carobwheel_core::{
     identity::Caller,
@@ -36,7 +36,7 @@
 
 /// Runs the action of `work` and answers as soon as its fate is known.
 pub(super) async fn run(
-    shared: &Arc<Shared>,
+    shared: &Arc<IntakeState>,
     work: Work,
     running: Running,
 ) -> Result<Answer, Refusal> {
@@ -91,7 +91,7 @@
 
 /// Carries out the effects of one action.
 struct Driver {
-    shared: Arc<Shared>,
+    shared: Arc<IntakeState>,
     action: Action,
     work: Work,
     upstream: upstream::Upstream,
@@ -132,7 +132,7 @@
                 vec![Input::Store { call, answer }]
             }
             Effect::ReadBack { call, key } => {
-                let answer = self.shared.claims.read(&key).await;
+                let answer = self.shared.action_records.read(&key).await;
                 vec![Input::Store { call, answer }]
             }
             Effect::WriteOutcome {
@@ -148,7 +148,7 @@
                 vec![Input::Store { call, answer }]
             }
             Effect::Release { key, record } => {
-                self.shared.claims.release(&key, &record).await;
+                self.shared.action_records.release(&key, &record).await;
                 Vec::new()
             }
             Effect::Dispatch { call, send_before } => self.dispatch(call, send_before).await,
@@ -177,12 +177,15 @@
         record: &ActionRecord,
         lifetime_ms: u64,
     ) -> StoreAnswer {
-        let claims = &self.shared.claims;
-        let Some(lease) = claims.lease(lifetime_ms, self.shared.clock.now()).await else {
+        let action_records = &self.shared.action_records;
+        let Some(lease) = action_records
+            .lease(lifetime_ms, self.shared.clock.now())
+            .await
+        else {
             return StoreAnswer::NotSent;
         };
         self.lease = Some(lease);
-        claims.create(key, record, lease).await
+        action_records.create(key, record, lease).await
     }
 
     /// Writes the outcome and relays the answer, which does not wait long for a slow store.
@@ -194,7 +197,7 @@
     ) -> StoreAnswer {
         let lease = self.lease.expect("an outcome follows a claim on a lease");
         let shared = Arc::clone(&self.shared);
-        let mut write = pin!(shared.claims.write(key, record, revision, lease));
+        let mut write = pin!(shared.action_records.write(key, record, revision, lease));
         let written = time::timeout(RELAY_DELAY, &mut write).await;
         self.relay();
         match written {
@@ -260,7 +263,7 @@
 fn replay(outcome: &once::Outcome) -> Answer {
     let mut answer = Answer::whole(
         outcome.status,
-        run_of_status(outcome.status),
+        execution_of_status(outcome.status),
         outcome.body.bytes().unwrap_or_default().to_vec().into(),
     );
     if let Some(content_type) = &outcome.content_type {
--- a/crates/gateway/src/intake/action/upstream.rs
+++ b/crates/gateway/src/intake/action/upstream.rs
@@ -4,13 +4,13 @@
     answer::Answer,
     pass,
     work::{self, Found, Place, Work},
-    Shared,
+    IntakeState,
 };
 use crate::{
     decide::Ending,
-    dispatch::{ExchangeError, Head},
-    refusal::{run_of_status, Refusal},
-    relay::{Charged, Framing, Settling},
+    dispatch::{AnswerHead, ExchangeError},
+    refusal::{execution_of_status, Refusal},
+    relay::{ChargeGuard, Framing, PlacementGuard},
 };
 use bytes::BytesMut;
 use carobwheel_core::{
@@ -27,7 +27,7 @@
 /// A place and the exchange on it.
 pub(super) struct Upstream {
     place: Option<Place>,
-    charged: Option<Charged>,
+    charged: Option<ChargeGuard>,
     tried: Vec<UpstreamId>,
     /// What the deciding thread said when it had no place.
     pub(super) refusal: Option<Refusal>,
@@ -44,7 +44,7 @@
     }
 
     /// Makes sure that there is a place.
-    pub(super) async fn find_place(&mut self, shared: &Shared, work: &Work) -> bool {
+    pub(super) async fn find_place(&mut self, shared: &IntakeState, work: &Work) -> bool {
         if self.place.is_some() {
             return true;
         }
@@ -61,7 +61,7 @@
     /// Sends the request once, on a connection of its own, and gathers the whole answer.
     pub(super) async fn exchange(
         &mut self,
-        shared: &Arc<Shared>,
+        shared: &Arc<IntakeState>,
         work: &Work,
     ) -> (Vec<UpstreamEvent>, Option<Answer>) {
         let mut place = self
@@ -102,7 +102,7 @@
 
 /// Whether the upstream itself says that it did not run the request: 429, or 503 with the time
 /// after which to come again. A bare 503 may also come from something that gave up waiting.
-fn is_refusal(head: &Head) -> bool {
+fn is_refusal(head: &AnswerHead) -> bool {
     match head.status {
         429 => true,
         503 => head.headers.contains_key(RETRY_AFTER),
@@ -111,8 +111,8 @@
 }
 
 async fn gather(
-    mut head: Head,
-    settling: &mut Settling,
+    mut head: AnswerHead,
+    settling: &mut PlacementGuard,
 ) -> Result<(Outcome, Answer), ExchangeError> {
     let mut body = BytesMut::new();
     while let Some(chunk) = head.chunks.recv().await {
@@ -133,7 +133,7 @@
         content_type: content_type.map(|(_, value)| value.clone()),
         body: StoredBody::new(body.to_vec()),
     };
-    let mut answer = Answer::whole(head.status, run_of_status(head.status), body.freeze());
+    let mut answer = Answer::whole(head.status, execution_of_status(head.status), body.freeze());
     answer.headers = headers;
     Ok((outcome, answer))
 }
--- a/crates/gateway/src/intake/answer.rs
+++ b/crates/gateway/src/intake/answer.rs
@@ -84,7 +84,7 @@
             response.header_adjoin(Header::new(name, value));
         }
         response.raw_header("x-request-id", request_id.to_string());
-        response.raw_header("carobwheel-run", refusal::run_name(self.run));
+        response.raw_header("carobwheel-run", refusal::execution_header_value(self.run));
         if close {
             response.raw_header("connection", "close");
         }
--- a/crates/gateway/src/intake/body.rs
+++ b/crates/gateway/src/intake/body.rs
@@ -1,6 +1,6 @@
 //! The body of a request: read whole, bounded in size, memory and time.
 
-use super::{head::BodyLength, Shared, BODY_UNIT_BYTES};
+use super::{head::BodyLength, IntakeState, BODY_UNIT_BYTES};
 use crate::refusal::{Cause, Refusal};
 use bytes::Bytes;
 use rocket::{data::ToByteUnit as _, Data};
@@ -15,7 +15,7 @@
 
 /// Reads the body of a request.
 pub(super) async fn read(
-    shared: &Shared,
+    shared: &IntakeState,
     data: Data<'_>,
     length: BodyLength,
     max_body_bytes: u64,
@@ -52,8 +52,8 @@
 }
 
 /// Room for a body of `bytes` in memory.
-pub(super) fn take_room(shared: &Shared, bytes: u64) -> Result<OwnedSemaphorePermit, Refusal> {
-    Arc::clone(&shared.body_room)
+pub(super) fn take_room(shared: &IntakeState, bytes: u64) -> Result<OwnedSemaphorePermit, Refusal> {
+    Arc::clone(&shared.body_memory)
         .try_acquire_many_owned(units(bytes))
         .map_err(|_| {
             Refusal::not_run(Cause::Overloaded, "no room for another request body")
--- a/crates/gateway/src/intake/entry.rs
+++ b/crates/gateway/src/intake/entry.rs
@@ -10,11 +10,11 @@
 use std::sync::Arc;
 
 /// Time for which callers may use an answer, in seconds.
-pub const LIFETIME_S: u64 = 10;
+pub const ENTRY_POINTS_LIFETIME_S: u64 = 10;
 
 /// One instance that callers may use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Entry {
+pub struct EntryPoint {
     /// Name of the instance.
     pub instance: InstanceId,
     /// Region of the instance.
@@ -28,20 +28,20 @@
 
 /// Instances that callers may use, best first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct EntryList {
+pub struct EntryPointList {
     /// The instances.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EntryPoint>,
     /// Time for which the list may be used, in seconds.
     pub lifetime_s: u64,
 }
 
-impl EntryList {
+impl EntryPointList {
     /// The list for callers of `account`: only instances of the region that the account is bound
     /// to, and in each region first those that count for the account, so that its requests need
     /// no tokens from elsewhere.
     pub(super) fn for_account(&self, account: &Account) -> Self {
         let shard = shard_of(&account.id);
-        let rank = |entry: &Entry| {
+        let rank = |entry: &EntryPoint| {
             let owns = |role| entry.owned_shards.contains(&(shard, role));
             match () {
                 () if owns(Role::Primary) => 0,
@@ -49,13 +49,14 @@
                 () => 2,
             }
         };
-        let is_allowed = |entry: &&Entry| {
+        let is_allowed = |entry: &&EntryPoint| {
             let bound = account.bound_region.as_ref();
             bound.is_none_or(|region| *region == entry.region)
         };
-        let mut entries: Vec<Entry> = self.entries.iter().filter(is_allowed).cloned().collect();
+        let mut entries: Vec<EntryPoint> =
+            self.entries.iter().filter(is_allowed).cloned().collect();
         let order: Vec<RegionId> = self.entries.iter().map(|it| it.region.clone()).collect();
-        let region_rank = |entry: &Entry| order.iter().position(|it| *it == entry.region);
+        let region_rank = |entry: &EntryPoint| order.iter().position(|it| *it == entry.region);
         entries.sort_by_key(|entry| (region_rank(entry), rank(entry)));
         Self {
             entries,
@@ -66,18 +67,18 @@
 
 /// The shared place of the list; the deciding thread replaces it.
 #[derive(Clone, Debug, Default)]
-pub struct Entries {
-    slot: Arc<ArcSwap<EntryList>>,
+pub struct SharedEntryPoints {
+    slot: Arc<ArcSwap<EntryPointList>>,
 }
 
-impl Entries {
+impl SharedEntryPoints {
     /// The newest list.
-    pub fn load(&self) -> Arc<EntryList> {
+    pub fn load(&self) -> Arc<EntryPointList> {
         self.slot.load_full()
     }
 
     /// Replaces the list.
-    pub(crate) fn store(&self, list: EntryList) {
+    pub(crate) fn store(&self, list: EntryPointList) {
         self.slot.store(Arc::new(list));
     }
 }
--- a/crates/gateway/src/intake/forward.rs
+++ b/crates/gateway/src/intake/forward.rs
@@ -1,13 +1,13 @@
 //! Requests that go to another instance, from the side that sends them.
 
-use super::{answer::Answer, pass, work::Work, Shared};
+use super::{answer::Answer, pass, work::Work, IntakeState};
 use crate::{
     decide::ForwardTo,
-    dispatch::{ExchangeError, Head},
+    dispatch::{AnswerHead, ExchangeError},
     in_flight::Running,
     peers::{ForwardAnswer, ForwardError, Part},
     refusal::{Cause, Execution, Refusal},
-    relay::Settling,
+    relay::PlacementGuard,
 };
 use bytes::Bytes;
 use carobwheel_core::{
@@ -87,7 +87,7 @@
 
 /// Sends the request to another instance and relays its answer.
 pub(super) async fn send(
-    shared: &Shared,
+    shared: &IntakeState,
     work: &Work,
     to: ForwardTo,
     running: Running,
@@ -168,12 +168,12 @@
     };
     let (chunks, received) = mpsc::channel(WAITING_PARTS);
     tokio::spawn(pump(answer.body, chunks));
-    let exchanged = Head {
+    let exchanged = AnswerHead {
         status: head.status,
         headers: header_map(&head.headers),
         chunks: received,
     };
-    let mut answer = pass::answer(exchanged, Settling::elsewhere(), running, None).await?;
+    let mut answer = pass::answer(exchanged, PlacementGuard::elsewhere(), running, None).await?;
     answer.run = head.run.into();
     Ok(answer)
 }
--- a/crates/gateway/src/intake/forwarded.rs
+++ b/crates/gateway/src/intake/forwarded.rs
@@ -9,7 +9,7 @@
     forward::{ForwardedAnswerHead, ForwardedHead},
     pass,
     work::Work,
-    Shared,
+    IntakeState,
 };
 use crate::{
     in_flight::Running,
@@ -28,7 +28,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Forwarded requests that wait for their thread at most.
-pub(crate) const RING_FORWARDED: usize = 1_024;
+pub(crate) const MAX_QUEUED_FORWARDS: usize = 1_024;
 /// Largest part of an answer, in bytes.
 const PART_BYTES: usize = 16 * 1_024;
 
@@ -38,7 +38,7 @@
 ///
 /// Fails if the thread or its event loop cannot be set up.
 pub(crate) fn start(
-    shared: Arc<Shared>,
+    shared: Arc<IntakeState>,
     mut incoming: AsyncReceiver<IncomingForward>,
     cancel: CancellationToken,
 ) -> anyhow::Result<thread::JoinHandle<()>> {
@@ -62,7 +62,7 @@
         .context("cannot start the thread for forwarded requests")
 }
 
-async fn serve(shared: Arc<Shared>, forward: IncomingForward) {
+async fn serve(shared: Arc<IntakeState>, forward: IncomingForward) {
     let IncomingForward {
         head,
         body,
@@ -105,7 +105,7 @@
 }
 
 async fn run(
-    shared: &Arc<Shared>,
+    shared: &Arc<IntakeState>,
     head: &[u8],
     parts: mpsc::Receiver<Part>,
     running: Running,
--- a/crates/gateway/src/intake/gather.rs
+++ b/crates/gateway/src/intake/gather.rs
@@ -6,7 +6,7 @@
     dispatch::ExchangeError,
     in_flight::Running,
     refusal::{Cause, Refusal},
-    relay::{Framing, RelayBody, Settling},
+    relay::{Framing, PlacementGuard, RelayBody},
 };
 use bytes::{Bytes, BytesMut};
 use carobwheel_core::retry::Failure;
@@ -29,7 +29,7 @@
 pub(super) async fn gather(
     mut chunks: mpsc::Receiver<Result<Bytes, ExchangeError>>,
     framing: Framing,
-    mut settling: Settling,
+    mut settling: PlacementGuard,
     running: Running,
 ) -> Result<AnswerBody, Refusal> {
     if let Framing::Length(length_bytes) = framing {
@@ -62,7 +62,7 @@
     Ok(AnswerBody::Whole(body.freeze()))
 }
 
-fn cut(mut settling: Settling, failure: Failure, detail: &str) -> Refusal {
+fn cut(mut settling: PlacementGuard, failure: Failure, detail: &str) -> Refusal {
     settling.settle(Ending::Failed(failure));
     Refusal::may_have_run(Cause::UpstreamFailed, detail)
 }
--- a/crates/gateway/src/intake/handler.rs
+++ b/crates/gateway/src/intake/handler.rs
@@ -2,7 +2,7 @@
 
 use super::{
     answer::{Answer, AnswerBody},
-    head, pass, Shared,
+    head, pass, IntakeState,
 };
 use crate::{
     refusal::{Cause, Execution, Refusal},
@@ -28,7 +28,7 @@
 ];
 
 /// Routes for callers: every path and method leads to one handler.
-pub(super) fn routes(shared: &Arc<Shared>) -> Vec<Route> {
+pub(super) fn routes(shared: &Arc<IntakeState>) -> Vec<Route> {
     let route = |method| Route::new(method, "/<path..>", Intake(Arc::clone(shared)));
     METHODS.into_iter().map(route).collect()
 }
@@ -58,7 +58,7 @@
 }
 
 #[derive(Clone)]
-struct Intake(Arc<Shared>);
+struct Intake(Arc<IntakeState>);
 
 #[rocket::async_trait]
 impl Handler for Intake {
@@ -79,7 +79,7 @@
 }
 
 async fn answer(
-    shared: &Arc<Shared>,
+    shared: &Arc<IntakeState>,
     request_id: &RequestId,
     request: &Request<'_>,
     data: Data<'_>,
@@ -112,7 +112,7 @@
     }
 }
 
-fn ready(shared: &Shared) -> Answer {
+fn ready(shared: &IntakeState) -> Answer {
     if shared.is_leaving.load(Ordering::Relaxed) {
         return plain(503, "leaving");
     }
@@ -125,7 +125,7 @@
     plain(200, "ready")
 }
 
-fn entry(shared: &Shared, key: Option<&str>) -> Result<Answer, Refusal> {
+fn entry(shared: &IntakeState, key: Option<&str>) -> Result<Answer, Refusal> {
     let list = shared.entries.load();
     let Some(in_force) = shared.current.load().filter(|_| key.is_some()) else {
         return Ok(Answer::json(
@@ -147,7 +147,7 @@
     ))
 }
 
-fn models(shared: &Shared, key: Option<&str>) -> Result<Answer, Refusal> {
+fn models(shared: &IntakeState, key: Option<&str>) -> Result<Answer, Refusal> {
     let in_force = pass::in_force(shared)?;
     pass::identify(&in_force, key, false)?;
     let models: Vec<serde_json::Value> = in_force
@@ -164,7 +164,7 @@
     Ok(Answer::json(200, Execution::NotRun, &body))
 }
 
-impl Shared {
+impl IntakeState {
     fn next_request_id(&self) -> RequestId {
         let number = self.requests.fetch_add(1, Ordering::Relaxed);
         let name = format!("{}-{:x}-{number:x}", self.instance, self.incarnation);
--- a/crates/gateway/src/intake/mod.rs
+++ b/crates/gateway/src/intake/mod.rs
@@ -19,8 +19,8 @@
 mod upstream_headers;
 mod work;
 
-pub(crate) use action::Claims;
-pub use entry::{Entries, Entry, EntryList, LIFETIME_S};
+pub(crate) use action::ActionRecords;
+pub use entry::{EntryPoint, EntryPointList, SharedEntryPoints, ENTRY_POINTS_LIFETIME_S};
 
 use crate::{
     decide, dispatch, in_flight::InFlight, in_force::Current, peers, report, ring::Sender,
@@ -56,7 +56,7 @@
 const KEEP_ALIVE_S: u32 = 60;
 
 /// What the handlers of one instance share.
-pub struct Shared {
+pub struct IntakeState {
     /// Name of the instance.
     pub instance: InstanceId,
     /// Clock of the process.
@@ -66,21 +66,21 @@
     /// Ring to the deciding thread.
     pub decide: Sender<decide::Event>,
     /// Ring to the dispatching thread.
-    pub dispatch: Sender<dispatch::Job>,
+    pub dispatch: Sender<dispatch::UpstreamCall>,
     /// Links to other instances; none for an instance that stands alone.
     pub peers: Option<peers::Handle>,
     /// Ring to the reporting thread.
     pub report: Sender<report::Observation>,
     /// Records of actions that may not be repeated.
-    pub(crate) claims: Claims,
+    pub(crate) action_records: ActionRecords,
     /// Credential of each upstream.
     pub credentials: BTreeMap<UpstreamId, String>,
     /// Instances that callers may use, in order.
-    pub entries: Entries,
+    pub entries: SharedEntryPoints,
     /// Requests in flight.
     pub in_flight: Arc<InFlight>,
     /// Room for request bodies, in units of [`BODY_UNIT_BYTES`].
-    pub body_room: Arc<Semaphore>,
+    pub body_memory: Arc<Semaphore>,
     /// Longest time in which a request body has to arrive, in milliseconds.
     pub body_timeout_ms: u64,
     /// The instance can serve requests.
@@ -117,7 +117,7 @@
 /// # Errors
 ///
 /// Fails if the address cannot be bound or the thread cannot be started.
-pub fn start(settings: &Settings, shared: Arc<Shared>) -> anyhow::Result<Server> {
+pub fn start(settings: &Settings, shared: Arc<IntakeState>) -> anyhow::Result<Server> {
     let callers = &settings.callers;
     let rocket = rocket::custom(config(callers.address, callers.threads))
         .attach(Shield::new())
--- a/crates/gateway/src/intake/pass.rs
+++ b/crates/gateway/src/intake/pass.rs
@@ -9,15 +9,15 @@
     head::{BodyLength, RequestHead},
     resume, upstream_headers,
     work::{self, Found, Work},
-    Shared,
+    IntakeState,
 };
 use crate::{
     decide::{Ending, Target},
-    dispatch::{ExchangeError, Head},
+    dispatch::{AnswerHead, ExchangeError},
     in_flight::Running,
     in_force::InForce,
-    refusal::{run_of_status, Cause, Refusal},
-    relay::{Framing, RelayBody, Resumer, Settling},
+    refusal::{execution_of_status, Cause, Refusal},
+    relay::{Framing, PlacementGuard, RelayBody, Resumer},
     report::Label,
 };
 use carobwheel_core::{
@@ -44,7 +44,7 @@
 ];
 
 /// The document in force.
-pub(super) fn in_force(shared: &Shared) -> Result<Arc<InForce>, Refusal> {
+pub(super) fn in_force(shared: &IntakeState) -> Result<Arc<InForce>, Refusal> {
     shared
         .current
         .load()
@@ -68,7 +68,7 @@
 
 /// Takes a request from its head to the beginning of its answer.
 pub(super) async fn relay(
-    shared: &Arc<Shared>,
+    shared: &Arc<IntakeState>,
     request_id: &RequestId,
     request: &Request<'_>,
     head: RequestHead,
@@ -81,7 +81,7 @@
 
 /// The filters place, dispatch and relay.
 pub(super) async fn serve(
-    shared: &Arc<Shared>,
+    shared: &Arc<IntakeState>,
     work: Work,
     running: Running,
 ) -> Result<Answer, Refusal> {
@@ -128,7 +128,7 @@
 
 /// The filters identify and classify.
 async fn read(
-    shared: &Arc<Shared>,
+    shared: &Arc<IntakeState>,
     request_id: &RequestId,
     request: &Request<'_>,
     head: RequestHead,
@@ -172,7 +172,7 @@
 
 /// Places and dispatches the request, again where that is allowed.
 async fn try_upstreams(
-    shared: &Arc<Shared>,
+    shared: &Arc<IntakeState>,
     work: &Arc<Work>,
     running: Running,
 ) -> Result<Answer, Refusal> {
@@ -237,8 +237,8 @@
 
 /// Turns an upstream's head into the answer for the caller.
 pub(super) async fn answer(
-    head: Head,
-    settling: Settling,
+    head: AnswerHead,
+    settling: PlacementGuard,
     running: Running,
     resumer: Option<Resumer>,
 ) -> Result<Answer, Refusal> {
@@ -252,7 +252,7 @@
     Ok(Answer {
         status: head.status,
         headers: passed_back(&head.headers),
-        run: run_of_status(head.status),
+        run: execution_of_status(head.status),
         body,
     })
 }
--- a/crates/gateway/src/intake/resume.rs
+++ b/crates/gateway/src/intake/resume.rs
@@ -3,9 +3,9 @@
 use super::{
     pass,
     work::{self, Found, Work},
-    Shared,
+    IntakeState,
 };
-use crate::relay::{Broken, Framing, Resumed, Resumer};
+use crate::relay::{BrokenStream, Framing, ResumedStream, Resumer};
 use carobwheel_core::id::UpstreamId;
 use reqwest::header::{HeaderName, HeaderValue};
 use std::{
@@ -18,7 +18,11 @@
 const RESUME_FROM: HeaderName = HeaderName::from_static("carobwheel-resume-from");
 
 /// A resumer for the stream of `work`, which has been on the engines `tried`.
-pub(super) fn resumer(shared: &Arc<Shared>, work: &Arc<Work>, tried: Vec<UpstreamId>) -> Resumer {
+pub(super) fn resumer(
+    shared: &Arc<IntakeState>,
+    work: &Arc<Work>,
+    tried: Vec<UpstreamId>,
+) -> Resumer {
     let shared = Arc::clone(shared);
     let work = Arc::clone(work);
     let tried = Arc::new(Mutex::new(tried));
@@ -37,11 +41,11 @@
 }
 
 async fn resume(
-    shared: &Arc<Shared>,
+    shared: &Arc<IntakeState>,
     work: &Work,
     tried: &Mutex<Vec<UpstreamId>>,
-    broken: Broken,
-) -> Option<Resumed> {
+    broken: BrokenStream,
+) -> Option<ResumedStream> {
     let before = lock(tried).clone();
     let after_ms = work::may_retry(shared, work, broken.failure, before.len()).await?;
     time::sleep(Duration::from_millis(after_ms)).await;
@@ -58,7 +62,7 @@
     lock(tried).push(place.placed.upstream.clone());
     let head = work::dispatch(shared, &rest, &place, true).await.ok()?;
     let is_stream = pass::framing(&head.headers) == Framing::Events;
-    (head.status == 200 && is_stream).then_some(Resumed {
+    (head.status == 200 && is_stream).then_some(ResumedStream {
         chunks: head.chunks,
         settling: place.settling,
     })
--- a/crates/gateway/src/intake/work.rs
+++ b/crates/gateway/src/intake/work.rs
@@ -1,11 +1,11 @@
 //! A request that has been read and classified, and its steps towards an upstream.
 
-use super::{classify, upstream_headers, Shared};
+use super::{classify, upstream_headers, IntakeState};
 use crate::{
     decide::{Ask, Event, ForwardTo, Placed, RetryQuestion, Step},
-    dispatch::{ExchangeError, Head, Job},
+    dispatch::{AnswerHead, ExchangeError, UpstreamCall},
     refusal::{Cause, Refusal},
-    relay::{Charged, Settling},
+    relay::{ChargeGuard, PlacementGuard},
 };
 use bytes::Bytes;
 use carobwheel_core::{
@@ -47,7 +47,7 @@
 /// A place at an upstream, given back when it is dropped.
 pub(super) struct Place {
     pub(super) placed: Placed,
-    pub(super) settling: Settling,
+    pub(super) settling: PlacementGuard,
     /// Ends the exchange on this place.
     pub(super) cancel: CancellationToken,
 }
@@ -63,31 +63,31 @@
 /// Asks for a place at an upstream that is not among `tried`. `charged` is the charge of an
 /// earlier attempt.
 pub(super) async fn place(
-    shared: &Shared,
+    shared: &IntakeState,
     work: &Work,
     tried: &[UpstreamId],
-    charged: Option<Charged>,
+    charged: Option<ChargeGuard>,
 ) -> Result<Found, Refusal> {
-    let step = ask(shared, work, tried, charged.as_ref().map(Charged::id)).await?;
+    let step = ask(shared, work, tried, charged.as_ref().map(ChargeGuard::id)).await?;
     let placed = match step {
         Step::Dispatch(placed) => placed,
         Step::Forward(to) => return Ok(Found::Forward(to)),
     };
     let charged = charged.or_else(|| {
         let charge = placed.charge?;
-        Some(Charged::new(charge, shared.decide.clone()))
+        Some(ChargeGuard::new(charge, shared.decide.clone()))
     });
     let cancel = work.cancel.child_token();
     let decide = shared.decide.clone();
     Ok(Found::Place(Place {
-        settling: Settling::new(placed.ticket, charged, decide, cancel.clone()),
+        settling: PlacementGuard::new(placed.ticket, charged, decide, cancel.clone()),
         placed,
         cancel,
     }))
 }
 
 async fn ask(
-    shared: &Shared,
+    shared: &IntakeState,
     work: &Work,
     tried: &[UpstreamId],
     charge: Option<ChargeId>,
@@ -124,21 +124,21 @@
     Refusal::not_run(Cause::Overloaded, message).retry_after(1_000)
 }
 
-fn remaining(shared: &Shared, work: &Work) -> Duration {
+fn remaining(shared: &IntakeState, work: &Work) -> Duration {
     Duration::from_millis(work.deadline.since(shared.clock.now()))
 }
 
 /// Sends the request to its place.
 pub(super) async fn dispatch(
-    shared: &Shared,
+    shared: &IntakeState,
     work: &Work,
     place: &Place,
     fresh_connection: bool,
-) -> Result<Head, ExchangeError> {
+) -> Result<AnswerHead, ExchangeError> {
     let placed = &place.placed;
     let credential = shared.credentials.get(&placed.upstream);
     let (reply, answered) = oneshot::channel();
-    let job = Job {
+    let job = UpstreamCall {
         method: work.method.clone(),
         url: format!("{}{}", placed.url, work.path_and_query),
         headers: upstream_headers::for_upstream(&work.headers, placed.priority, credential),
@@ -160,7 +160,7 @@
 
 /// Time after which a failed attempt is followed by another, in milliseconds; none if it is not.
 pub(super) async fn may_retry(
-    shared: &Shared,
+    shared: &IntakeState,
     work: &Work,
     failure: Failure,
     attempts: usize,
--- a/crates/gateway/src/options/edge.rs
+++ b/crates/gateway/src/options/edge.rs
@@ -1,6 +1,6 @@
 //! `carobwheel edge`: runs one instance on the platform until it is told to stop.
 
-use super::{EXIT_CUT, EXIT_FAULTY_INPUT, EXIT_NOT_STARTED};
+use super::{EXIT_FAULTY_INPUT, EXIT_NOT_STARTED, EXIT_REQUESTS_CUT};
 use carobwheel_edge::settings::Settings;
 use std::{
     path::{Path, PathBuf},
@@ -33,7 +33,7 @@
         Ok(0) => ExitCode::SUCCESS,
         Ok(cut) => {
             eprintln!("{cut} requests were cut");
-            ExitCode::from(EXIT_CUT)
+            ExitCode::from(EXIT_REQUESTS_CUT)
         }
         Err(err) => {
             eprintln!("carobwheel: {err:#}");
--- a/crates/gateway/src/options/mod.rs
+++ b/crates/gateway/src/options/mod.rs
@@ -51,7 +51,7 @@
 /// Exit code of an instance that could not start, or that a broken invariant has stopped.
 pub const EXIT_NOT_STARTED: u8 = 1;
 /// Exit code of an instance that stopped before its requests had ended.
-pub const EXIT_CUT: u8 = 3;
+pub const EXIT_REQUESTS_CUT: u8 = 3;
 
 /// Runs the command.
 pub fn run(options: &Options) -> ExitCode {
--- a/crates/gateway/src/options/serve.rs
+++ b/crates/gateway/src/options/serve.rs
@@ -1,6 +1,6 @@
 //! `carobwheel serve`: runs one instance until it is told to stop.
 
-use super::{faulty, EXIT_CUT, EXIT_NOT_STARTED};
+use super::{faulty, EXIT_NOT_STARTED, EXIT_REQUESTS_CUT};
 use crate::{
     daemon::{self, Daemon},
     peers::TlsMaterial,
@@ -31,7 +31,7 @@
         Ok(0) => ExitCode::SUCCESS,
         Ok(cut) => {
             eprintln!("{cut} requests were cut");
-            ExitCode::from(EXIT_CUT)
+            ExitCode::from(EXIT_REQUESTS_CUT)
         }
         Err(err) => {
             log::error!("{err:#}");
--- a/crates/gateway/src/refusal/mod.rs
+++ b/crates/gateway/src/refusal/mod.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 
 /// The value of the `carobwheel-run` header.
-pub fn run_name(run: Execution) -> &'static str {
+pub fn execution_header_value(run: Execution) -> &'static str {
     match run {
         Execution::NotRun => "not-run",
         Execution::MayHaveRun => "may-have-run",
@@ -15,7 +15,7 @@
 
 /// What the status of an upstream's answer says about the request having run. An upstream that
 /// fails may have failed before or after it ran the request.
-pub fn run_of_status(status: u16) -> Execution {
+pub fn execution_of_status(status: u16) -> Execution {
     match status {
         500.. => Execution::MayHaveRun,
         _ => Execution::Ran,
@@ -164,7 +164,7 @@
             f,
             "{} ({}): {}",
             self.cause.code(),
-            run_name(self.run),
+            execution_header_value(self.run),
             self.message
         )
     }
--- a/crates/gateway/src/relay/body.rs
+++ b/crates/gateway/src/relay/body.rs
@@ -1,6 +1,6 @@
 //! The body of a relayed answer as a byte stream.
 
-use super::{sse::EventStream, Charged, Settling};
+use super::{sse::EventSplitter, ChargeGuard, PlacementGuard};
 use crate::{decide::Ending, dispatch::ExchangeError, in_flight::Running, refusal::Cause};
 use bytes::{Buf as _, Bytes};
 use carobwheel_core::retry::Failure;
@@ -35,29 +35,29 @@
 }
 
 /// A stream that goes on from another engine.
-pub struct Resumed {
+pub struct ResumedStream {
     /// Its chunks, beginning behind the tokens that were relayed.
     pub chunks: Chunks,
     /// Its place.
-    pub settling: Settling,
+    pub settling: PlacementGuard,
 }
 
 /// A stream that broke.
-pub struct Broken {
+pub struct BrokenStream {
     /// Tokens that the caller has.
     pub relayed_tokens: u64,
     /// How the stream broke.
     pub failure: Failure,
     /// The charge of the request.
-    pub charged: Option<Charged>,
+    pub charged: Option<ChargeGuard>,
 }
 
 /// Looks for another engine that continues a broken stream; none if there is none.
-pub type Resumer = Box<dyn FnMut(Broken) -> oneshot::Receiver<Option<Resumed>> + Send>;
+pub type Resumer = Box<dyn FnMut(BrokenStream) -> oneshot::Receiver<Option<ResumedStream>> + Send>;
 
 enum Source {
     Chunks(Chunks),
-    Resuming(oneshot::Receiver<Option<Resumed>>, ExchangeError),
+    Resuming(oneshot::Receiver<Option<ResumedStream>>, ExchangeError),
     Over,
 }
 
@@ -66,11 +66,11 @@
     source: Source,
     current: Bytes,
     framing: Framing,
-    events: EventStream,
+    events: EventSplitter,
     received_bytes: u64,
     heartbeat: Interval,
     resumer: Option<Resumer>,
-    settling: Settling,
+    settling: PlacementGuard,
     running: Running,
 }
 
@@ -80,7 +80,7 @@
     pub fn new(
         chunks: Chunks,
         framing: Framing,
-        settling: Settling,
+        settling: PlacementGuard,
         running: Running,
         resumer: Option<Resumer>,
     ) -> Self {
@@ -88,7 +88,7 @@
             source: Source::Chunks(chunks),
             current: Bytes::new(),
             framing,
-            events: EventStream::default(),
+            events: EventSplitter::default(),
             received_bytes: 0,
             heartbeat: interval_at(Instant::now() + HEARTBEAT_PERIOD, HEARTBEAT_PERIOD),
             resumer,
@@ -136,7 +136,7 @@
             Some(resume) => {
                 self.settling.settle(Ending::Failed(failure));
                 self.events.drop_rest();
-                let resuming = resume(Broken {
+                let resuming = resume(BrokenStream {
                     relayed_tokens: self.events.tokens(),
                     failure,
                     charged,
@@ -168,9 +168,9 @@
         ))
     }
 
-    fn go_on(&mut self, resumed: Option<Resumed>) -> io::Result<()> {
+    fn go_on(&mut self, resumed: Option<ResumedStream>) -> io::Result<()> {
         match resumed {
-            Some(Resumed { chunks, settling }) => {
+            Some(ResumedStream { chunks, settling }) => {
                 log::info!(relayed_tokens = self.events.tokens(); "stream continued elsewhere");
                 self.source = Source::Chunks(chunks);
                 self.settling = settling;
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -7,6 +7,6 @@
 mod settle;
 mod sse;
 
-pub use body::{Broken, Chunks, Framing, RelayBody, Resumed, Resumer};
-pub use settle::{Charged, Settling};
-pub use sse::{EventStream, EventTooLong, MAX_EVENT_BYTES};
+pub use body::{BrokenStream, Chunks, Framing, RelayBody, ResumedStream, Resumer};
+pub use settle::{ChargeGuard, PlacementGuard};
+pub use sse::{EventSplitter, EventTooLong, MAX_EVENT_BYTES};
--- a/crates/gateway/src/relay/settle.rs
+++ b/crates/gateway/src/relay/settle.rs
@@ -13,13 +13,13 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(1);
 
 /// A charge that has still to be settled. Dropping it settles it by the tokens noted.
-pub struct Charged {
+pub struct ChargeGuard {
     charge: ChargeId,
     output_tokens: u64,
     decide: Sender<Event>,
 }
 
-impl Charged {
+impl ChargeGuard {
     /// A guard for `charge`.
     pub fn new(charge: ChargeId, decide: Sender<Event>) -> Self {
         Self {
@@ -35,7 +35,7 @@
     }
 }
 
-impl Drop for Charged {
+impl Drop for ChargeGuard {
     fn drop(&mut self) {
         let event = Event::Uncharge {
             charge: self.charge,
@@ -59,19 +59,19 @@
 
 /// A placement that has still to be settled. Dropping it settles it as cancelled and cancels the
 /// exchange behind it.
-pub struct Settling {
+pub struct PlacementGuard {
     /// Absent when another instance has placed the request.
     ticket: Option<u64>,
     output_tokens: u64,
     reported_tokens: u64,
     has_first_byte: bool,
     is_settled: bool,
-    charged: Option<Charged>,
+    charged: Option<ChargeGuard>,
     decide: Option<Sender<Event>>,
     cancel: CancellationToken,
 }
 
-impl Settling {
+impl PlacementGuard {
     /// A guard for a request that another instance has placed, and settles there.
     pub fn elsewhere() -> Self {
         Self {
@@ -89,7 +89,7 @@
     /// A guard for the placement `ticket`, whose exchange is cancelled by `cancel`.
     pub fn new(
         ticket: u64,
-        charged: Option<Charged>,
+        charged: Option<ChargeGuard>,
         decide: Sender<Event>,
         cancel: CancellationToken,
     ) -> Self {
@@ -166,19 +166,19 @@
     }
 
     /// Puts a charge back that was taken out.
-    pub fn put_charge(&mut self, charged: Option<Charged>) {
+    pub fn put_charge(&mut self, charged: Option<ChargeGuard>) {
         self.charged = charged;
     }
 
     /// Takes the charge out, for another attempt of the same request.
-    pub fn take_charge(&mut self) -> Option<Charged> {
+    pub fn take_charge(&mut self) -> Option<ChargeGuard> {
         let mut charged = self.charged.take()?;
         charged.output_tokens = self.output_tokens;
         Some(charged)
     }
 }
 
-impl Drop for Settling {
+impl Drop for PlacementGuard {
     fn drop(&mut self) {
         self.settle(Ending::Cancelled);
     }
--- a/crates/gateway/src/relay/sse.rs
+++ b/crates/gateway/src/relay/sse.rs
@@ -41,13 +41,13 @@
 
 /// A stream of events as far as it has passed.
 #[derive(Debug, Default)]
-pub struct EventStream {
+pub struct EventSplitter {
     rest: BytesMut,
     tokens: u64,
     is_done: bool,
 }
 
-impl EventStream {
+impl EventSplitter {
     /// Takes the next bytes, which may begin and end anywhere, and returns the events that are
     /// whole by now.
     ///
--- a/crates/gateway/tests/process.rs
+++ b/crates/gateway/tests/process.rs
@@ -9,7 +9,7 @@
     path::PathBuf,
     process::{Command, Output},
 };
-use support::{chat_body, eventually, Caller, Fleet, FleetOptions, PATIENCE};
+use support::{chat_body, eventually, Caller, Fleet, FleetOptions, CONDITION_TIMEOUT};
 use test_case::test_case;
 
 fn run(command: &str, settings: &str, name: &str) -> Output {
@@ -89,7 +89,7 @@
     let fleet = Fleet::start(endless()).await;
     let response = open_stream(&fleet).await;
     drop(response);
-    eventually("the engine has noticed", PATIENCE, || async {
+    eventually("the engine has noticed", CONDITION_TIMEOUT, || async {
         let cancelled: u64 = fleet
             .engines
             .values()
@@ -112,14 +112,18 @@
     let url = format!("{}/readyz", fleet.instances[place].url);
     let client = Caller::http_client();
     fleet.instances[place].terminate();
-    eventually("the first signal has been heard", PATIENCE, || async {
-        let is_ready = client
-            .get(&url)
-            .send()
-            .await
-            .is_ok_and(|it| it.status() == 200);
-        (!is_ready).then_some(())
-    })
+    eventually(
+        "the first signal has been heard",
+        CONDITION_TIMEOUT,
+        || async {
+            let is_ready = client
+                .get(&url)
+                .send()
+                .await
+                .is_ok_and(|it| it.status() == 200);
+            (!is_ready).then_some(())
+        },
+    )
     .await;
     fleet.instances[place].terminate();
     let status = fleet.instances[place].exit_status().await;
--- a/crates/gateway/tests/promise_actions.rs
+++ b/crates/gateway/tests/promise_actions.rs
@@ -6,7 +6,7 @@
 
 use carobwheel_standin::service::{ServiceFault, ServiceOptions};
 use futures::future::join_all;
-use support::{eventually, Caller, Fleet, FleetOptions, PATIENCE};
+use support::{eventually, Caller, Fleet, FleetOptions, CONDITION_TIMEOUT};
 
 const ACTIONS: usize = 30;
 
@@ -73,14 +73,18 @@
         let caller = caller.clone();
         tokio::spawn(async move { caller.confirm(&first, "a-1").await })
     };
-    eventually("the action has reached a service", PATIENCE, || async {
-        let requests: u64 = fleet
-            .services
-            .values()
-            .map(|service| service.request_count())
-            .sum();
-        (requests == 1).then_some(())
-    })
+    eventually(
+        "the action has reached a service",
+        CONDITION_TIMEOUT,
+        || async {
+            let requests: u64 = fleet
+                .services
+                .values()
+                .map(|service| service.request_count())
+                .sum();
+            (requests == 1).then_some(())
+        },
+    )
     .await;
     fleet.instances[0].kill();
     assert!(sent.await.unwrap().is_err(), "the connection is gone");
--- a/crates/gateway/tests/promise_forward.rs
+++ b/crates/gateway/tests/promise_forward.rs
@@ -6,7 +6,7 @@
 
 use carobwheel_standin::engine::EngineOptions;
 use futures::future::join_all;
-use support::{eventually, expected_answer, Caller, Fleet, FleetOptions, SECONDS};
+use support::{eventually, expected_answer, Caller, Fleet, FleetOptions, PROPAGATION_LIMIT};
 use test_case::test_case;
 
 const TOKENS: u64 = 50;
@@ -32,7 +32,7 @@
     for instance in &fleet.instances {
         let prompt = format!("through {}", instance.id);
         // An instance that has just started hears of the others within seconds.
-        let reply = eventually("the home region is known", SECONDS, || async {
+        let reply = eventually("the home region is known", PROPAGATION_LIMIT, || async {
             let reply = caller.chat(&instance.url, &prompt, stream).await.unwrap();
             (reply.status != 421).then_some(reply)
         })
@@ -60,7 +60,7 @@
     let fleet = fleet().await;
     let caller = Caller::of("south-office");
     for instance in &fleet.instances {
-        eventually("the home region is known", SECONDS, || async {
+        eventually("the home region is known", PROPAGATION_LIMIT, || async {
             let reply = caller.chat(&instance.url, "hello", false).await.unwrap();
             (reply.status == 200).then_some(())
         })
@@ -93,7 +93,7 @@
     fleet.remove_instance(place.unwrap());
     let north = fleet.instance("north").url.clone();
     let caller = Caller::of("south-office");
-    let reply = eventually("a refusal", SECONDS, || async {
+    let reply = eventually("a refusal", PROPAGATION_LIMIT, || async {
         let reply = caller.chat(&north, "hello", false).await.unwrap();
         (reply.run == "not-run").then_some(reply)
     })
--- a/crates/gateway/tests/promise_keys.rs
+++ b/crates/gateway/tests/promise_keys.rs
@@ -6,7 +6,8 @@
 
 use std::time::Duration;
 use support::{
-    eventually, expected_answer, key_of, Caller, Fleet, FleetOptions, Reply, REGIONS, SECONDS,
+    eventually, expected_answer, key_of, Caller, Fleet, FleetOptions, Reply, PROPAGATION_LIMIT,
+    REGIONS,
 };
 
 const TOKENS: u64 = 16;
@@ -155,7 +156,7 @@
     fleet.document.entry("accounts", "insurers")["keys"] = serde_json::json!([]);
     fleet.publish();
     for instance in &fleet.instances {
-        eventually("the key is refused", SECONDS, || async {
+        eventually("the key is refused", PROPAGATION_LIMIT, || async {
             let reply = caller.chat(&instance.url, "hello", false).await.unwrap();
             (reply.status == 401 && reply.run == "not-run").then_some(())
         })
--- a/crates/gateway/tests/promise_operation.rs
+++ b/crates/gateway/tests/promise_operation.rs
@@ -10,7 +10,9 @@
 };
 use futures::future::join_all;
 use serde_json::json;
-use support::{eventually, expected_answer, Caller, Fleet, FleetOptions, PATIENCE, SECONDS};
+use support::{
+    eventually, expected_answer, Caller, Fleet, FleetOptions, CONDITION_TIMEOUT, PROPAGATION_LIMIT,
+};
 
 #[tokio::test]
 async fn a_leaving_upstream_gets_no_new_work_after_a_few_seconds() {
@@ -25,7 +27,7 @@
     );
     fleet.document.entry("upstreams", "north-engine")["leaving"] = json!(true);
     fleet.publish();
-    eventually("new work goes elsewhere", SECONDS, || async {
+    eventually("new work goes elsewhere", PROPAGATION_LIMIT, || async {
         let before = fleet.engines["north"].counts().requests;
         let reply = caller.chat(&north, "during", false).await.unwrap();
         assert_eq!(reply.status, 200, "{reply:?}");
@@ -67,7 +69,7 @@
         }
     };
     let asked = tokio::spawn(join_all((0..CALLERS).map(ask)));
-    eventually("all requests run", PATIENCE, || async {
+    eventually("all requests run", CONDITION_TIMEOUT, || async {
         let started: u64 = fleet
             .engines
             .values()
@@ -128,7 +130,7 @@
     fleet.store_proxies["central"].freeze_existing();
     fleet.publish();
     for instance in &fleet.instances {
-        eventually("the document is in force", SECONDS, || async {
+        eventually("the document is in force", PROPAGATION_LIMIT, || async {
             (models(&caller, &instance.url).await.len() == 2).then_some(())
         })
         .await;
@@ -146,9 +148,13 @@
         proxy.set_upstream(old_store.addr());
         proxy.cut();
     }
-    eventually("all instances watch the older store", PATIENCE, || async {
-        (old_store.counts().waiting_watches >= fleet.instances.len() as u64).then_some(())
-    })
+    eventually(
+        "all instances watch the older store",
+        CONDITION_TIMEOUT,
+        || async {
+            (old_store.counts().waiting_watches >= fleet.instances.len() as u64).then_some(())
+        },
+    )
     .await;
     for instance in &fleet.instances {
         assert_eq!(
--- a/crates/gateway/tests/promise_outage.rs
+++ b/crates/gateway/tests/promise_outage.rs
@@ -8,7 +8,9 @@
 use futures::future::join_all;
 use serde_json::json;
 use std::time::{Duration, Instant};
-use support::{eventually, expected_answer, Caller, Fleet, FleetOptions, PATIENCE, SECONDS};
+use support::{
+    eventually, expected_answer, Caller, Fleet, FleetOptions, CONDITION_TIMEOUT, PROPAGATION_LIMIT,
+};
 use test_case::test_case;
 
 const TOKENS: u64 = 16;
@@ -24,7 +26,7 @@
     fleet.store_proxies["south"].set_both(Way::partitioned());
     fleet.document.entry("accounts", "insurers")["keys"] = json!([]);
     fleet.publish();
-    eventually("the key is refused", SECONDS, || async {
+    eventually("the key is refused", PROPAGATION_LIMIT, || async {
         let reply = caller.chat(&south, "after", false).await.unwrap();
         (reply.status == 401 && reply.run == "not-run").then_some(())
     })
@@ -40,10 +42,14 @@
     let caller = Caller::of("insurers");
     for instance in &fleet.instances {
         let prompt = format!("before, to {}", instance.id);
-        eventually("an instance serves before the outage", PATIENCE, || async {
-            let reply = caller.chat(&instance.url, &prompt, true).await.unwrap();
-            (reply.status == 200).then_some(())
-        })
+        eventually(
+            "an instance serves before the outage",
+            CONDITION_TIMEOUT,
+            || async {
+                let reply = caller.chat(&instance.url, &prompt, true).await.unwrap();
+                (reply.status == 200).then_some(())
+            },
+        )
         .await;
     }
     fleet.store.set_availability(outage);
@@ -55,7 +61,7 @@
         assert_eq!(reply.streamed_text(), Some(expected), "{reply:?}");
     }
     fleet.store.set_availability(Availability::Up);
-    eventually("actions run again", PATIENCE, || async {
+    eventually("actions run again", CONDITION_TIMEOUT, || async {
         let reply = caller
             .confirm(&fleet.instances[0].url, "a-1")
             .await
--- a/crates/gateway/tests/promise_partition.rs
+++ b/crates/gateway/tests/promise_partition.rs
@@ -5,7 +5,9 @@
 mod support;
 
 use carobwheel_standin::{engine::EngineOptions, proxy::Way};
-use support::{eventually, expected_answer, Caller, Fleet, FleetOptions, PATIENCE, REGIONS};
+use support::{
+    eventually, expected_answer, Caller, Fleet, FleetOptions, CONDITION_TIMEOUT, REGIONS,
+};
 
 const TOKENS: u64 = 30;
 /// One-way delay between regions, in milliseconds.
@@ -27,11 +29,15 @@
 async fn forwards_work(fleet: &Fleet) {
     let caller = Caller::of("south-office");
     let north = &fleet.instance("north").url;
-    eventually("a forwarded request is served", PATIENCE, || async {
-        let reply = caller.chat(north, "across", false).await.unwrap();
-        let expected = expected_answer("across", TOKENS);
-        (reply.whole_text() == Some(expected)).then_some(())
-    })
+    eventually(
+        "a forwarded request is served",
+        CONDITION_TIMEOUT,
+        || async {
+            let reply = caller.chat(north, "across", false).await.unwrap();
+            let expected = expected_answer("across", TOKENS);
+            (reply.whole_text() == Some(expected)).then_some(())
+        },
+    )
     .await;
 }
 
@@ -57,7 +63,7 @@
     let north = &fleet.instance("north").url;
     let reply = eventually(
         "the home region is known to be out of reach",
-        PATIENCE,
+        CONDITION_TIMEOUT,
         || async {
             let reply = caller.chat(north, "cut off", false).await.unwrap();
             assert_ne!(reply.status, 200, "{reply:?}");
--- a/crates/gateway/tests/promise_rollout.rs
+++ b/crates/gateway/tests/promise_rollout.rs
@@ -14,7 +14,7 @@
     store::Availability,
 };
 use serde_json::{json, Value};
-use support::{eventually, Caller, Fleet, FleetOptions, PATIENCE, REGIONS};
+use support::{eventually, Caller, Fleet, FleetOptions, CONDITION_TIMEOUT, REGIONS};
 
 const ALL_PPM: u32 = 1_000_000;
 /// Share of the requests after a fault shows that a bad version may get.
@@ -78,10 +78,14 @@
     let mut fleet = Fleet::start(FleetOptions::default()).await;
     let caller = Caller::of("insurers");
     let engines = begin_rollout(&mut fleet, 600_000);
-    eventually("the new version gets requests", PATIENCE, || async {
-        ask(&fleet, &caller, 6).await;
-        (seen(&engines) > 0).then_some(())
-    })
+    eventually(
+        "the new version gets requests",
+        CONDITION_TIMEOUT,
+        || async {
+            ask(&fleet, &caller, 6).await;
+            (seen(&engines) > 0).then_some(())
+        },
+    )
     .await;
     ask(&fleet, &caller, 60).await;
     fleet.store.set_availability(Availability::Refusing);
@@ -100,7 +104,7 @@
     assert_eq!(seen(&engines), stopped, "a stopped version gets no request");
     assert_eq!(verdict(&fleet), None, "the store was down");
     fleet.store.set_availability(Availability::Up);
-    let verdict = eventually("a verdict", PATIENCE, || async { verdict(&fleet) }).await;
+    let verdict = eventually("a verdict", CONDITION_TIMEOUT, || async { verdict(&fleet) }).await;
     assert_eq!(verdict, "rolled_back");
 }
 
@@ -109,13 +113,13 @@
     let mut fleet = Fleet::start(FleetOptions::default()).await;
     let caller = Caller::of("insurers");
     let engines = begin_rollout(&mut fleet, 2_000);
-    let verdict = eventually("a verdict", PATIENCE, || async {
+    let verdict = eventually("a verdict", CONDITION_TIMEOUT, || async {
         ask(&fleet, &caller, MIN_TOTAL_REQUESTS as usize).await;
         verdict(&fleet)
     })
     .await;
     assert_eq!(verdict, "done");
-    eventually("all traffic moves", PATIENCE, || async {
+    eventually("all traffic moves", CONDITION_TIMEOUT, || async {
         let before = seen(&engines);
         ask(&fleet, &caller, 60).await;
         (seen(&engines) - before == 60).then_some(())
--- a/crates/gateway/tests/soak_findings.rs
+++ b/crates/gateway/tests/soak_findings.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use support::{eventually, Caller, Fleet, FleetOptions, SECONDS};
+use support::{eventually, Caller, Fleet, FleetOptions, PROPAGATION_LIMIT};
 use test_case::test_case;
 
 /// How an instance goes.
@@ -32,7 +32,7 @@
     .await;
     let caller = Caller::of(account);
     for instance in fleet.instances.iter().filter(|it| it.region == "central") {
-        eventually("the account is served", SECONDS, || async {
+        eventually("the account is served", PROPAGATION_LIMIT, || async {
             let reply = caller.chat(&instance.url, "before", false).await.unwrap();
             (reply.status == 200).then_some(())
         })
@@ -51,7 +51,7 @@
     fleet.remove_instance(place);
     fleet.start_instance("central", "central-2").await;
     for instance in fleet.instances.iter().filter(|it| it.region == "central") {
-        eventually("all questions are answered", SECONDS, || async {
+        eventually("all questions are answered", PROPAGATION_LIMIT, || async {
             for number in 0..QUESTIONS {
                 let prompt = format!("question {number}");
                 let reply = caller.chat(&instance.url, &prompt, false).await.unwrap();
--- a/crates/gateway/tests/soak_support/faults.rs
+++ b/crates/gateway/tests/soak_support/faults.rs
@@ -6,7 +6,7 @@
     stage::{Stage, LIMITED, RATES_TOKENS_PER_S, WITHDRAWN},
     watch::Watch,
 };
-use crate::support::{Instance, REGIONS, SECONDS};
+use crate::support::{Instance, PROPAGATION_LIMIT, REGIONS};
 use carobwheel_standin::{engine::Fault, proxy::Way, service::ServiceFault, store::Availability};
 use futures::FutureExt as _;
 use rand::{rngs::StdRng, seq::SliceRandom, Rng, SeedableRng};
@@ -200,7 +200,7 @@
         heal_store(stage);
         let now = Instant::now();
         stage.fleet.publish();
-        self.store_up_until = now + SECONDS;
+        self.store_up_until = now + PROPAGATION_LIMIT;
         now
     }
 
@@ -214,7 +214,7 @@
     /// Marks an upstream as leaving; the one before, if any, comes back.
     fn change_leaving(&mut self, stage: &mut Stage, watch: &mut Watch) {
         if let Some(leaving) = &self.leaving {
-            if leaving.published_at.elapsed() < SECONDS {
+            if leaving.published_at.elapsed() < PROPAGATION_LIMIT {
                 return;
             }
             watch.end_leaving(stage);
--- a/crates/gateway/tests/soak_support/mod.rs
+++ b/crates/gateway/tests/soak_support/mod.rs
@@ -10,7 +10,7 @@
 mod stage;
 mod watch;
 
-use crate::support::{eventually, PATIENCE, SECONDS};
+use crate::support::{eventually, CONDITION_TIMEOUT, PROPAGATION_LIMIT};
 use faults::{set_targets, Driver};
 use load::{http_client, Board, Request};
 use plan::Plan;
@@ -76,9 +76,11 @@
     let Some(withdrawn_at) = driver.withdrawn_at else {
         return;
     };
-    eventually("the time to withdraw a key is over", PATIENCE, || async {
-        (withdrawn_at.elapsed() > SECONDS).then_some(())
-    })
+    eventually(
+        "the time to withdraw a key is over",
+        CONDITION_TIMEOUT,
+        || async { (withdrawn_at.elapsed() > PROPAGATION_LIMIT).then_some(()) },
+    )
     .await;
     let http = http_client();
     for target in board.targets() {
@@ -97,11 +99,15 @@
     let mut faults = Vec::new();
     for target in board.targets() {
         let (http, target) = (&http, &target);
-        eventually("an instance serves again", PATIENCE, || async move {
-            let open = http.get(format!("{}/open/hours", target.url)).send().await;
-            open.is_ok_and(|answer| answer.status() == 200)
-                .then_some(())
-        })
+        eventually(
+            "an instance serves again",
+            CONDITION_TIMEOUT,
+            || async move {
+                let open = http.get(format!("{}/open/hours", target.url)).send().await;
+                open.is_ok_and(|answer| answer.status() == 200)
+                    .then_some(())
+            },
+        )
         .await;
         if plan.duration.is_none() {
             continue;
@@ -115,8 +121,10 @@
             if record.outcome == Outcome::Whole {
                 break;
             }
-            if start.elapsed() > PATIENCE {
-                faults.push(format!("not served again in {PATIENCE:?}: {record:?}"));
+            if start.elapsed() > CONDITION_TIMEOUT {
+                faults.push(format!(
+                    "not served again in {CONDITION_TIMEOUT:?}: {record:?}"
+                ));
                 break;
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
--- a/crates/gateway/tests/soak_support/reconcile.rs
+++ b/crates/gateway/tests/soak_support/reconcile.rs
@@ -5,7 +5,7 @@
     record::{Kind, Outcome, Record},
     stage::{Stage, LIMITED, WITHDRAWN},
 };
-use crate::support::{REGIONS, SECONDS};
+use crate::support::{PROPAGATION_LIMIT, REGIONS};
 use carobwheel_standin::engine::Engine;
 use std::collections::BTreeMap;
 
@@ -77,9 +77,9 @@
 fn check_told(driver: &Driver, record: &Record) -> Option<String> {
     let killed_at = driver.killed_at.get(&record.instance);
     let was_killed = killed_at.is_some_and(|at| *at <= record.ended_at);
-    let is_withdrawn = driver
-        .withdrawn_at
-        .is_some_and(|at| record.account == WITHDRAWN && record.started_at > at + SECONDS);
+    let is_withdrawn = driver.withdrawn_at.is_some_and(|at| {
+        record.account == WITHDRAWN && record.started_at > at + PROPAGATION_LIMIT
+    });
     match &record.outcome {
         Outcome::Lost => Some(format!("no answer: {record:?}")),
         Outcome::Wrong(_) => Some(format!("not its own whole answer: {record:?}")),
--- a/crates/gateway/tests/soak_support/watch.rs
+++ b/crates/gateway/tests/soak_support/watch.rs
@@ -1,7 +1,7 @@
 //! What the stand-ins count while the run goes on.
 
 use super::stage::{Stage, BURST_TOKENS, LIMITED, RATES_TOKENS_PER_S};
-use crate::support::SECONDS;
+use crate::support::PROPAGATION_LIMIT;
 use std::time::{Duration, Instant};
 
 /// Time after which a leaving upstream gets no new work.
@@ -134,7 +134,7 @@
             let until = self.rates.get(number + 1).map_or(to, |(next, next_rate)| {
                 let is_lowered = next_rate < rate;
                 if is_lowered {
-                    *next + SECONDS
+                    *next + PROPAGATION_LIMIT
                 } else {
                     *next
                 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -34,9 +34,9 @@
 /// Regions of the fleet.
 pub(crate) const REGIONS: [&str; 3] = ["north", "central", "south"];
 /// Longest wait for a condition before a test fails.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
+pub(crate) const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time that the users mean by "within seconds".
-pub(crate) const SECONDS: Duration = Duration::from_secs(10);
+pub(crate) const PROPAGATION_LIMIT: Duration = Duration::from_secs(10);
 /// Key of the document in the store.
 const DOCUMENT_KEY: &str = "config/document";
 
@@ -121,10 +121,15 @@
 
     /// Waits until every region has told the store who owns its slots, as in normal operation.
     async fn slots_are_owned(&self) {
-        eventually("every region's slots are owned", PATIENCE, || async {
-            let is_owned = |region: &&str| self.store.value(&format!("slots/{region}")).is_some();
-            REGIONS.iter().all(is_owned).then_some(())
-        })
+        eventually(
+            "every region's slots are owned",
+            CONDITION_TIMEOUT,
+            || async {
+                let is_owned =
+                    |region: &&str| self.store.value(&format!("slots/{region}")).is_some();
+                REGIONS.iter().all(is_owned).then_some(())
+            },
+        )
         .await;
     }
 
--- a/crates/gateway/tests/support/process.rs
+++ b/crates/gateway/tests/support/process.rs
@@ -1,6 +1,6 @@
 //! One instance as a process.
 
-use super::{eventually, Caller, PATIENCE};
+use super::{eventually, Caller, CONDITION_TIMEOUT};
 use std::{
     fs::{self, File},
     net::{Ipv4Addr, TcpListener, UdpSocket},
@@ -59,7 +59,7 @@
         let url = format!("{}/readyz", self.url);
         let client = Caller::http_client();
         let child = &mut self.child;
-        eventually("an instance is ready or gone", PATIENCE, || {
+        eventually("an instance is ready or gone", CONDITION_TIMEOUT, || {
             let is_gone = child.try_wait().unwrap().is_some();
             let asked = client.get(&url).send();
             async move {
@@ -103,7 +103,7 @@
     /// Waits for the end of the process.
     pub(crate) async fn exit_status(&mut self) -> ExitStatus {
         let child = &mut self.child;
-        eventually("the process ends", PATIENCE, || {
+        eventually("the process ends", CONDITION_TIMEOUT, || {
             let status = child.try_wait().unwrap();
             async move { status }
         })
