--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -4,11 +4,11 @@
 //! ring; its answer goes back as a head and a bounded queue of chunks, so a slow caller slows its
 //! upstream down instead of filling memory.
 
+mod call;
 mod client;
 mod exchange;
-mod job;
 
-pub use job::{AnswerHead, ExchangeError, UpstreamCall};
+pub use call::{AnswerHead, ExchangeError, UpstreamCall};
 
 use crate::ring::{async_ring, Sender};
 use anyhow::Context as _;
--- a/crates/gateway/src/intake/action/mod.rs
+++ b/crates/gateway/src/intake/action/mod.rs
@@ -3,16 +3,15 @@
 //! The state machine is [`carobwheel_core::once::Action`]; this module carries out its effects.
 //! An action goes on when its caller leaves, since its outcome has still to be recorded.
 
-mod claims;
+mod records;
 mod upstream;
 
-pub(crate) use claims::ActionRecords;
+pub(crate) use records::ActionRecords;
 
 use super::{
     answer::Answer,
-    forward,
-    work::{self, Found, Work},
-    IntakeState,
+    attempt::{self, Found, Work},
+    forward, IntakeState,
 };
 use crate::{
     in_flight::Running,
@@ -42,7 +41,7 @@
 ) -> Result<Answer, Refusal> {
     let spec = spec(&work)?;
     // The place comes first: a request that is refused costs the store nothing.
-    let place = match work::place(shared, &work, &[], None).await? {
+    let place = match attempt::place(shared, &work, &[], None).await? {
         Found::Place(place) => place,
         Found::Forward(to) => return forward::send(shared, &work, to, running).await,
     };
--- a/crates/gateway/src/intake/action/upstream.rs
+++ b/crates/gateway/src/intake/action/upstream.rs
@@ -2,9 +2,8 @@
 
 use super::super::{
     answer::Answer,
-    pass,
-    work::{self, Found, Place, Work},
-    IntakeState,
+    attempt::{self, Found, Place, Work},
+    pipeline, IntakeState,
 };
 use crate::{
     decide::Ending,
@@ -49,7 +48,7 @@
             return true;
         }
         let charged = self.charged.take();
-        match work::place(shared, work, &self.tried, charged).await {
+        match attempt::place(shared, work, &self.tried, charged).await {
             Ok(Found::Place(place)) => self.place = Some(place),
             // Another instance would claim the action anew, under a claim that is held here.
             Ok(Found::Forward(_)) => {}
@@ -68,7 +67,7 @@
             .place
             .take()
             .expect("a place is found before an exchange");
-        let exchange = work::dispatch(shared, work, &place, true).await;
+        let exchange = attempt::dispatch(shared, work, &place, true).await;
         let settling = &mut place.settling;
         let gathered = match exchange {
             Ok(head) if is_refusal(&head) => {
@@ -122,11 +121,11 @@
             return Err(ExchangeError::Broken("the answer is too long".to_owned()));
         }
     }
-    let framing = pass::framing(&head.headers);
+    let framing = pipeline::framing(&head.headers);
     if matches!(framing, Framing::Length(length_bytes) if length_bytes != body.len() as u64) {
         return Err(ExchangeError::Broken("the answer was cut short".to_owned()));
     }
-    let headers = pass::passed_back(&head.headers);
+    let headers = pipeline::passed_back(&head.headers);
     let content_type = headers.iter().find(|(name, _)| *name == "content-type");
     let outcome = Outcome {
         status: head.status,
--- a/crates/gateway/src/intake/forward.rs
+++ b/crates/gateway/src/intake/forward.rs
@@ -1,6 +1,6 @@
 //! Requests that go to another instance, from the side that sends them.
 
-use super::{answer::Answer, pass, work::Work, IntakeState};
+use super::{answer::Answer, attempt::Work, pipeline, IntakeState};
 use crate::{
     decide::ForwardTo,
     dispatch::{AnswerHead, ExchangeError},
@@ -173,7 +173,8 @@
         headers: header_map(&head.headers),
         chunks: received,
     };
-    let mut answer = pass::answer(exchanged, PlacementGuard::elsewhere(), running, None).await?;
+    let mut answer =
+        pipeline::answer(exchanged, PlacementGuard::elsewhere(), running, None).await?;
     answer.run = head.run.into();
     Ok(answer)
 }
--- a/crates/gateway/src/intake/forwarded.rs
+++ b/crates/gateway/src/intake/forwarded.rs
@@ -5,11 +5,10 @@
 
 use super::{
     answer::{Answer, AnswerBody},
+    attempt::Work,
     body,
     forward::{ForwardedAnswerHead, ForwardedHead},
-    pass,
-    work::Work,
-    IntakeState,
+    pipeline, IntakeState,
 };
 use crate::{
     in_flight::Running,
@@ -116,7 +115,7 @@
         .clone()
         .arrive(&shared.instance)
         .map_err(|fault| Refusal::not_run(Cause::InvalidRequest, fault.to_string()))?;
-    let in_force = pass::in_force(shared)?;
+    let in_force = pipeline::in_force(shared)?;
     let caller = caller_of(&head);
     if !in_force.keys.is_valid(&caller) {
         let message = "the key is unknown or withdrawn";
@@ -129,7 +128,7 @@
     let room = body::take_room(shared, head.body_bytes)?;
     let body = gather(parts, head.body_bytes).await.ok_or_else(malformed)?;
     let method = head.method.parse().map_err(|_| malformed())?;
-    let call = pass::classify_again(&in_force, &head, &caller, &body)?;
+    let call = pipeline::classify_again(&in_force, &head, &caller, &body)?;
     let work = Work {
         request_id: head.request,
         method,
@@ -144,7 +143,7 @@
         cancel: CancellationToken::new(),
         _room: Arc::new(room),
     };
-    pass::serve(shared, work, running).await
+    pipeline::serve(shared, work, running).await
 }
 
 fn caller_of(head: &ForwardedHead) -> Caller {
--- a/crates/gateway/src/intake/handler.rs
+++ b/crates/gateway/src/intake/handler.rs
@@ -2,7 +2,7 @@
 
 use super::{
     answer::{Answer, AnswerBody},
-    head, pass, IntakeState,
+    head, pipeline, IntakeState,
 };
 use crate::{
     refusal::{Cause, Execution, Refusal},
@@ -93,7 +93,7 @@
         (Method::Get, "/v1/models") => models(shared, head.key.as_deref()),
         _ => {
             let running = shared.in_flight.begin(trace.clone()).ok_or_else(too_many)?;
-            pass::relay(shared, request_id, request, head, data, running).await
+            pipeline::relay(shared, request_id, request, head, data, running).await
         }
     }
 }
@@ -134,7 +134,7 @@
             &serde_json::json!(*list),
         ));
     };
-    let caller = pass::identify(&in_force, key, false)?;
+    let caller = pipeline::identify(&in_force, key, false)?;
     let account = match &caller {
         Caller::Account(credential) => in_force.document.account(&credential.account),
         Caller::Open => None,
@@ -148,8 +148,8 @@
 }
 
 fn models(shared: &IntakeState, key: Option<&str>) -> Result<Answer, Refusal> {
-    let in_force = pass::in_force(shared)?;
-    pass::identify(&in_force, key, false)?;
+    let in_force = pipeline::in_force(shared)?;
+    pipeline::identify(&in_force, key, false)?;
     let models: Vec<serde_json::Value> = in_force
         .document
         .models
--- a/crates/gateway/src/intake/mod.rs
+++ b/crates/gateway/src/intake/mod.rs
@@ -6,21 +6,21 @@
 
 mod action;
 mod answer;
+mod attempt;
 mod body;
+mod buffer;
 mod classify;
-mod entry;
+mod entry_points;
 mod forward;
 pub(crate) mod forwarded;
-mod gather;
 mod handler;
 mod head;
-mod pass;
+mod pipeline;
 mod resume;
 mod upstream_headers;
-mod work;
 
 pub(crate) use action::ActionRecords;
-pub use entry::{EntryPoint, EntryPointList, SharedEntryPoints, ENTRY_POINTS_LIFETIME_S};
+pub use entry_points::{EntryPoint, EntryPointList, SharedEntryPoints, ENTRY_POINTS_LIFETIME_S};
 
 use crate::{
     decide, dispatch, in_flight::InFlight, in_force::Current, peers, report, ring::Sender,
--- a/crates/gateway/src/intake/pass.rs
+++ b/crates/gateway/src/intake/pipeline.rs
@@ -3,13 +3,13 @@
 use super::{
     action,
     answer::{Answer, AnswerBody},
-    body, classify,
+    attempt::{self, Found, Work},
+    body,
+    buffer::gather,
+    classify,
     forward::{self, ForwardedHead},
-    gather::gather,
     head::{BodyLength, RequestHead},
-    resume, upstream_headers,
-    work::{self, Found, Work},
-    IntakeState,
+    resume, upstream_headers, IntakeState,
 };
 use crate::{
     decide::{Ending, Target},
@@ -180,11 +180,11 @@
     let mut charged = None;
     loop {
         let is_retry = !tried.is_empty();
-        let mut place = match work::place(shared, work, &tried, charged).await? {
+        let mut place = match attempt::place(shared, work, &tried, charged).await? {
             Found::Place(place) => place,
             Found::Forward(to) => return forward::send(shared, work, to, running).await,
         };
-        let exchange = work::dispatch(shared, work, &place, is_retry).await;
+        let exchange = attempt::dispatch(shared, work, &place, is_retry).await;
         let (failure, refusal) = match exchange {
             Ok(head) => match retried_status(head.status) {
                 None => {
@@ -199,7 +199,7 @@
         charged = place.settling.take_charge();
         place.settling.settle(Ending::Failed(failure));
         tried.push(place.placed.upstream);
-        let after_ms = work::may_retry(shared, work, failure, tried.len())
+        let after_ms = attempt::may_retry(shared, work, failure, tried.len())
             .await
             .ok_or(refusal)?;
         time::sleep(Duration::from_millis(after_ms)).await;
--- a/crates/gateway/src/intake/resume.rs
+++ b/crates/gateway/src/intake/resume.rs
@@ -1,9 +1,8 @@
 //! Continues a broken stream on another engine.
 
 use super::{
-    pass,
-    work::{self, Found, Work},
-    IntakeState,
+    attempt::{self, Found, Work},
+    pipeline, IntakeState,
 };
 use crate::relay::{BrokenStream, Framing, ResumedStream, Resumer};
 use carobwheel_core::id::UpstreamId;
@@ -47,21 +46,21 @@
     broken: BrokenStream,
 ) -> Option<ResumedStream> {
     let before = lock(tried).clone();
-    let after_ms = work::may_retry(shared, work, broken.failure, before.len()).await?;
+    let after_ms = attempt::may_retry(shared, work, broken.failure, before.len()).await?;
     time::sleep(Duration::from_millis(after_ms)).await;
     let mut rest = work.clone();
     rest.deadline = shared.clock.now().plus(work.call.deadline_ms);
     let from = HeaderValue::from(broken.relayed_tokens);
     rest.headers.insert(RESUME_FROM, from);
-    let Found::Place(place) = work::place(shared, &rest, &before, broken.charged)
+    let Found::Place(place) = attempt::place(shared, &rest, &before, broken.charged)
         .await
         .ok()?
     else {
         return None;
     };
     lock(tried).push(place.placed.upstream.clone());
-    let head = work::dispatch(shared, &rest, &place, true).await.ok()?;
-    let is_stream = pass::framing(&head.headers) == Framing::Events;
+    let head = attempt::dispatch(shared, &rest, &place, true).await.ok()?;
+    let is_stream = pipeline::framing(&head.headers) == Framing::Events;
     (head.status == 200 && is_stream).then_some(ResumedStream {
         chunks: head.chunks,
         settling: place.settling,
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -4,9 +4,9 @@
 //! one, and makes sure that the placement behind the answer is settled exactly once.
 
 mod body;
-mod settle;
+mod guard;
 mod sse;
 
 pub use body::{BrokenStream, Chunks, Framing, RelayBody, ResumedStream, Resumer};
-pub use settle::{ChargeGuard, PlacementGuard};
+pub use guard::{ChargeGuard, PlacementGuard};
 pub use sse::{EventSplitter, EventTooLong, MAX_EVENT_BYTES};
