--- a/crates/gateway/src/dispatch/exchange.rs
+++ b/crates/gateway/src/dispatch/exchange.rs
@@ -9,60 +9,60 @@
 use tokio_util::sync::CancellationToken;
 
 /// Chunks that wait for a slow caller at most.
-const CHUNKS_WAITING: usize = 16;
+const CHUNK_QUEUE_LENGTH: usize = 16;
 /// Longest silence inside an answer.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Runs `job`. Dropping the response on any early return closes its connection, so that a late
 /// answer can never be taken for that of another request.
-pub(super) async fn run(clients: Clients, clock: Clock, job: UpstreamCall) {
-    if clock.now() >= job.send_before {
+pub(super) async fn run(clients: Clients, clock: Clock, call: UpstreamCall) {
+    if clock.now() >= call.send_before {
         let detail = "the decision to send is too old".to_owned();
         // The receiver may be gone already.
-        let _ = job.reply.send(Err(ExchangeError::NotConnected(detail)));
+        let _ = call.reply.send(Err(ExchangeError::NotConnected(detail)));
         return;
     }
-    let client = if job.fresh_connection {
+    let client = if call.fresh_connection {
         &clients.fresh
     } else {
         &clients.pooled
     };
     let sent = client
-        .request(job.method, &job.url)
-        .headers(job.headers)
-        .body(job.body)
+        .request(call.method, &call.url)
+        .headers(call.headers)
+        .body(call.body)
         .send();
     let answer = tokio::select! {
-        answer = time::timeout(job.head_timeout, sent) => answer,
-        () = job.cancel.cancelled() => {
+        answer = time::timeout(call.head_timeout, sent) => answer,
+        () = call.cancel.cancelled() => {
             // The receiver may be gone already.
-            let _ = job.reply.send(Err(ExchangeError::Cancelled));
+            let _ = call.reply.send(Err(ExchangeError::Cancelled));
             return;
         }
     };
     let response = match answer {
         Ok(Ok(response)) => response,
         Ok(Err(err)) => {
-            let _ = job.reply.send(Err(error_of(&err)));
+            let _ = call.reply.send(Err(error_of(&err)));
             return;
         }
         Err(_) => {
-            let _ = job.reply.send(Err(ExchangeError::Timeout));
+            let _ = call.reply.send(Err(ExchangeError::Timeout));
             return;
         }
     };
-    let (sender, chunks) = mpsc::channel(CHUNKS_WAITING);
+    let (sender, chunks) = mpsc::channel(CHUNK_QUEUE_LENGTH);
     let head = AnswerHead {
         status: response.status().as_u16(),
         headers: response.headers().clone(),
         chunks,
     };
-    if job.reply.send(Ok(head)).is_ok() {
-        pump(response, sender, job.cancel).await;
+    if call.reply.send(Ok(head)).is_ok() {
+        relay_chunks(response, sender, call.cancel).await;
     }
 }
 
-async fn pump(
+async fn relay_chunks(
     mut response: Response,
     sender: mpsc::Sender<Result<Bytes, ExchangeError>>,
     cancel: CancellationToken,
@@ -79,8 +79,8 @@
             Ok(Err(err)) => Err(error_of(&err)),
             Err(_) => Err(ExchangeError::Timeout),
         };
-        let is_over = chunk.is_err();
-        if sender.send(chunk).await.is_err() || is_over {
+        let is_last = chunk.is_err();
+        if sender.send(chunk).await.is_err() || is_last {
             return;
         }
     }
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -42,11 +42,11 @@
             let local = task::LocalSet::new();
             local.block_on(&event_loop, async move {
                 loop {
-                    let job = tokio::select! {
-                        job = receiver.recv() => job,
+                    let call = tokio::select! {
+                        call = receiver.recv() => call,
                         () = cancel.cancelled() => return,
                     };
-                    task::spawn_local(exchange::run(clients.clone(), clock, job));
+                    task::spawn_local(exchange::run(clients.clone(), clock, call));
                 }
             });
         })
--- a/crates/gateway/src/intake/action/mod.rs
+++ b/crates/gateway/src/intake/action/mod.rs
@@ -10,7 +10,7 @@
 
 use super::{
     answer::Answer,
-    attempt::{self, Found, Work},
+    attempt::{self, ClassifiedRequest, Destination},
     forward, IntakeState,
 };
 use crate::{
@@ -29,31 +29,31 @@
 use tokio::{sync::oneshot, time};
 
 /// Longest time for which an answer waits for its record.
-const RELAY_DELAY: Duration = Duration::from_millis(500);
+const MAX_RELAY_DELAY: Duration = Duration::from_millis(500);
 
-type Reply = oneshot::Sender<Result<Answer, Refusal>>;
+type AnswerSender = oneshot::Sender<Result<Answer, Refusal>>;
 
-/// Runs the action of `work` and answers as soon as its fate is known.
+/// Runs the action of `classified` and answers as soon as its fate is known.
 pub(super) async fn run(
     shared: &Arc<IntakeState>,
-    work: Work,
+    classified: ClassifiedRequest,
     running: Running,
 ) -> Result<Answer, Refusal> {
-    let spec = spec(&work)?;
-    // The place comes first: a request that is refused costs the store nothing.
-    let place = match attempt::place(shared, &work, &[], None).await? {
-        Found::Place(place) => place,
-        Found::Forward(to) => return forward::send(shared, &work, to, running).await,
+    let spec = action_spec(&classified)?;
+    // The placement comes first: a request that is refused costs the store nothing.
+    let placement = match attempt::place(shared, &classified, &[], None).await? {
+        Destination::Upstream(placement) => placement,
+        Destination::Instance(to) => return forward::send(shared, &classified, to, running).await,
     };
-    let upstream = upstream::Upstream::new(place);
+    let upstream = upstream::ActionUpstream::new(placement);
     let (reply, answer) = oneshot::channel();
     let driver = Driver {
         shared: Arc::clone(shared),
         action: Action::new(spec, once::WriterId(rand::random())),
-        work,
+        classified,
         upstream,
         reply: Some(reply),
-        relayed: None,
+        pending_answer: None,
         lease: None,
         _running: running,
     };
@@ -64,8 +64,8 @@
     })
 }
 
-fn spec(work: &Work) -> Result<ActionSpec, Refusal> {
-    let key = match (&work.caller, &work.idempotency_key) {
+fn action_spec(classified: &ClassifiedRequest) -> Result<ActionSpec, Refusal> {
+    let key = match (&classified.caller, &classified.idempotency_key) {
         (Caller::Account(credential), Some(key)) => {
             let key = OnceKey::new(&credential.account, key).map_err(|err| {
                 Refusal::not_run(Cause::InvalidRequest, format!("Idempotency-Key: {err}"))
@@ -81,10 +81,14 @@
     };
     Ok(ActionSpec {
         key,
-        request_sha256: request_hash(work.method.as_str(), &work.path_and_query, &work.body),
-        deadline: work.deadline,
-        outcome_kept_ms: work.call.outcome_kept_ms,
-        deduplicates: work.call.deduplicates,
+        request_sha256: request_hash(
+            classified.method.as_str(),
+            &classified.path_and_query,
+            &classified.body,
+        ),
+        deadline: classified.deadline,
+        outcome_kept_ms: classified.classification.outcome_kept_ms,
+        deduplicates: classified.classification.deduplicates,
     })
 }
 
@@ -92,10 +96,10 @@
 struct Driver {
     shared: Arc<IntakeState>,
     action: Action,
-    work: Work,
-    upstream: upstream::Upstream,
-    reply: Option<Reply>,
-    relayed: Option<Answer>,
+    classified: ClassifiedRequest,
+    upstream: upstream::ActionUpstream,
+    reply: Option<AnswerSender>,
+    pending_answer: Option<Answer>,
     lease: Option<LeaseId>,
     _running: Running,
 }
@@ -104,7 +108,7 @@
     async fn drive(mut self) {
         let mut effects = VecDeque::from(self.action.start(self.now()));
         while let Some(effect) = effects.pop_front() {
-            for input in self.carry_out(effect).await {
+            for input in self.execute(effect).await {
                 let now = self.now();
                 effects.extend(self.action.step(input, now));
             }
@@ -119,7 +123,7 @@
         self.shared.clock.now()
     }
 
-    async fn carry_out(&mut self, effect: Effect) -> Vec<Input> {
+    async fn execute(&mut self, effect: Effect) -> Vec<Input> {
         match effect {
             Effect::Create {
                 call,
@@ -153,18 +157,18 @@
             Effect::Dispatch { call, send_before } => self.dispatch(call, send_before).await,
             Effect::Relay => {
                 // With a key the answer follows the record, so that a repeat finds it.
-                if self.work.idempotency_key.is_none() {
-                    self.relay();
+                if self.classified.idempotency_key.is_none() {
+                    self.send_pending_answer();
                 }
                 Vec::new()
             }
             Effect::Answer(answer) => {
                 let answer = final_answer(&answer, self.upstream.refusal.take());
-                self.answer(answer);
+                self.send_answer(answer);
                 Vec::new()
             }
             Effect::End => {
-                self.relay();
+                self.send_pending_answer();
                 Vec::new()
             }
         }
@@ -197,27 +201,30 @@
         let lease = self.lease.expect("an outcome follows a claim on a lease");
         let shared = Arc::clone(&self.shared);
         let mut write = pin!(shared.action_records.write(key, record, revision, lease));
-        let written = time::timeout(RELAY_DELAY, &mut write).await;
-        self.relay();
+        let written = time::timeout(MAX_RELAY_DELAY, &mut write).await;
+        self.send_pending_answer();
         match written {
             Ok(answer) => answer,
             Err(_) => write.await,
         }
     }
 
-    fn relay(&mut self) {
-        if let Some(answer) = self.relayed.take() {
-            self.answer(Ok(answer));
+    fn send_pending_answer(&mut self) {
+        if let Some(answer) = self.pending_answer.take() {
+            self.send_answer(Ok(answer));
         }
     }
 
     async fn dispatch(&mut self, call: u32, send_before: Millis) -> Vec<Input> {
-        let events = if self.upstream.find_place(&self.shared, &self.work).await
+        let events = if self
+            .upstream
+            .ensure_placed(&self.shared, &self.classified)
+            .await
             && self.now() < send_before
             && self.action.permit_send(call, self.now())
         {
-            let (events, answer) = self.upstream.exchange(&self.shared, &self.work).await;
-            self.relayed = answer;
+            let (events, answer) = self.upstream.exchange(&self.shared, &self.classified).await;
+            self.pending_answer = answer;
             events
         } else {
             vec![once::UpstreamEvent::Failed {
@@ -231,7 +238,7 @@
     }
 
     // A caller that has gone drops the receiving end.
-    fn answer(&mut self, answer: Result<Answer, Refusal>) {
+    fn send_answer(&mut self, answer: Result<Answer, Refusal>) {
         if let Some(reply) = self.reply.take() {
             let _ = reply.send(answer);
         }
@@ -242,7 +249,7 @@
 /// last said, and is told to the caller when no upstream took the request.
 fn final_answer(answer: &once::Answer, refusal: Option<Refusal>) -> Result<Answer, Refusal> {
     match answer {
-        once::Answer::Replay(outcome) => Ok(replay(outcome)),
+        once::Answer::Replay(outcome) => Ok(replayed_answer(outcome)),
         once::Answer::ReplayUnavailable { status } => Err(Refusal {
             run: Execution::Ran,
             ..Refusal::not_run(
@@ -254,13 +261,13 @@
             let message = "no upstream could be reached";
             Err(refusal.unwrap_or_else(|| Refusal::not_run(Cause::NoUpstream, message)))
         }
-        once::Answer::NotRun(cause) => Err(not_run(*cause)),
-        once::Answer::MayHaveRun(cause) => Err(may_have_run(*cause)),
+        once::Answer::NotRun(cause) => Err(not_run_refusal(*cause)),
+        once::Answer::MayHaveRun(cause) => Err(may_have_run_refusal(*cause)),
     }
 }
 
-fn replay(outcome: &once::Outcome) -> Answer {
-    let mut answer = Answer::whole(
+fn replayed_answer(outcome: &once::Outcome) -> Answer {
+    let mut answer = Answer::buffered(
         outcome.status,
         execution_of_status(outcome.status),
         outcome.body.bytes().unwrap_or_default().to_vec().into(),
@@ -274,7 +281,7 @@
     answer
 }
 
-fn not_run(cause: NotRun) -> Refusal {
+fn not_run_refusal(cause: NotRun) -> Refusal {
     match cause {
         NotRun::StoreUnavailable => {
             let message = "the action cannot be claimed now, since the store does not answer";
@@ -294,7 +301,7 @@
     }
 }
 
-fn may_have_run(cause: MayHaveRun) -> Refusal {
+fn may_have_run_refusal(cause: MayHaveRun) -> Refusal {
     match cause {
         MayHaveRun::UpstreamLost => Refusal::may_have_run(
             Cause::UpstreamFailed,
--- a/crates/gateway/src/intake/action/upstream.rs
+++ b/crates/gateway/src/intake/action/upstream.rs
@@ -2,7 +2,7 @@
 
 use super::super::{
     answer::Answer,
-    attempt::{self, Found, Place, Work},
+    attempt::{self, ClassifiedRequest, Destination, Placement},
     pipeline, IntakeState,
 };
 use crate::{
@@ -23,72 +23,76 @@
 /// Longest answer of an action, in bytes.
 const MAX_ANSWER_BYTES: usize = 4 * 1_024 * 1_024;
 
-/// A place and the exchange on it.
-pub(super) struct Upstream {
-    place: Option<Place>,
-    charged: Option<ChargeGuard>,
+/// A placement and the exchange on it.
+pub(super) struct ActionUpstream {
+    placement: Option<Placement>,
+    charge_guard: Option<ChargeGuard>,
     tried: Vec<UpstreamId>,
-    /// What the deciding thread said when it had no place.
+    /// What the deciding thread said when it had no placement.
     pub(super) refusal: Option<Refusal>,
 }
 
-impl Upstream {
-    pub(super) fn new(place: Place) -> Self {
+impl ActionUpstream {
+    pub(super) fn new(placement: Placement) -> Self {
         Self {
-            place: Some(place),
-            charged: None,
+            placement: Some(placement),
+            charge_guard: None,
             tried: Vec::new(),
             refusal: None,
         }
     }
 
-    /// Makes sure that there is a place.
-    pub(super) async fn find_place(&mut self, shared: &IntakeState, work: &Work) -> bool {
-        if self.place.is_some() {
+    /// Makes sure that there is a placement.
+    pub(super) async fn ensure_placed(
+        &mut self,
+        shared: &IntakeState,
+        classified: &ClassifiedRequest,
+    ) -> bool {
+        if self.placement.is_some() {
             return true;
         }
-        let charged = self.charged.take();
-        match attempt::place(shared, work, &self.tried, charged).await {
-            Ok(Found::Place(place)) => self.place = Some(place),
+        let charge_guard = self.charge_guard.take();
+        match attempt::place(shared, classified, &self.tried, charge_guard).await {
+            Ok(Destination::Upstream(placement)) => self.placement = Some(placement),
             // Another instance would claim the action anew, under a claim that is held here.
-            Ok(Found::Forward(_)) => {}
+            Ok(Destination::Instance(_)) => {}
             Err(refusal) => self.refusal = Some(refusal),
         }
-        self.place.is_some()
+        self.placement.is_some()
     }
 
     /// Sends the request once, on a connection of its own, and gathers the whole answer.
     pub(super) async fn exchange(
         &mut self,
         shared: &Arc<IntakeState>,
-        work: &Work,
+        classified: &ClassifiedRequest,
     ) -> (Vec<UpstreamEvent>, Option<Answer>) {
-        let mut place = self
-            .place
+        let mut placement = self
+            .placement
             .take()
-            .expect("a place is found before an exchange");
-        let exchange = attempt::dispatch(shared, work, &place, true).await;
-        let settling = &mut place.settling;
+            .expect("a placement is found before an exchange");
+        let exchange = attempt::dispatch(shared, classified, &placement, true).await;
+        let placement_guard = &mut placement.placement_guard;
         let gathered = match exchange {
             Ok(head) if is_refusal(&head) => {
-                self.charged = settling.take_charge();
-                settling.settle(Ending::Failed(Failure::RefusedNotRun));
-                self.tried.push(place.placed.upstream);
+                self.charge_guard = placement_guard.take_charge();
+                placement_guard.settle(Ending::Failed(Failure::RefusedNotRun));
+                self.tried.push(placement.placed.upstream);
                 return (vec![UpstreamEvent::Refused], None);
             }
-            Ok(head) => gather(head, settling).await,
+            Ok(head) => read_answer(head, placement_guard).await,
             Err(err) => Err(err),
         };
         match gathered {
             Ok((outcome, answer)) => {
-                settling.settle(Ending::Whole);
+                placement_guard.settle(Ending::Whole);
                 let events = vec![UpstreamEvent::Head, UpstreamEvent::Done(outcome)];
                 (events, Some(answer))
             }
             Err(err) => {
-                self.charged = settling.take_charge();
-                settling.settle(Ending::Failed(err.failure()));
-                self.tried.push(place.placed.upstream);
+                self.charge_guard = placement_guard.take_charge();
+                placement_guard.settle(Ending::Failed(err.failure()));
+                self.tried.push(placement.placed.upstream);
                 let may_have_sent_bytes = err.failure() != Failure::ConnectFailed;
                 let failed = UpstreamEvent::Failed {
                     may_have_sent_bytes,
@@ -109,13 +113,13 @@
     }
 }
 
-async fn gather(
+async fn read_answer(
     mut head: AnswerHead,
-    settling: &mut PlacementGuard,
+    placement_guard: &mut PlacementGuard,
 ) -> Result<(Outcome, Answer), ExchangeError> {
     let mut body = BytesMut::new();
     while let Some(chunk) = head.chunks.recv().await {
-        settling.byte_arrived();
+        placement_guard.byte_arrived();
         body.extend_from_slice(&chunk?);
         if body.len() > MAX_ANSWER_BYTES {
             return Err(ExchangeError::Broken("the answer is too long".to_owned()));
@@ -125,14 +129,14 @@
     if matches!(framing, Framing::Length(length_bytes) if length_bytes != body.len() as u64) {
         return Err(ExchangeError::Broken("the answer was cut short".to_owned()));
     }
-    let headers = pipeline::passed_back(&head.headers);
+    let headers = pipeline::relayed_headers(&head.headers);
     let content_type = headers.iter().find(|(name, _)| *name == "content-type");
     let outcome = Outcome {
         status: head.status,
         content_type: content_type.map(|(_, value)| value.clone()),
         body: StoredBody::new(body.to_vec()),
     };
-    let mut answer = Answer::whole(head.status, execution_of_status(head.status), body.freeze());
+    let mut answer = Answer::buffered(head.status, execution_of_status(head.status), body.freeze());
     answer.headers = headers;
     Ok((outcome, answer))
 }
--- a/crates/gateway/src/intake/answer.rs
+++ b/crates/gateway/src/intake/answer.rs
@@ -14,17 +14,17 @@
 
 const MS_PER_S: u64 = 1_000;
 /// Chunk in which a relayed body is read, in bytes.
-const CHUNK_BYTES: usize = 16 * 1_024;
+const MAX_CHUNK_BYTES: usize = 16 * 1_024;
 
 /// Body of an answer.
 pub(super) enum AnswerBody {
     /// A body in hand.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// A stream of events, whose last event tells that it is whole.
-    Stream(Box<RelayBody>),
+    Events(Box<RelayBody>),
     /// A body of this many bytes that is relayed as it arrives. The length tells the caller
     /// whether it is whole.
-    Long(Box<RelayBody>, u64),
+    Sized(Box<RelayBody>, u64),
 }
 
 /// An answer to a caller.
@@ -37,12 +37,12 @@
 
 impl Answer {
     /// An answer with its body in hand.
-    pub(super) fn whole(status: u16, run: Execution, body: Bytes) -> Self {
+    pub(super) fn buffered(status: u16, run: Execution, body: Bytes) -> Self {
         Self {
             status,
             headers: Vec::new(),
             run,
-            body: AnswerBody::Whole(body),
+            body: AnswerBody::Buffered(body),
         }
     }
 
@@ -52,7 +52,7 @@
             status,
             headers: vec![("content-type", "application/json".to_owned())],
             run,
-            body: AnswerBody::Whole(body.to_string().into()),
+            body: AnswerBody::Buffered(body.to_string().into()),
         }
     }
 
@@ -89,16 +89,16 @@
             response.raw_header("connection", "close");
         }
         match self.body {
-            AnswerBody::Whole(bytes) => {
+            AnswerBody::Buffered(bytes) => {
                 response.sized_body(bytes.len(), Cursor::new(bytes));
             }
-            AnswerBody::Long(body, length_bytes) => {
+            AnswerBody::Sized(body, length_bytes) => {
                 response.raw_header("content-length", length_bytes.to_string());
-                response.max_chunk_size(CHUNK_BYTES);
+                response.max_chunk_size(MAX_CHUNK_BYTES);
                 response.streamed_body(*body);
             }
-            AnswerBody::Stream(body) => {
-                response.max_chunk_size(CHUNK_BYTES);
+            AnswerBody::Events(body) => {
+                response.max_chunk_size(MAX_CHUNK_BYTES);
                 response.streamed_body(*body);
             }
         }
--- a/crates/gateway/src/intake/attempt.rs
+++ b/crates/gateway/src/intake/attempt.rs
@@ -26,7 +26,7 @@
 
 /// A request that has been read and classified.
 #[derive(Clone)]
-pub(super) struct Work {
+pub(super) struct ClassifiedRequest {
     pub(super) request_id: RequestId,
     pub(super) method: Method,
     pub(super) path_and_query: String,
@@ -35,86 +35,92 @@
     pub(super) body: Bytes,
     pub(super) idempotency_key: Option<String>,
     pub(super) caller: Caller,
-    pub(super) call: classify::Call,
+    pub(super) classification: classify::Classification,
     pub(super) deadline: Millis,
     pub(super) hops: Hops,
     /// Ends the request and every exchange of it.
     pub(super) cancel: CancellationToken,
     /// Room that the body takes while the request runs.
-    pub(super) _room: Arc<OwnedSemaphorePermit>,
+    pub(super) _body_memory: Arc<OwnedSemaphorePermit>,
 }
 
-/// A place at an upstream, given back when it is dropped.
-pub(super) struct Place {
+/// A placement at an upstream, given back when it is dropped.
+pub(super) struct Placement {
     pub(super) placed: Placed,
-    pub(super) settling: PlacementGuard,
-    /// Ends the exchange on this place.
+    pub(super) placement_guard: PlacementGuard,
+    /// Ends the exchange on this placement.
     pub(super) cancel: CancellationToken,
 }
 
 /// Where a request goes.
-pub(super) enum Found {
+pub(super) enum Destination {
     /// To an upstream.
-    Place(Place),
+    Upstream(Placement),
     /// To another instance.
-    Forward(ForwardTo),
+    Instance(ForwardTo),
 }
 
-/// Asks for a place at an upstream that is not among `tried`. `charged` is the charge of an
+/// Asks for a placement at an upstream that is not among `tried`. `charge_guard` is the charge of an
 /// earlier attempt.
 pub(super) async fn place(
     shared: &IntakeState,
-    work: &Work,
+    classified: &ClassifiedRequest,
     tried: &[UpstreamId],
-    charged: Option<ChargeGuard>,
-) -> Result<Found, Refusal> {
-    let step = ask(shared, work, tried, charged.as_ref().map(ChargeGuard::id)).await?;
+    charge_guard: Option<ChargeGuard>,
+) -> Result<Destination, Refusal> {
+    let step = request_decision(
+        shared,
+        classified,
+        tried,
+        charge_guard.as_ref().map(ChargeGuard::id),
+    )
+    .await?;
     let placed = match step {
         Step::Dispatch(placed) => placed,
-        Step::Forward(to) => return Ok(Found::Forward(to)),
+        Step::Forward(to) => return Ok(Destination::Instance(to)),
     };
-    let charged = charged.or_else(|| {
+    let charge_guard = charge_guard.or_else(|| {
         let charge = placed.charge?;
         Some(ChargeGuard::new(charge, shared.decide.clone()))
     });
-    let cancel = work.cancel.child_token();
+    let cancel = classified.cancel.child_token();
     let decide = shared.decide.clone();
-    Ok(Found::Place(Place {
-        settling: PlacementGuard::new(placed.ticket, charged, decide, cancel.clone()),
+    Ok(Destination::Upstream(Placement {
+        placement_guard: PlacementGuard::new(placed.ticket, charge_guard, decide, cancel.clone()),
         placed,
         cancel,
     }))
 }
 
-async fn ask(
+async fn request_decision(
     shared: &IntakeState,
-    work: &Work,
+    classified: &ClassifiedRequest,
     tried: &[UpstreamId],
     charge: Option<ChargeId>,
 ) -> Result<Step, Refusal> {
     let (reply, decision) = oneshot::channel();
-    let call = &work.call;
+    let classification = &classified.classification;
     let ask = Ask {
-        request: work.request_id.clone(),
-        caller: work.caller.clone(),
-        target: call.target.clone(),
-        prompt_tokens: call.prompt_tokens,
-        max_output_tokens: call.max_output_tokens,
-        prefix: call.prefix.clone(),
-        bound_region: call.bound_region.clone(),
-        idempotent: call.idempotent,
-        deadline: work.deadline,
+        request: classified.request_id.clone(),
+        caller: classified.caller.clone(),
+        target: classification.target.clone(),
+        prompt_tokens: classification.prompt_tokens,
+        max_output_tokens: classification.max_output_tokens,
+        prefix: classification.prefix.clone(),
+        bound_region: classification.bound_region.clone(),
+        idempotent: classification.idempotent,
+        deadline: classified.deadline,
         tried: tried.to_vec(),
-        hops: work.hops.clone(),
+        hops: classified.hops.clone(),
         charge,
-        cancel: work.cancel.clone(),
+        cancel: classified.cancel.clone(),
         reply,
     };
     shared
         .decide
         .try_send(Event::Ask(Box::new(ask)))
         .map_err(|_| overloaded("this instance is overloaded"))?;
-    time::timeout(remaining(shared, work), decision)
+    time::timeout(remaining_time(shared, classified), decision)
         .await
         .map_err(|_| overloaded("no upstream had room in time"))?
         .map_err(|_| overloaded("this instance is stopping"))?
@@ -124,34 +130,34 @@
     Refusal::not_run(Cause::Overloaded, message).retry_after(1_000)
 }
 
-fn remaining(shared: &IntakeState, work: &Work) -> Duration {
-    Duration::from_millis(work.deadline.since(shared.clock.now()))
+fn remaining_time(shared: &IntakeState, classified: &ClassifiedRequest) -> Duration {
+    Duration::from_millis(classified.deadline.since(shared.clock.now()))
 }
 
-/// Sends the request to its place.
+/// Sends the request to its placement.
 pub(super) async fn dispatch(
     shared: &IntakeState,
-    work: &Work,
-    place: &Place,
+    classified: &ClassifiedRequest,
+    placement: &Placement,
     fresh_connection: bool,
 ) -> Result<AnswerHead, ExchangeError> {
-    let placed = &place.placed;
+    let placed = &placement.placed;
     let credential = shared.credentials.get(&placed.upstream);
     let (reply, answered) = oneshot::channel();
-    let job = UpstreamCall {
-        method: work.method.clone(),
-        url: format!("{}{}", placed.url, work.path_and_query),
-        headers: upstream_headers::for_upstream(&work.headers, placed.priority, credential),
-        body: work.body.clone(),
+    let call = UpstreamCall {
+        method: classified.method.clone(),
+        url: format!("{}{}", placed.url, classified.path_and_query),
+        headers: upstream_headers::for_upstream(&classified.headers, placed.priority, credential),
+        body: classified.body.clone(),
         fresh_connection,
         send_before: placed.send_before,
-        head_timeout: remaining(shared, work),
-        cancel: place.cancel.clone(),
+        head_timeout: remaining_time(shared, classified),
+        cancel: placement.cancel.clone(),
         reply,
     };
     shared
         .dispatch
-        .try_send(job)
+        .try_send(call)
         .map_err(|_| ExchangeError::NotConnected("the dispatching ring is full".to_owned()))?;
     answered
         .await
@@ -159,18 +165,18 @@
 }
 
 /// Time after which a failed attempt is followed by another, in milliseconds; none if it is not.
-pub(super) async fn may_retry(
+pub(super) async fn retry_delay_ms(
     shared: &IntakeState,
-    work: &Work,
+    classified: &ClassifiedRequest,
     failure: Failure,
     attempts: usize,
 ) -> Option<u64> {
     let (reply, decision) = oneshot::channel();
     let question = RetryQuestion {
-        idempotent: work.call.idempotent,
+        idempotent: classified.classification.idempotent,
         failure,
         attempts: u32::try_from(attempts).unwrap_or(u32::MAX),
-        deadline: work.deadline,
+        deadline: classified.deadline,
         reply,
     };
     shared
--- a/crates/gateway/src/intake/body.rs
+++ b/crates/gateway/src/intake/body.rs
@@ -7,10 +7,10 @@
 use std::{sync::Arc, time::Duration};
 use tokio::{sync::OwnedSemaphorePermit, time};
 
-/// A whole body and the room that it takes while its request runs.
-pub(super) struct HeldBody {
+/// A whole body and the memory_permit that it takes while its request runs.
+pub(super) struct BufferedBody {
     pub(super) bytes: Bytes,
-    pub(super) room: OwnedSemaphorePermit,
+    pub(super) memory_permit: OwnedSemaphorePermit,
 }
 
 /// Reads the body of a request.
@@ -19,7 +19,7 @@
     data: Data<'_>,
     length: BodyLength,
     max_body_bytes: u64,
-) -> Result<HeldBody, Refusal> {
+) -> Result<BufferedBody, Refusal> {
     let expected_bytes = match length {
         BodyLength::Bytes(bytes) => bytes,
         BodyLength::Unknown => max_body_bytes,
@@ -27,7 +27,7 @@
     if expected_bytes > max_body_bytes {
         return Err(too_large(max_body_bytes));
     }
-    let mut room = take_room(shared, expected_bytes)?;
+    let mut memory_permit = reserve_memory(shared, expected_bytes)?;
     let limit = max_body_bytes.saturating_add(1).bytes();
     let reading = data.open(limit).into_bytes();
     let timeout = Duration::from_millis(shared.body_timeout_ms);
@@ -37,13 +37,13 @@
         .map_err(|_| Refusal::not_run(Cause::InvalidRequest, "the body broke off"))?
         .into_inner();
     check_length(length, body.len() as u64, max_body_bytes)?;
-    let spare = room
+    let spare = memory_permit
         .num_permits()
         .saturating_sub(units(body.len() as u64) as usize);
-    drop(room.split(spare));
-    Ok(HeldBody {
+    drop(memory_permit.split(spare));
+    Ok(BufferedBody {
         bytes: body.into(),
-        room,
+        memory_permit,
     })
 }
 
@@ -52,7 +52,10 @@
 }
 
 /// Room for a body of `bytes` in memory.
-pub(super) fn take_room(shared: &IntakeState, bytes: u64) -> Result<OwnedSemaphorePermit, Refusal> {
+pub(super) fn reserve_memory(
+    shared: &IntakeState,
+    bytes: u64,
+) -> Result<OwnedSemaphorePermit, Refusal> {
     Arc::clone(&shared.body_memory)
         .try_acquire_many_owned(units(bytes))
         .map_err(|_| {
--- a/crates/gateway/src/intake/classify.rs
+++ b/crates/gateway/src/intake/classify.rs
@@ -18,12 +18,12 @@
 const BYTES_PER_TOKEN: u64 = 4;
 const MS_PER_S: u64 = 1_000;
 /// Answers that one request may ask for.
-const ANSWERS: RangeInclusive<u64> = 1..=16;
+const ANSWERS_PER_REQUEST: RangeInclusive<u64> = 1..=16;
 const MODEL_PATHS: [&str; 2] = [CHAT_PATH, COMPLETIONS_PATH];
 
 /// What the path of a request leads to.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Way<'a> {
+pub(super) enum Endpoint<'a> {
     /// A call of a model, named in the body.
     Model,
     /// A plain route.
@@ -32,7 +32,7 @@
 
 /// What a request asks for and what it may cost.
 #[derive(Clone, Debug)]
-pub(super) struct Call {
+pub(super) struct Classification {
     pub(super) target: Target,
     pub(super) prompt_tokens: u64,
     pub(super) max_output_tokens: u64,
@@ -46,23 +46,23 @@
     pub(super) deduplicates: bool,
 }
 
-/// The way that the head of a request leads.
-pub(super) fn way<'a>(
+/// The endpoint that the head of a request leads.
+pub(super) fn endpoint<'a>(
     document: &'a Document,
     path: &str,
     method: &str,
     length: BodyLength,
-) -> Result<Way<'a>, Refusal> {
+) -> Result<Endpoint<'a>, Refusal> {
     if MODEL_PATHS.contains(&path) {
         if method != Method::Post.as_str() {
             return Err(method_not_allowed());
         }
-        return Ok(Way::Model);
+        return Ok(Endpoint::Model);
     }
     let route = document
         .routes
         .iter()
-        .filter(|route| is_below(path, &route.path))
+        .filter(|route| matches_prefix(path, &route.path))
         .max_by_key(|route| route.path.len())
         .ok_or_else(|| Refusal::not_run(Cause::NotFound, "no route has this path"))?;
     if !route.methods.iter().any(|allowed| allowed == method) {
@@ -72,26 +72,26 @@
         let message = "this route needs a content-length, since a cut body cannot be told apart";
         return Err(Refusal::not_run(Cause::LengthRequired, message));
     }
-    Ok(Way::Route(route))
+    Ok(Endpoint::Route(route))
 }
 
 /// What the whole request asks for.
-pub(super) fn call(
+pub(super) fn classify(
     document: &Document,
-    way: Way<'_>,
+    endpoint: Endpoint<'_>,
     account: Option<&Account>,
     body: &[u8],
-) -> Result<Call, Refusal> {
-    match way {
-        Way::Model => model_call(document, account, body),
-        Way::Route(route) => {
+) -> Result<Classification, Refusal> {
+    match endpoint {
+        Endpoint::Model => classify_model_call(document, account, body),
+        Endpoint::Route(route) => {
             let of_account = account.and_then(|account| account.bound_region.clone());
-            route_call(document, route, of_account)
+            classify_route_call(document, route, of_account)
         }
     }
 }
 
-fn is_below(path: &str, prefix: &str) -> bool {
+fn matches_prefix(path: &str, prefix: &str) -> bool {
     path.strip_prefix(prefix)
         .is_some_and(|rest| rest.is_empty() || rest.starts_with('/') || prefix.ends_with('/'))
 }
@@ -107,11 +107,11 @@
     Refusal::not_run(Cause::InvalidRequest, message)
 }
 
-fn model_call(
+fn classify_model_call(
     document: &Document,
     account: Option<&Account>,
     body: &[u8],
-) -> Result<Call, Refusal> {
+) -> Result<Classification, Refusal> {
     let view = RequestView::parse(body)
         .map_err(|err| invalid(format!("the body is not a model call: {err}")))?;
     if view.messages.is_empty() && view.prompt.is_none() {
@@ -129,7 +129,7 @@
             "the prompt is longer than any class allows",
         )
     })?;
-    Ok(Call {
+    Ok(Classification {
         target: Target::Model {
             model: model.id.clone(),
             class: class.id.clone(),
@@ -147,18 +147,18 @@
 
 /// Output tokens of all the answers that the request asks for.
 fn max_output_tokens(view: &RequestView<'_>, model: &Model) -> Result<u64, Refusal> {
-    let of_one = view
+    let per_answer = view
         .max_output_tokens()
         .unwrap_or(model.default_max_output_tokens);
-    if !(1..=model.max_output_tokens).contains(&of_one) {
+    if !(1..=model.max_output_tokens).contains(&per_answer) {
         let message = format!("max_tokens has to be 1 to {}", model.max_output_tokens);
         return Err(invalid(message));
     }
     let answers = view.n.unwrap_or(1);
-    if !ANSWERS.contains(&answers) {
+    if !ANSWERS_PER_REQUEST.contains(&answers) {
         return Err(invalid("n has to be 1 to 16"));
     }
-    Ok(of_one * answers)
+    Ok(per_answer * answers)
 }
 
 fn prefix(view: &RequestView<'_>, account: Option<&Account>) -> Vec<u64> {
@@ -168,11 +168,11 @@
     prefix_hashes(account, &prompt, BYTES_PER_TOKEN)
 }
 
-fn route_call(
+fn classify_route_call(
     document: &Document,
     route: &Route,
     account_region: Option<RegionId>,
-) -> Result<Call, Refusal> {
+) -> Result<Classification, Refusal> {
     let bound_region = match (&route.bound_region, account_region) {
         (Some(of_route), Some(of_account)) if *of_route != of_account => {
             let message =
@@ -182,7 +182,7 @@
         (Some(region), _) => Some(region.clone()),
         (None, region) => region,
     };
-    Ok(Call {
+    Ok(Classification {
         target: Target::Service {
             service: route.service.clone(),
             route: route.path.clone(),
--- a/crates/gateway/src/intake/entry_points.rs
+++ b/crates/gateway/src/intake/entry_points.rs
@@ -41,7 +41,7 @@
     /// no tokens from elsewhere.
     pub(super) fn for_account(&self, account: &Account) -> Self {
         let shard = shard_of(&account.id);
-        let rank = |entry: &EntryPoint| {
+        let owner_rank = |entry: &EntryPoint| {
             let owns = |role| entry.owned_shards.contains(&(shard, role));
             match () {
                 () if owns(Role::Primary) => 0,
@@ -57,7 +57,7 @@
             self.entries.iter().filter(is_allowed).cloned().collect();
         let order: Vec<RegionId> = self.entries.iter().map(|it| it.region.clone()).collect();
         let region_rank = |entry: &EntryPoint| order.iter().position(|it| *it == entry.region);
-        entries.sort_by_key(|entry| (region_rank(entry), rank(entry)));
+        entries.sort_by_key(|entry| (region_rank(entry), owner_rank(entry)));
         Self {
             entries,
             lifetime_s: self.lifetime_s,
@@ -68,17 +68,17 @@
 /// The shared place of the list; the deciding thread replaces it.
 #[derive(Clone, Debug, Default)]
 pub struct SharedEntryPoints {
-    slot: Arc<ArcSwap<EntryPointList>>,
+    list: Arc<ArcSwap<EntryPointList>>,
 }
 
 impl SharedEntryPoints {
     /// The newest list.
     pub fn load(&self) -> Arc<EntryPointList> {
-        self.slot.load_full()
+        self.list.load_full()
     }
 
     /// Replaces the list.
     pub(crate) fn store(&self, list: EntryPointList) {
-        self.slot.store(Arc::new(list));
+        self.list.store(Arc::new(list));
     }
 }
--- a/crates/gateway/src/intake/forward.rs
+++ b/crates/gateway/src/intake/forward.rs
@@ -1,6 +1,6 @@
 //! Requests that go to another instance, from the side that sends them.
 
-use super::{answer::Answer, attempt::Work, pipeline, IntakeState};
+use super::{answer::Answer, attempt::ClassifiedRequest, pipeline, IntakeState};
 use crate::{
     decide::ForwardTo,
     dispatch::{AnswerHead, ExchangeError},
@@ -21,9 +21,9 @@
 use tokio::{sync::mpsc, time};
 
 /// Parts of a body that wait between two threads.
-const WAITING_PARTS: usize = 16;
+const PART_QUEUE_LENGTH: usize = 16;
 /// Largest part of a body, in bytes.
-const PART_BYTES: usize = 64 * 1_024;
+const MAX_PART_BYTES: usize = 64 * 1_024;
 
 /// Who a forwarded request runs for. The receiver checks it against its own document; the key
 /// itself stays where the caller presented it.
@@ -88,28 +88,28 @@
 /// Sends the request to another instance and relays its answer.
 pub(super) async fn send(
     shared: &IntakeState,
-    work: &Work,
+    classified: &ClassifiedRequest,
     to: ForwardTo,
     running: Running,
 ) -> Result<Answer, Refusal> {
     let Some(peers) = &shared.peers else {
-        return Err(unreachable("this instance stands alone"));
+        return Err(region_unreachable("this instance stands alone"));
     };
-    let head = postcard::to_stdvec(&head_of(work, to.hops))
-        .map_err(|_| unreachable("the request cannot be forwarded"))?;
-    let (parts, body) = mpsc::channel(WAITING_PARTS);
-    let bytes = work.body.clone();
-    let feeding = async move {
-        feed(bytes, &parts).await;
+    let head = postcard::to_stdvec(&head_of(classified, to.hops))
+        .map_err(|_| region_unreachable("the request cannot be forwarded"))?;
+    let (parts, body) = mpsc::channel(PART_QUEUE_LENGTH);
+    let bytes = classified.body.clone();
+    let sending = async move {
+        send_body(bytes, &parts).await;
         // Dropping the sender before the answer would cancel the request.
         parts.closed().await;
     };
-    tokio::spawn(feeding);
+    tokio::spawn(sending);
     let opening = peers.open_forward(to.instance, to.addr, head, body);
-    let remaining_ms = work.deadline.since(shared.clock.now());
+    let remaining_ms = classified.deadline.since(shared.clock.now());
     let answered = time::timeout(Duration::from_millis(remaining_ms), opening).await;
     match answered {
-        Ok(Ok(answer)) => relay(answer, running).await,
+        Ok(Ok(answer)) => relay_answer(answer, running).await,
         Ok(Err(err)) => Err(refusal_of(&err)),
         Err(_) => {
             let message = "the other instance did not answer in time";
@@ -118,23 +118,23 @@
     }
 }
 
-fn head_of(work: &Work, hops: Hops) -> ForwardedHead {
+fn head_of(classified: &ClassifiedRequest, hops: Hops) -> ForwardedHead {
     ForwardedHead {
-        request: work.request_id.clone(),
-        method: work.method.to_string(),
-        path_and_query: work.path_and_query.clone(),
-        headers: pairs(&work.headers),
-        idempotency_key: work.idempotency_key.clone(),
-        credential: match &work.caller {
-            Caller::Account(credential) => Some(forwarded(credential)),
+        request: classified.request_id.clone(),
+        method: classified.method.to_string(),
+        path_and_query: classified.path_and_query.clone(),
+        headers: header_pairs(&classified.headers),
+        idempotency_key: classified.idempotency_key.clone(),
+        credential: match &classified.caller {
+            Caller::Account(credential) => Some(forwarded_credential(credential)),
             Caller::Open => None,
         },
-        body_bytes: work.body.len() as u64,
+        body_bytes: classified.body.len() as u64,
         hops,
     }
 }
 
-fn forwarded(credential: &Credential) -> ForwardedCredential {
+fn forwarded_credential(credential: &Credential) -> ForwardedCredential {
     ForwardedCredential {
         account: credential.account.clone(),
         key: credential.key.clone(),
@@ -142,7 +142,7 @@
     }
 }
 
-fn pairs(headers: &HeaderMap) -> Vec<(String, String)> {
+fn header_pairs(headers: &HeaderMap) -> Vec<(String, String)> {
     let pair = |(name, value): (&HeaderName, &HeaderValue)| {
         let value = value.to_str().ok()?;
         Some((name.to_string(), value.to_owned()))
@@ -150,9 +150,9 @@
     headers.iter().filter_map(pair).collect()
 }
 
-async fn feed(mut bytes: Bytes, parts: &mpsc::Sender<Part>) {
+async fn send_body(mut bytes: Bytes, parts: &mpsc::Sender<Part>) {
     while !bytes.is_empty() {
-        let part = bytes.split_to(bytes.len().min(PART_BYTES));
+        let part = bytes.split_to(bytes.len().min(MAX_PART_BYTES));
         if parts.send(Part::Data(part)).await.is_err() {
             return;
         }
@@ -161,26 +161,29 @@
     let _ = parts.send(Part::End).await;
 }
 
-async fn relay(answer: ForwardAnswer, running: Running) -> Result<Answer, Refusal> {
+async fn relay_answer(answer: ForwardAnswer, running: Running) -> Result<Answer, Refusal> {
     let Ok(head) = postcard::from_bytes::<ForwardedAnswerHead>(&answer.head) else {
         let message = "the other instance sent a malformed answer";
         return Err(Refusal::may_have_run(Cause::UpstreamFailed, message));
     };
-    let (chunks, received) = mpsc::channel(WAITING_PARTS);
-    tokio::spawn(pump(answer.body, chunks));
+    let (chunks, received) = mpsc::channel(PART_QUEUE_LENGTH);
+    tokio::spawn(relay_chunks(answer.body, chunks));
     let exchanged = AnswerHead {
         status: head.status,
         headers: header_map(&head.headers),
         chunks: received,
     };
     let mut answer =
-        pipeline::answer(exchanged, PlacementGuard::elsewhere(), running, None).await?;
+        pipeline::relay_answer(exchanged, PlacementGuard::placed_remotely(), running, None).await?;
     answer.run = head.run.into();
     Ok(answer)
 }
 
 /// Turns the parts of a body into chunks; a body that breaks off ends with an error.
-async fn pump(mut parts: mpsc::Receiver<Part>, chunks: mpsc::Sender<Result<Bytes, ExchangeError>>) {
+async fn relay_chunks(
+    mut parts: mpsc::Receiver<Part>,
+    chunks: mpsc::Sender<Result<Bytes, ExchangeError>>,
+) {
     loop {
         let chunk = match parts.recv().await {
             Some(Part::Data(bytes)) => Ok(bytes),
@@ -189,8 +192,8 @@
                 "the other instance broke off its answer".to_owned(),
             )),
         };
-        let is_over = chunk.is_err();
-        if chunks.send(chunk).await.is_err() || is_over {
+        let is_last = chunk.is_err();
+        if chunks.send(chunk).await.is_err() || is_last {
             return;
         }
     }
@@ -205,13 +208,13 @@
     pairs.iter().filter_map(header).collect()
 }
 
-fn unreachable(message: &str) -> Refusal {
+fn region_unreachable(message: &str) -> Refusal {
     Refusal::not_run(Cause::WrongRegion, message).retry_after(1_000)
 }
 
 fn refusal_of(err: &ForwardError) -> Refusal {
     if err.is_not_sent() {
-        return unreachable("the other instance cannot be reached");
+        return region_unreachable("the other instance cannot be reached");
     }
     let message = "the connection to the other instance broke";
     Refusal::may_have_run(Cause::UpstreamFailed, message)
--- a/crates/gateway/src/intake/forwarded.rs
+++ b/crates/gateway/src/intake/forwarded.rs
@@ -5,7 +5,7 @@
 
 use super::{
     answer::{Answer, AnswerBody},
-    attempt::Work,
+    attempt::ClassifiedRequest,
     body,
     forward::{ForwardedAnswerHead, ForwardedHead},
     pipeline, IntakeState,
@@ -29,7 +29,7 @@
 /// Forwarded requests that wait for their thread at most.
 pub(crate) const MAX_QUEUED_FORWARDS: usize = 1_024;
 /// Largest part of an answer, in bytes.
-const PART_BYTES: usize = 16 * 1_024;
+const MAX_PART_BYTES: usize = 16 * 1_024;
 
 /// Starts the thread, which ends when `cancel` is cancelled.
 ///
@@ -75,7 +75,7 @@
             .in_flight
             .begin(trace.clone())
             .ok_or_else(|| overloaded("too many requests in flight on this instance"))?;
-        run(&shared, &head, body, running).await
+        handle(&shared, &head, body, running).await
     };
     let answer = tokio::select! {
         answer = answering => answer,
@@ -103,7 +103,7 @@
     Refusal::not_run(Cause::InvalidRequest, "the forwarded request is malformed")
 }
 
-async fn run(
+async fn handle(
     shared: &Arc<IntakeState>,
     head: &[u8],
     parts: mpsc::Receiver<Part>,
@@ -125,11 +125,13 @@
     if head.body_bytes > max_body_bytes {
         return Err(Refusal::not_run(Cause::TooLarge, "the body is too long"));
     }
-    let room = body::take_room(shared, head.body_bytes)?;
-    let body = gather(parts, head.body_bytes).await.ok_or_else(malformed)?;
+    let memory_permit = body::reserve_memory(shared, head.body_bytes)?;
+    let body = read_body(parts, head.body_bytes)
+        .await
+        .ok_or_else(malformed)?;
     let method = head.method.parse().map_err(|_| malformed())?;
-    let call = pipeline::classify_again(&in_force, &head, &caller, &body)?;
-    let work = Work {
+    let classification = pipeline::classify_forwarded(&in_force, &head, &caller, &body)?;
+    let classified = ClassifiedRequest {
         request_id: head.request,
         method,
         path_and_query: head.path_and_query,
@@ -137,13 +139,13 @@
         body,
         idempotency_key: head.idempotency_key,
         caller,
-        deadline: shared.clock.now().plus(call.deadline_ms),
-        call,
+        deadline: shared.clock.now().plus(classification.deadline_ms),
+        classification,
         hops,
         cancel: CancellationToken::new(),
-        _room: Arc::new(room),
+        _body_memory: Arc::new(memory_permit),
     };
-    pipeline::serve(shared, work, running).await
+    pipeline::serve(shared, classified, running).await
 }
 
 fn caller_of(head: &ForwardedHead) -> Caller {
@@ -158,7 +160,7 @@
 }
 
 /// The whole body, or none if it broke off or is not as long as announced.
-async fn gather(mut parts: mpsc::Receiver<Part>, body_bytes: u64) -> Option<Bytes> {
+async fn read_body(mut parts: mpsc::Receiver<Part>, body_bytes: u64) -> Option<Bytes> {
     let mut body = BytesMut::new();
     loop {
         match parts.recv().await? {
@@ -189,9 +191,9 @@
         .map(|(name, value)| ((*name).to_owned(), value.clone()))
         .collect();
     let length_bytes = match &answer.body {
-        AnswerBody::Whole(bytes) => Some(bytes.len() as u64),
-        AnswerBody::Long(_, length_bytes) => Some(*length_bytes),
-        AnswerBody::Stream(_) => None,
+        AnswerBody::Buffered(bytes) => Some(bytes.len() as u64),
+        AnswerBody::Sized(_, length_bytes) => Some(*length_bytes),
+        AnswerBody::Events(_) => None,
     };
     if let Some(length_bytes) = length_bytes {
         headers.push(("content-length".to_owned(), length_bytes.to_string()));
@@ -205,8 +207,8 @@
 
 async fn send_body(body: AnswerBody, parts: ReplyBody) {
     let is_whole = match body {
-        AnswerBody::Whole(bytes) => parts.send(Part::Data(bytes)).await.is_ok(),
-        AnswerBody::Stream(body) | AnswerBody::Long(body, _) => send_stream(*body, &parts).await,
+        AnswerBody::Buffered(bytes) => parts.send(Part::Data(bytes)).await.is_ok(),
+        AnswerBody::Events(body) | AnswerBody::Sized(body, _) => send_stream(*body, &parts).await,
     };
     if is_whole {
         // The peer may have gone away at the very end.
@@ -216,7 +218,7 @@
 
 async fn send_stream(mut body: RelayBody, parts: &ReplyBody) -> bool {
     loop {
-        let mut part = BytesMut::with_capacity(PART_BYTES);
+        let mut part = BytesMut::with_capacity(MAX_PART_BYTES);
         match body.read_buf(&mut part).await {
             Ok(0) => return true,
             Ok(_) => {
--- a/crates/gateway/src/intake/handler.rs
+++ b/crates/gateway/src/intake/handler.rs
@@ -29,16 +29,16 @@
 
 /// Routes for callers: every path and method leads to one handler.
 pub(super) fn routes(shared: &Arc<IntakeState>) -> Vec<Route> {
-    let route = |method| Route::new(method, "/<path..>", Intake(Arc::clone(shared)));
+    let route = |method| Route::new(method, "/<path..>", CallerHandler(Arc::clone(shared)));
     METHODS.into_iter().map(route).collect()
 }
 
 /// Catchers for what Rocket refuses by itself.
 pub(super) fn catchers() -> Vec<Catcher> {
-    vec![Catcher::new(None, caught)]
+    vec![Catcher::new(None, refuse_unrouted)]
 }
 
-fn caught<'r>(status: Status, _request: &'r Request<'_>) -> BoxFuture<'r> {
+fn refuse_unrouted<'r>(status: Status, _request: &'r Request<'_>) -> BoxFuture<'r> {
     let cause = match status.code {
         404 => Cause::NotFound,
         405 => Cause::MethodNotAllowed,
@@ -48,20 +48,20 @@
     };
     let refusal = Refusal::not_run(cause, status.reason_lossy());
     let answer = Answer::refusal(&refusal);
-    let response = answer.into_response(&unnamed_request(), true);
+    let response = answer.into_response(&placeholder_request_id(), true);
     Box::pin(async move { catcher::Result::Ok(response) })
 }
 
 // A request that Rocket refuses has not been given a name.
-fn unnamed_request() -> RequestId {
+fn placeholder_request_id() -> RequestId {
     "unnamed".parse().expect("a constant identifier is valid")
 }
 
 #[derive(Clone)]
-struct Intake(Arc<IntakeState>);
+struct CallerHandler(Arc<IntakeState>);
 
 #[rocket::async_trait]
-impl Handler for Intake {
+impl Handler for CallerHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
         let shared = &self.0;
         let request_id = shared.next_request_id();
@@ -87,45 +87,48 @@
 ) -> Result<Answer, Refusal> {
     let head = head::read(request)?;
     match (head.method, head.path.as_str()) {
-        (Method::Get | Method::Head, "/healthz") => Ok(plain(200, "ok")),
-        (Method::Get | Method::Head, "/readyz") => Ok(ready(shared)),
-        (Method::Get, "/v1/entry") => entry(shared, head.key.as_deref()),
+        (Method::Get | Method::Head, "/healthz") => Ok(plain_text(200, "ok")),
+        (Method::Get | Method::Head, "/readyz") => Ok(readiness(shared)),
+        (Method::Get, "/v1/entry") => entry_points(shared, head.key.as_deref()),
         (Method::Get, "/v1/models") => models(shared, head.key.as_deref()),
         _ => {
-            let running = shared.in_flight.begin(trace.clone()).ok_or_else(too_many)?;
-            pipeline::relay(shared, request_id, request, head, data, running).await
+            let running = shared
+                .in_flight
+                .begin(trace.clone())
+                .ok_or_else(too_many_requests)?;
+            pipeline::handle(shared, request_id, request, head, data, running).await
         }
     }
 }
 
-fn too_many() -> Refusal {
+fn too_many_requests() -> Refusal {
     let message = "too many requests in flight on this instance";
     Refusal::not_run(Cause::Overloaded, message).retry_after(1_000)
 }
 
-fn plain(status: u16, text: &'static str) -> Answer {
+fn plain_text(status: u16, text: &'static str) -> Answer {
     Answer {
         status,
         headers: vec![("content-type", "text/plain".to_owned())],
         run: Execution::NotRun,
-        body: AnswerBody::Whole(text.into()),
+        body: AnswerBody::Buffered(text.into()),
     }
 }
 
-fn ready(shared: &IntakeState) -> Answer {
+fn readiness(shared: &IntakeState) -> Answer {
     if shared.is_leaving.load(Ordering::Relaxed) {
-        return plain(503, "leaving");
+        return plain_text(503, "leaving");
     }
     if shared.current.load().is_none() {
-        return plain(503, "no configuration yet");
+        return plain_text(503, "no configuration yet");
     }
     if !shared.is_ready.load(Ordering::Relaxed) {
-        return plain(503, "joining the fleet");
+        return plain_text(503, "joining the fleet");
     }
-    plain(200, "ready")
+    plain_text(200, "ready")
 }
 
-fn entry(shared: &IntakeState, key: Option<&str>) -> Result<Answer, Refusal> {
+fn entry_points(shared: &IntakeState, key: Option<&str>) -> Result<Answer, Refusal> {
     let list = shared.entries.load();
     let Some(in_force) = shared.current.load().filter(|_| key.is_some()) else {
         return Ok(Answer::json(
@@ -168,6 +171,6 @@
     fn next_request_id(&self) -> RequestId {
         let number = self.requests.fetch_add(1, Ordering::Relaxed);
         let name = format!("{}-{:x}-{number:x}", self.instance, self.incarnation);
-        name.parse().unwrap_or_else(|_| unnamed_request())
+        name.parse().unwrap_or_else(|_| placeholder_request_id())
     }
 }
--- a/crates/gateway/src/intake/head.rs
+++ b/crates/gateway/src/intake/head.rs
@@ -44,7 +44,7 @@
         query,
         key: presented_key(request)?,
         length: body_length(request)?,
-        idempotency_key: single(request, "idempotency-key")?.map(str::to_owned),
+        idempotency_key: single_header(request, "idempotency-key")?.map(str::to_owned),
     })
 }
 
@@ -52,7 +52,7 @@
     Refusal::not_run(Cause::InvalidRequest, message)
 }
 
-fn single<'r>(request: &'r Request<'_>, name: &str) -> Result<Option<&'r str>, Refusal> {
+fn single_header<'r>(request: &'r Request<'_>, name: &str) -> Result<Option<&'r str>, Refusal> {
     let mut values = request.headers().get(name);
     let first = values.next();
     if values.next().is_some() {
@@ -64,7 +64,7 @@
 // Two different keys would leave it open which account the request runs for.
 fn presented_key(request: &Request<'_>) -> Result<Option<String>, Refusal> {
     let mut keys = Vec::new();
-    if let Some(authorization) = single(request, "authorization")? {
+    if let Some(authorization) = single_header(request, "authorization")? {
         let (scheme, key) = authorization.split_once(' ').unwrap_or(("", authorization));
         if !scheme.is_empty() && !scheme.eq_ignore_ascii_case("bearer") {
             return Err(Refusal::not_run(
@@ -75,7 +75,7 @@
         keys.push(key.trim());
     }
     for name in KEY_HEADERS {
-        keys.extend(single(request, name)?);
+        keys.extend(single_header(request, name)?);
     }
     keys.dedup();
     match keys.as_slice() {
@@ -86,7 +86,7 @@
 }
 
 fn body_length(request: &Request<'_>) -> Result<BodyLength, Refusal> {
-    let length = single(request, "content-length")?;
+    let length = single_header(request, "content-length")?;
     let is_chunked = request.headers().contains("transfer-encoding");
     match (length, is_chunked) {
         // Two lengths are an old way of smuggling a second request.
--- a/crates/gateway/src/intake/pipeline.rs
+++ b/crates/gateway/src/intake/pipeline.rs
@@ -1,11 +1,11 @@
-//! The way of one request through the filters.
+//! The endpoint of one request through the filters.
 
 use super::{
     action,
     answer::{Answer, AnswerBody},
-    attempt::{self, Found, Work},
+    attempt::{self, ClassifiedRequest, Destination},
     body,
-    buffer::gather,
+    buffer::buffer_answer,
     classify,
     forward::{self, ForwardedHead},
     head::{BodyLength, RequestHead},
@@ -33,8 +33,8 @@
 use tokio::time;
 use tokio_util::sync::CancellationToken;
 
-/// Headers of an upstream's answer that are passed on to callers.
-const PASSED_BACK: [&str; 6] = [
+/// Headers of an upstream's answer that are allowed on to callers.
+const RELAYED_HEADERS: [&str; 6] = [
     "cache-control",
     "content-language",
     "content-type",
@@ -67,7 +67,7 @@
 }
 
 /// Takes a request from its head to the beginning of its answer.
-pub(super) async fn relay(
+pub(super) async fn handle(
     shared: &Arc<IntakeState>,
     request_id: &RequestId,
     request: &Request<'_>,
@@ -75,35 +75,35 @@
     data: Data<'_>,
     running: Running,
 ) -> Result<Answer, Refusal> {
-    let work = read(shared, request_id, request, head, data).await?;
-    serve(shared, work, running).await
+    let classified = read_and_classify(shared, request_id, request, head, data).await?;
+    serve(shared, classified, running).await
 }
 
-/// The filters place, dispatch and relay.
+/// The filters placement, dispatch and relay.
 pub(super) async fn serve(
     shared: &Arc<IntakeState>,
-    work: Work,
+    classified: ClassifiedRequest,
     running: Running,
 ) -> Result<Answer, Refusal> {
-    running.trace().label(label(&work));
-    if work.call.idempotent {
-        return try_upstreams(shared, &Arc::new(work), running).await;
+    running.trace().label(label(&classified));
+    if classified.classification.idempotent {
+        return try_upstreams(shared, &Arc::new(classified), running).await;
     }
-    action::run(shared, work, running).await
+    action::run(shared, classified, running).await
 }
 
 /// Classifies a request that another instance has forwarded, by the document in force here.
-pub(super) fn classify_again(
+pub(super) fn classify_forwarded(
     in_force: &InForce,
     head: &ForwardedHead,
     caller: &Caller,
     body: &[u8],
-) -> Result<classify::Call, Refusal> {
+) -> Result<classify::Classification, Refusal> {
     let document = &in_force.document;
     let path = head.path_and_query.split('?').next().unwrap_or_default();
     let length = BodyLength::Bytes(head.body_bytes);
-    let way = classify::way(document, path, &head.method, length)?;
-    classify::call(document, way, account_of(in_force, caller), body)
+    let endpoint = classify::endpoint(document, path, &head.method, length)?;
+    classify::classify(document, endpoint, account_of(in_force, caller), body)
 }
 
 fn account_of<'a>(in_force: &'a InForce, caller: &Caller) -> Option<&'a Account> {
@@ -113,13 +113,13 @@
     }
 }
 
-fn label(work: &Work) -> Label {
+fn label(classified: &ClassifiedRequest) -> Label {
     Label {
-        account: match &work.caller {
+        account: match &classified.caller {
             Caller::Account(credential) => Some(credential.account.clone()),
             Caller::Open => None,
         },
-        class: match &work.call.target {
+        class: match &classified.classification.target {
             Target::Model { class, .. } => Some(class.clone()),
             Target::Service { .. } => None,
         },
@@ -127,87 +127,91 @@
 }
 
 /// The filters identify and classify.
-async fn read(
+async fn read_and_classify(
     shared: &Arc<IntakeState>,
     request_id: &RequestId,
     request: &Request<'_>,
     head: RequestHead,
     data: Data<'_>,
-) -> Result<Work, Refusal> {
+) -> Result<ClassifiedRequest, Refusal> {
     let in_force = in_force(shared)?;
     // A caller without a valid key learns nothing about which paths there are.
-    let way = classify::way(
+    let endpoint = classify::endpoint(
         &in_force.document,
         &head.path,
         head.method.as_str(),
         head.length,
     );
-    let is_open = matches!(&way, Ok(classify::Way::Route(route)) if route.open);
+    let is_open = matches!(&endpoint, Ok(classify::Endpoint::Route(route)) if route.open);
     let caller = identify(&in_force, head.key.as_deref(), is_open)?;
-    let way = way?;
+    let endpoint = endpoint?;
     let max_body_bytes = in_force.document.policy.max_body_bytes;
-    let held = body::read(shared, data, head.length, max_body_bytes).await?;
-    upstream_headers::check_key_places(request, &head, &held.bytes)?;
+    let buffered = body::read(shared, data, head.length, max_body_bytes).await?;
+    upstream_headers::refuse_exposed_key(request, &head, &buffered.bytes)?;
     let account = account_of(&in_force, &caller);
-    let call = classify::call(&in_force.document, way, account, &held.bytes)?;
+    let classification =
+        classify::classify(&in_force.document, endpoint, account, &buffered.bytes)?;
     let hops = Hops::default()
         .arrive(&shared.instance)
         .map_err(|fault| Refusal::not_run(Cause::InvalidRequest, fault.to_string()))?;
     let method = head.method.as_str().parse();
-    Ok(Work {
+    Ok(ClassifiedRequest {
         request_id: request_id.clone(),
         method: method.unwrap_or(Method::POST),
         path_and_query: upstream_headers::path_and_query(&head),
-        headers: upstream_headers::passed(request, request_id),
-        body: held.bytes,
+        headers: upstream_headers::allowed(request, request_id),
+        body: buffered.bytes,
         idempotency_key: head.idempotency_key,
         caller,
-        deadline: shared.clock.now().plus(call.deadline_ms),
-        call,
+        deadline: shared.clock.now().plus(classification.deadline_ms),
+        classification,
         hops,
         cancel: CancellationToken::new(),
-        _room: Arc::new(held.room),
+        _body_memory: Arc::new(buffered.memory_permit),
     })
 }
 
 /// Places and dispatches the request, again where that is allowed.
 async fn try_upstreams(
     shared: &Arc<IntakeState>,
-    work: &Arc<Work>,
+    classified: &Arc<ClassifiedRequest>,
     running: Running,
 ) -> Result<Answer, Refusal> {
     let mut tried = Vec::new();
-    let mut charged = None;
+    let mut charge_guard = None;
     loop {
         let is_retry = !tried.is_empty();
-        let mut place = match attempt::place(shared, work, &tried, charged).await? {
-            Found::Place(place) => place,
-            Found::Forward(to) => return forward::send(shared, work, to, running).await,
+        let mut placement = match attempt::place(shared, classified, &tried, charge_guard).await? {
+            Destination::Upstream(placement) => placement,
+            Destination::Instance(to) => {
+                return forward::send(shared, classified, to, running).await
+            }
         };
-        let exchange = attempt::dispatch(shared, work, &place, is_retry).await;
+        let exchange = attempt::dispatch(shared, classified, &placement, is_retry).await;
         let (failure, refusal) = match exchange {
-            Ok(head) => match retried_status(head.status) {
+            Ok(head) => match retryable_failure(head.status) {
                 None => {
-                    tried.push(place.placed.upstream);
-                    let resumer = resume::resumer(shared, work, tried);
-                    return answer(head, place.settling, running, Some(resumer)).await;
+                    tried.push(placement.placed.upstream);
+                    let resumer = resume::resumer(shared, classified, tried);
+                    return relay_answer(head, placement.placement_guard, running, Some(resumer))
+                        .await;
                 }
                 Some(failure) => (failure, upstream_refusal(head.status)),
             },
             Err(err) => (err.failure(), refusal_of(&err)),
         };
-        charged = place.settling.take_charge();
-        place.settling.settle(Ending::Failed(failure));
-        tried.push(place.placed.upstream);
-        let after_ms = attempt::may_retry(shared, work, failure, tried.len())
+        charge_guard = placement.placement_guard.take_charge();
+        placement.placement_guard.settle(Ending::Failed(failure));
+        tried.push(placement.placed.upstream);
+        let after_ms = attempt::retry_delay_ms(shared, classified, failure, tried.len())
             .await
             .ok_or(refusal)?;
         time::sleep(Duration::from_millis(after_ms)).await;
     }
 }
 
-/// How an answer counts that another upstream may give better; none if it is passed on.
-fn retried_status(status: u16) -> Option<Failure> {
+/// How an answer counts that another upstream may give better; none if it is allowed on.
+fn retryable_failure(status: u16) -> Option<Failure> {
     match status {
         429 | 503 => Some(Failure::RefusedNotRun),
         500 | 502 | 504 => Some(Failure::UpstreamError),
@@ -236,22 +240,22 @@
 }
 
 /// Turns an upstream's head into the answer for the caller.
-pub(super) async fn answer(
+pub(super) async fn relay_answer(
     head: AnswerHead,
-    settling: PlacementGuard,
+    placement_guard: PlacementGuard,
     running: Running,
     resumer: Option<Resumer>,
 ) -> Result<Answer, Refusal> {
     let framing = framing(&head.headers);
     let body = if framing == Framing::Events {
-        let relayed = RelayBody::new(head.chunks, framing, settling, running, resumer);
-        AnswerBody::Stream(Box::new(relayed))
+        let relayed = RelayBody::new(head.chunks, framing, placement_guard, running, resumer);
+        AnswerBody::Events(Box::new(relayed))
     } else {
-        gather(head.chunks, framing, settling, running).await?
+        buffer_answer(head.chunks, framing, placement_guard, running).await?
     };
     Ok(Answer {
         status: head.status,
-        headers: passed_back(&head.headers),
+        headers: relayed_headers(&head.headers),
         run: execution_of_status(head.status),
         body,
     })
@@ -270,8 +274,8 @@
 }
 
 /// Headers of an upstream's answer for the caller.
-pub(super) fn passed_back(headers: &HeaderMap) -> Vec<(&'static str, String)> {
-    PASSED_BACK
+pub(super) fn relayed_headers(headers: &HeaderMap) -> Vec<(&'static str, String)> {
+    RELAYED_HEADERS
         .into_iter()
         .filter_map(|name| {
             let value = headers.get(name)?.to_str().ok()?;
--- a/crates/gateway/src/intake/resume.rs
+++ b/crates/gateway/src/intake/resume.rs
@@ -1,7 +1,7 @@
 //! Continues a broken stream on another engine.
 
 use super::{
-    attempt::{self, Found, Work},
+    attempt::{self, ClassifiedRequest, Destination},
     pipeline, IntakeState,
 };
 use crate::relay::{BrokenStream, Framing, ResumedStream, Resumer};
@@ -16,24 +16,24 @@
 /// Tokens of the answer that the caller has; the engine goes on behind them.
 const RESUME_FROM: HeaderName = HeaderName::from_static("carobwheel-resume-from");
 
-/// A resumer for the stream of `work`, which has been on the engines `tried`.
+/// A resumer for the stream of `classified`, which has been on the engines `tried`.
 pub(super) fn resumer(
     shared: &Arc<IntakeState>,
-    work: &Arc<Work>,
+    classified: &Arc<ClassifiedRequest>,
     tried: Vec<UpstreamId>,
 ) -> Resumer {
     let shared = Arc::clone(shared);
-    let work = Arc::clone(work);
+    let classified = Arc::clone(classified);
     let tried = Arc::new(Mutex::new(tried));
     Box::new(move |broken| {
         let (reply, resumed) = oneshot::channel();
         let shared = Arc::clone(&shared);
-        let work = Arc::clone(&work);
+        let classified = Arc::clone(&classified);
         let tried = Arc::clone(&tried);
         tokio::spawn(async move {
-            let found = resume(&shared, &work, &tried, broken).await;
+            let continuation = resume(&shared, &classified, &tried, broken).await;
             // The caller may have gone away.
-            let _ = reply.send(found);
+            let _ = reply.send(continuation);
         });
         resumed
     })
@@ -41,29 +41,36 @@
 
 async fn resume(
     shared: &Arc<IntakeState>,
-    work: &Work,
+    classified: &ClassifiedRequest,
     tried: &Mutex<Vec<UpstreamId>>,
     broken: BrokenStream,
 ) -> Option<ResumedStream> {
-    let before = lock(tried).clone();
-    let after_ms = attempt::may_retry(shared, work, broken.failure, before.len()).await?;
+    let tried_before = lock(tried).clone();
+    let after_ms =
+        attempt::retry_delay_ms(shared, classified, broken.failure, tried_before.len()).await?;
     time::sleep(Duration::from_millis(after_ms)).await;
-    let mut rest = work.clone();
-    rest.deadline = shared.clock.now().plus(work.call.deadline_ms);
+    let mut remaining = classified.clone();
+    remaining.deadline = shared
+        .clock
+        .now()
+        .plus(classified.classification.deadline_ms);
     let from = HeaderValue::from(broken.relayed_tokens);
-    rest.headers.insert(RESUME_FROM, from);
-    let Found::Place(place) = attempt::place(shared, &rest, &before, broken.charged)
-        .await
-        .ok()?
+    remaining.headers.insert(RESUME_FROM, from);
+    let Destination::Upstream(placement) =
+        attempt::place(shared, &remaining, &tried_before, broken.charge_guard)
+            .await
+            .ok()?
     else {
         return None;
     };
-    lock(tried).push(place.placed.upstream.clone());
-    let head = attempt::dispatch(shared, &rest, &place, true).await.ok()?;
+    lock(tried).push(placement.placed.upstream.clone());
+    let head = attempt::dispatch(shared, &remaining, &placement, true)
+        .await
+        .ok()?;
     let is_stream = pipeline::framing(&head.headers) == Framing::Events;
     (head.status == 200 && is_stream).then_some(ResumedStream {
         chunks: head.chunks,
-        settling: place.settling,
+        placement_guard: placement.placement_guard,
     })
 }
 
--- a/crates/gateway/src/intake/upstream_headers.rs
+++ b/crates/gateway/src/intake/upstream_headers.rs
@@ -11,8 +11,8 @@
 use reqwest::header::{HeaderMap, HeaderName, HeaderValue, AUTHORIZATION};
 use rocket::Request;
 
-/// Headers that are passed on to upstreams.
-const PASSED: [&str; 8] = [
+/// Headers that are allowed on to upstreams.
+const ALLOWED_HEADERS: [&str; 8] = [
     "accept",
     "accept-language",
     "content-type",
@@ -37,9 +37,9 @@
 const PRIORITY: HeaderName = HeaderName::from_static("x-priority");
 
 /// Headers of the request that any upstream may see.
-pub(super) fn passed(request: &Request<'_>, request_id: &RequestId) -> HeaderMap {
+pub(super) fn allowed(request: &Request<'_>, request_id: &RequestId) -> HeaderMap {
     let mut headers = HeaderMap::new();
-    for name in PASSED {
+    for name in ALLOWED_HEADERS {
         for value in request.headers().get(name) {
             if let Ok(value) = HeaderValue::from_str(value) {
                 headers.append(HeaderName::from_static(name), value);
@@ -52,13 +52,13 @@
     headers
 }
 
-/// The headers for one upstream: those passed on, its own credential and the priority.
+/// The headers for one upstream: those allowed on, its own credential and the priority.
 pub(super) fn for_upstream(
-    passed: &HeaderMap,
+    allowed: &HeaderMap,
     priority: u8,
     credential: Option<&String>,
 ) -> HeaderMap {
-    let mut headers = passed.clone();
+    let mut headers = allowed.clone();
     let bearer = credential.and_then(|it| HeaderValue::from_str(&format!("Bearer {it}")).ok());
     if let Some(bearer) = bearer {
         headers.insert(AUTHORIZATION, bearer);
@@ -72,18 +72,18 @@
     let Some(query) = &head.query else {
         return head.path.clone();
     };
-    let passed: Vec<&str> = query
+    let allowed: Vec<&str> = query
         .split('&')
         .filter(|pair| !is_key_parameter(pair, head.key.as_deref()))
         .collect();
-    if passed.is_empty() {
+    if allowed.is_empty() {
         return head.path.clone();
     }
-    format!("{}?{}", head.path, passed.join("&"))
+    format!("{}?{}", head.path, allowed.join("&"))
 }
 
-/// Refuses a request whose key stands in a place that is passed on to upstreams.
-pub(super) fn check_key_places(
+/// Refuses a request whose key stands in a place that is allowed on to upstreams.
+pub(super) fn refuse_exposed_key(
     request: &Request<'_>,
     head: &RequestHead,
     body: &[u8],
@@ -91,7 +91,7 @@
     let Some(key) = head.key.as_deref().filter(|key| !key.is_empty()) else {
         return Ok(());
     };
-    let is_in_headers = PASSED
+    let is_in_headers = ALLOWED_HEADERS
         .iter()
         .flat_map(|name| request.headers().get(name))
         .any(|value| value.contains(key));
--- a/crates/gateway/src/options/edge.rs
+++ b/crates/gateway/src/options/edge.rs
@@ -31,8 +31,8 @@
     }
     match carobwheel_platform::run(settings, path) {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(cut) => {
-            eprintln!("{cut} requests were cut");
+        Ok(cut_requests) => {
+            eprintln!("{cut_requests} requests were cut");
             ExitCode::from(EXIT_REQUESTS_CUT)
         }
         Err(err) => {
--- a/crates/gateway/src/options/mod.rs
+++ b/crates/gateway/src/options/mod.rs
@@ -68,11 +68,11 @@
             println!("{}: valid", path.display());
             ExitCode::SUCCESS
         }
-        Err(faults) => faulty(path, &faults),
+        Err(faults) => report_faults(path, &faults),
     }
 }
 
-fn faulty(path: &Path, faults: &[Fault]) -> ExitCode {
+fn report_faults(path: &Path, faults: &[Fault]) -> ExitCode {
     for fault in faults {
         eprintln!("{}: {fault}", path.display());
     }
--- a/crates/gateway/src/options/serve.rs
+++ b/crates/gateway/src/options/serve.rs
@@ -1,6 +1,6 @@
 //! `carobwheel serve`: runs one instance until it is told to stop.
 
-use super::{faulty, EXIT_NOT_STARTED, EXIT_REQUESTS_CUT};
+use super::{report_faults, EXIT_NOT_STARTED, EXIT_REQUESTS_CUT};
 use crate::{
     daemon::{self, Daemon},
     peers::TlsMaterial,
@@ -18,19 +18,19 @@
 };
 
 /// Time between two looks at the threads.
-const LOOK_PERIOD: Duration = Duration::from_millis(200);
+const THREAD_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Runs the instance that the file at `path` describes.
 pub(super) fn run(path: &Path) -> ExitCode {
     let (settings, tls) = match read(path) {
         Ok(read) => read,
-        Err(faults) => return faulty(path, &faults),
+        Err(faults) => return report_faults(path, &faults),
     };
     report::start_logs(&settings.log_level);
     match serve(&settings, tls) {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(cut) => {
-            eprintln!("{cut} requests were cut");
+        Ok(cut_requests) => {
+            eprintln!("{cut_requests} requests were cut");
             ExitCode::from(EXIT_REQUESTS_CUT)
         }
         Err(err) => {
@@ -62,11 +62,11 @@
         let mut interrupt = signal(SignalKind::interrupt())?;
         let mut hangup = signal(SignalKind::hangup())?;
         let daemon = daemon::start(settings, tls)?;
-        let mut look = time::interval(LOOK_PERIOD);
+        let mut thread_check = time::interval(THREAD_CHECK_INTERVAL);
         loop {
             tokio::select! {
                 // Without one of its threads the instance would only seem to be alive.
-                _ = look.tick() => ensure!(!daemon.is_broken(), "a thread has ended by itself"),
+                _ = thread_check.tick() => ensure!(!daemon.is_broken(), "a thread has ended by itself"),
                 _ = terminate.recv() => break,
                 _ = interrupt.recv() => break,
                 _ = hangup.recv() => rotate(settings, &daemon),
@@ -77,7 +77,7 @@
         let (announce, drained) = oneshot::channel();
         thread::spawn(move || announce.send(daemon.stop()));
         tokio::select! {
-            cut = drained => cut.context("the daemon panicked while it stopped"),
+            cut_requests = drained => cut_requests.context("the daemon panicked while it stopped"),
             _ = terminate.recv() => Ok(in_flight.count()),
             _ = interrupt.recv() => Ok(in_flight.count()),
         }
--- a/crates/gateway/src/relay/body.rs
+++ b/crates/gateway/src/relay/body.rs
@@ -39,7 +39,7 @@
     /// Its chunks, beginning behind the tokens that were relayed.
     pub chunks: Chunks,
     /// Its place.
-    pub settling: PlacementGuard,
+    pub placement_guard: PlacementGuard,
 }
 
 /// A stream that broke.
@@ -49,28 +49,28 @@
     /// How the stream broke.
     pub failure: Failure,
     /// The charge of the request.
-    pub charged: Option<ChargeGuard>,
+    pub charge_guard: Option<ChargeGuard>,
 }
 
 /// Looks for another engine that continues a broken stream; none if there is none.
 pub type Resumer = Box<dyn FnMut(BrokenStream) -> oneshot::Receiver<Option<ResumedStream>> + Send>;
 
-enum Source {
+enum AnswerSource {
     Chunks(Chunks),
     Resuming(oneshot::Receiver<Option<ResumedStream>>, ExchangeError),
-    Over,
+    Ended,
 }
 
 /// The body of a relayed answer.
 pub struct RelayBody {
-    source: Source,
-    current: Bytes,
+    source: AnswerSource,
+    unread: Bytes,
     framing: Framing,
     events: EventSplitter,
     received_bytes: u64,
     heartbeat: Interval,
     resumer: Option<Resumer>,
-    settling: PlacementGuard,
+    placement_guard: PlacementGuard,
     running: Running,
 }
 
@@ -80,35 +80,35 @@
     pub fn new(
         chunks: Chunks,
         framing: Framing,
-        settling: PlacementGuard,
+        placement_guard: PlacementGuard,
         running: Running,
         resumer: Option<Resumer>,
     ) -> Self {
         Self {
-            source: Source::Chunks(chunks),
-            current: Bytes::new(),
+            source: AnswerSource::Chunks(chunks),
+            unread: Bytes::new(),
             framing,
             events: EventSplitter::default(),
             received_bytes: 0,
             heartbeat: interval_at(Instant::now() + HEARTBEAT_PERIOD, HEARTBEAT_PERIOD),
             resumer,
-            settling,
+            placement_guard,
             running,
         }
     }
 
     fn receive(&mut self, chunk: Bytes) -> io::Result<()> {
-        self.settling.byte_arrived();
+        self.placement_guard.byte_arrived();
         self.running.trace().byte_arrived();
         self.received_bytes += chunk.len() as u64;
         if self.framing != Framing::Events {
-            self.current = chunk;
+            self.unread = chunk;
             return Ok(());
         }
-        match self.events.feed(&chunk) {
-            Ok(whole) => {
-                self.settling.set_output_tokens(self.events.tokens());
-                self.current = whole;
+        match self.events.push(&chunk) {
+            Ok(complete) => {
+                self.placement_guard.set_output_tokens(self.events.tokens());
+                self.unread = complete;
                 Ok(())
             }
             Err(_) => {
@@ -122,44 +122,44 @@
 
     /// The chunks have ended, by the upstream or by an error.
     fn end(&mut self, broken: Option<ExchangeError>) -> io::Result<()> {
-        if self.is_whole() && (broken.is_none() || self.framing == Framing::Events) {
-            self.source = Source::Over;
-            self.settling.settle(Ending::Whole);
+        if self.is_complete() && (broken.is_none() || self.framing == Framing::Events) {
+            self.source = AnswerSource::Ended;
+            self.placement_guard.settle(Ending::Whole);
             return Ok(());
         }
         let err = broken.unwrap_or_else(|| {
             ExchangeError::Broken("the upstream ended its answer early".to_owned())
         });
         let failure = err.failure();
-        let charged = self.settling.take_charge();
+        let charge_guard = self.placement_guard.take_charge();
         match &mut self.resumer {
             Some(resume) => {
-                self.settling.settle(Ending::Failed(failure));
-                self.events.drop_rest();
+                self.placement_guard.settle(Ending::Failed(failure));
+                self.events.discard_incomplete();
                 let resuming = resume(BrokenStream {
                     relayed_tokens: self.events.tokens(),
                     failure,
-                    charged,
+                    charge_guard,
                 });
-                self.source = Source::Resuming(resuming, err);
+                self.source = AnswerSource::Resuming(resuming, err);
                 Ok(())
             }
             None => {
-                self.settling.put_charge(charged);
-                self.settling.settle(Ending::Failed(failure));
-                self.give_up(&err)
+                self.placement_guard.restore_charge(charge_guard);
+                self.placement_guard.settle(Ending::Failed(failure));
+                self.fail(&err)
             }
         }
     }
 
     /// Ends the body so that the caller never takes it for whole: a stream of events gets an error
     /// event, other bodies an I/O error.
-    fn give_up(&mut self, err: &ExchangeError) -> io::Result<()> {
-        self.source = Source::Over;
+    fn fail(&mut self, err: &ExchangeError) -> io::Result<()> {
+        self.source = AnswerSource::Ended;
         self.running.trace().refused(Cause::UpstreamFailed);
         log::warn!(received_bytes = self.received_bytes; "answer cut short: {err}");
         if self.framing == Framing::Events {
-            self.current = error_event(&err.to_string());
+            self.unread = error_event(&err.to_string());
             return Ok(());
         }
         Err(io::Error::new(
@@ -168,25 +168,28 @@
         ))
     }
 
-    fn go_on(&mut self, resumed: Option<ResumedStream>) -> io::Result<()> {
+    fn continue_from(&mut self, resumed: Option<ResumedStream>) -> io::Result<()> {
         match resumed {
-            Some(ResumedStream { chunks, settling }) => {
+            Some(ResumedStream {
+                chunks,
+                placement_guard,
+            }) => {
                 log::info!(relayed_tokens = self.events.tokens(); "stream continued elsewhere");
-                self.source = Source::Chunks(chunks);
-                self.settling = settling;
+                self.source = AnswerSource::Chunks(chunks);
+                self.placement_guard = placement_guard;
                 Ok(())
             }
             None => {
-                let err = match std::mem::replace(&mut self.source, Source::Over) {
-                    Source::Resuming(_, err) => err,
-                    Source::Chunks(_) | Source::Over => ExchangeError::Cancelled,
+                let err = match std::mem::replace(&mut self.source, AnswerSource::Ended) {
+                    AnswerSource::Resuming(_, err) => err,
+                    AnswerSource::Chunks(_) | AnswerSource::Ended => ExchangeError::Cancelled,
                 };
-                self.give_up(&err)
+                self.fail(&err)
             }
         }
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         match self.framing {
             Framing::Events => self.events.is_done(),
             Framing::Length(length_bytes) => self.received_bytes == length_bytes,
@@ -197,16 +200,16 @@
     /// Waits for the next bytes, an end, or a stream that continues this one.
     fn poll_source(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         match &mut self.source {
-            Source::Chunks(chunks) => match ready!(chunks.poll_recv(cx)) {
+            AnswerSource::Chunks(chunks) => match ready!(chunks.poll_recv(cx)) {
                 Some(Ok(chunk)) => Poll::Ready(self.receive(chunk)),
                 Some(Err(err)) => Poll::Ready(self.end(Some(err))),
                 None => Poll::Ready(self.end(None)),
             },
-            Source::Resuming(resuming, _) => {
+            AnswerSource::Resuming(resuming, _) => {
                 let resumed = ready!(Pin::new(resuming).poll(cx));
-                Poll::Ready(self.go_on(resumed.unwrap_or(None)))
+                Poll::Ready(self.continue_from(resumed.unwrap_or(None)))
             }
-            Source::Over => Poll::Ready(Ok(())),
+            AnswerSource::Ended => Poll::Ready(Ok(())),
         }
     }
 
@@ -216,7 +219,7 @@
             return Poll::Pending;
         }
         ready!(self.heartbeat.poll_tick(cx));
-        self.current = Bytes::from_static(HEARTBEAT);
+        self.unread = Bytes::from_static(HEARTBEAT);
         Poll::Ready(())
     }
 }
@@ -240,8 +243,8 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        while this.current.is_empty() {
-            if matches!(this.source, Source::Over) {
+        while this.unread.is_empty() {
+            if matches!(this.source, AnswerSource::Ended) {
                 return Poll::Ready(Ok(()));
             }
             match this.poll_source(cx) {
@@ -249,9 +252,9 @@
                 Poll::Pending => ready!(this.poll_heartbeat(cx)),
             }
         }
-        let length = this.current.len().min(buf.remaining());
-        buf.put_slice(&this.current[..length]);
-        this.current.advance(length);
+        let length = this.unread.len().min(buf.remaining());
+        buf.put_slice(&this.unread[..length]);
+        this.unread.advance(length);
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/gateway/src/relay/guard.rs
+++ b/crates/gateway/src/relay/guard.rs
@@ -9,8 +9,8 @@
 use tokio_util::sync::CancellationToken;
 
 /// Output tokens between two reports to the deciding thread.
-const REPORTED_TOKENS: u64 = 32;
-const RETRY_PAUSE: Duration = Duration::from_millis(1);
+const TOKENS_PER_PROGRESS_REPORT: u64 = 32;
+const FULL_RING_RETRY_DELAY: Duration = Duration::from_millis(1);
 
 /// A charge that has still to be settled. Dropping it settles it by the tokens noted.
 pub struct ChargeGuard {
@@ -53,7 +53,7 @@
             return;
         }
         event = unsent;
-        thread::sleep(RETRY_PAUSE);
+        thread::sleep(FULL_RING_RETRY_DELAY);
     }
 }
 
@@ -66,17 +66,17 @@
     reported_tokens: u64,
     has_first_byte: bool,
     is_settled: bool,
-    charged: Option<ChargeGuard>,
+    charge_guard: Option<ChargeGuard>,
     decide: Option<Sender<Event>>,
     cancel: CancellationToken,
 }
 
 impl PlacementGuard {
     /// A guard for a request that another instance has placed, and settles there.
-    pub fn elsewhere() -> Self {
+    pub fn placed_remotely() -> Self {
         Self {
             ticket: None,
-            charged: None,
+            charge_guard: None,
             output_tokens: 0,
             reported_tokens: 0,
             has_first_byte: false,
@@ -89,13 +89,13 @@
     /// A guard for the placement `ticket`, whose exchange is cancelled by `cancel`.
     pub fn new(
         ticket: u64,
-        charged: Option<ChargeGuard>,
+        charge_guard: Option<ChargeGuard>,
         decide: Sender<Event>,
         cancel: CancellationToken,
     ) -> Self {
         Self {
             ticket: Some(ticket),
-            charged,
+            charge_guard,
             output_tokens: 0,
             reported_tokens: 0,
             has_first_byte: false,
@@ -105,7 +105,7 @@
         }
     }
 
-    fn tell(&self, event: impl FnOnce(u64) -> Event) {
+    fn report(&self, event: impl FnOnce(u64) -> Event) {
         if let (Some(ticket), Some(decide)) = (self.ticket, &self.decide) {
             // Only an estimate is late when the ring is full.
             let _ = decide.try_send(event(ticket));
@@ -116,7 +116,7 @@
     pub fn byte_arrived(&mut self) {
         if !self.has_first_byte {
             self.has_first_byte = true;
-            self.tell(|ticket| Event::FirstByte { ticket });
+            self.report(|ticket| Event::FirstByte { ticket });
         }
     }
 
@@ -128,9 +128,9 @@
     /// Notes the output tokens relayed so far, and reports them now and then.
     pub fn set_output_tokens(&mut self, output_tokens: u64) {
         self.output_tokens = output_tokens;
-        if output_tokens >= self.reported_tokens + REPORTED_TOKENS {
+        if output_tokens >= self.reported_tokens + TOKENS_PER_PROGRESS_REPORT {
             self.reported_tokens = output_tokens;
-            self.tell(|ticket| Event::Progress {
+            self.report(|ticket| Event::Progress {
                 ticket,
                 output_tokens,
             });
@@ -151,8 +151,8 @@
         if ending != Ending::Whole {
             self.cancel.cancel();
         }
-        if let Some(charged) = &mut self.charged {
-            charged.output_tokens = self.output_tokens;
+        if let Some(charge_guard) = &mut self.charge_guard {
+            charge_guard.output_tokens = self.output_tokens;
         }
         if let (Some(ticket), Some(decide)) = (self.ticket, &self.decide) {
             let settlement = Settlement {
@@ -162,19 +162,19 @@
             };
             send(decide, Event::Settle(settlement));
         }
-        self.charged = None;
+        self.charge_guard = None;
     }
 
     /// Puts a charge back that was taken out.
-    pub fn put_charge(&mut self, charged: Option<ChargeGuard>) {
-        self.charged = charged;
+    pub fn restore_charge(&mut self, charge_guard: Option<ChargeGuard>) {
+        self.charge_guard = charge_guard;
     }
 
     /// Takes the charge out, for another attempt of the same request.
     pub fn take_charge(&mut self) -> Option<ChargeGuard> {
-        let mut charged = self.charged.take()?;
-        charged.output_tokens = self.output_tokens;
-        Some(charged)
+        let mut charge_guard = self.charge_guard.take()?;
+        charge_guard.output_tokens = self.output_tokens;
+        Some(charge_guard)
     }
 }
 
--- a/crates/gateway/src/relay/sse.rs
+++ b/crates/gateway/src/relay/sse.rs
@@ -42,7 +42,7 @@
 /// A stream of events as far as it has passed.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: BytesMut,
+    incomplete: BytesMut,
     tokens: u64,
     is_done: bool,
 }
@@ -54,25 +54,25 @@
     /// # Errors
     ///
     /// Fails when an event is longer than [`MAX_EVENT_BYTES`].
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Bytes, EventTooLong> {
-        let searched = self.rest.len().saturating_sub(END_OVERLAP_BYTES);
-        self.rest.extend_from_slice(bytes);
-        let Some(end) = end_of_events(&self.rest[searched..]) else {
-            if self.rest.len() > MAX_EVENT_BYTES {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, EventTooLong> {
+        let searched = self.incomplete.len().saturating_sub(END_OVERLAP_BYTES);
+        self.incomplete.extend_from_slice(bytes);
+        let Some(end) = end_of_events(&self.incomplete[searched..]) else {
+            if self.incomplete.len() > MAX_EVENT_BYTES {
                 return Err(EventTooLong);
             }
             return Ok(Bytes::new());
         };
-        let whole = self.rest.split_to(searched + end).freeze();
-        for line in whole.split(|byte| *byte == b'\n') {
+        let complete = self.incomplete.split_to(searched + end).freeze();
+        for line in complete.split(|byte| *byte == b'\n') {
             self.read_line(line);
         }
-        Ok(whole)
+        Ok(complete)
     }
 
     /// Forgets the beginning of an event whose end will not come.
-    pub fn drop_rest(&mut self) {
-        self.rest.clear();
+    pub fn discard_incomplete(&mut self) {
+        self.incomplete.clear();
     }
 
     /// Pieces of output that have passed; engines send one token in each.
