--- a/crates/gateway/src/dispatch/call.rs
+++ b/crates/gateway/src/dispatch/call.rs
@@ -1,4 +1,4 @@
-//! A call to an upstream and its answer.
+//! Calls to upstreams and their answers.
 
 use bytes::Bytes;
 use carobwheel_core::{retry::Failure, time::Millis};
@@ -9,24 +9,24 @@
 
 /// A call to an upstream.
 pub struct UpstreamCall {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Whole URL.
+    /// Complete URL.
     pub url: String,
-    /// Headers; nothing is added but the length and the host.
+    /// Headers; only `content-length` and `host` are added.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// Use a connection that has carried nothing before.
+    /// Whether to open a new connection instead of reusing one.
     pub fresh_connection: bool,
-    /// Time from which nothing is sent any more: the decision behind the job is too old, because
-    /// the process was paused.
+    /// Time from which the request is no longer sent, because the decision to send it is too old;
+    /// this happens when the process was paused.
     pub send_before: Millis,
-    /// Longest time until the head of the answer.
+    /// Timeout for the head of the answer.
     pub head_timeout: Duration,
-    /// Ends the exchange and closes its connection.
+    /// Cancels the exchange and closes its connection.
     pub cancel: CancellationToken,
-    /// Where the head of the answer goes.
+    /// Channel on which the head of the answer is returned.
     pub reply: oneshot::Sender<Result<AnswerHead, ExchangeError>>,
 }
 
@@ -37,16 +37,16 @@
     pub status: u16,
     /// Headers as received.
     pub headers: HeaderMap,
-    /// The body as it arrives; ends after an error.
+    /// Body as it arrives; ends after an error.
     pub chunks: mpsc::Receiver<Result<Bytes, ExchangeError>>,
 }
 
-/// Why an exchange did not end well.
+/// Error of an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExchangeError {
-    /// No connection came about, so no byte of the request left.
+    /// No connection was established, so no byte of the request was sent.
     NotConnected(String),
-    /// The connection broke after bytes may have left.
+    /// The connection broke after bytes may have been sent.
     Broken(String),
     /// The head did not arrive in time.
     Timeout,
@@ -55,7 +55,7 @@
 }
 
 impl ExchangeError {
-    /// The failure as the retry rules see it. A cancelled exchange may have run.
+    /// Returns the failure for the retry rules. The request of a cancelled exchange may have run.
     pub fn failure(&self) -> Failure {
         match self {
             Self::NotConnected(_) => Failure::ConnectFailed,
--- a/crates/gateway/src/dispatch/client.rs
+++ b/crates/gateway/src/dispatch/client.rs
@@ -7,13 +7,13 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The clients of the dispatching thread.
+/// HTTP clients of the dispatch thread.
 #[derive(Clone)]
 pub(super) struct Clients {
-    /// Reuses connections; for first tries of idempotent requests.
+    /// Reuses connections; for first attempts of idempotent requests.
     pub(super) pooled: Client,
-    /// Opens a connection for each request; for retries and for actions that may not be repeated,
-    /// since an error on a reused connection does not tell whether the request was delivered.
+    /// Opens a connection for each request; for retries and for actions that must run at most once,
+    /// since after an error on a reused connection it is unknown whether the request was delivered.
     pub(super) fresh: Client,
 }
 
@@ -32,8 +32,8 @@
     }
 }
 
-// An upstream never decides where a request goes next, nor does the environment, and whether a
-// request is repeated is decided elsewhere.
+// No redirects and no proxies: neither an upstream nor the environment may change the destination
+// of a request. No retries: those are decided by the decision thread.
 fn builder() -> ClientBuilder {
     Client::builder()
         .connect_timeout(CONNECT_TIMEOUT)
--- a/crates/gateway/src/dispatch/exchange.rs
+++ b/crates/gateway/src/dispatch/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with an upstream, from the first byte sent to the last byte received.
+//! An HTTP exchange with an upstream, from the first byte sent to the last byte received.
 
 use super::{client::Clients, AnswerHead, ExchangeError, UpstreamCall};
 use bytes::Bytes;
@@ -8,17 +8,17 @@
 use tokio::{sync::mpsc, time};
 use tokio_util::sync::CancellationToken;
 
-/// Chunks that wait for a slow caller at most.
+/// Maximum number of chunks queued for a slow caller.
 const CHUNK_QUEUE_LENGTH: usize = 16;
-/// Longest silence inside an answer.
+/// Timeout between two chunks of an answer.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Runs `job`. Dropping the response on any early return closes its connection, so that a late
-/// answer can never be taken for that of another request.
+/// Runs `call`. Every early return drops the response, which closes its connection, so that a late
+/// answer cannot be mistaken for that of another request.
 pub(super) async fn run(clients: Clients, clock: Clock, call: UpstreamCall) {
     if clock.now() >= call.send_before {
         let detail = "the decision to send is too old".to_owned();
-        // The receiver may be gone already.
+        // The receiver may have been dropped.
         let _ = call.reply.send(Err(ExchangeError::NotConnected(detail)));
         return;
     }
@@ -35,7 +35,7 @@
     let answer = tokio::select! {
         answer = time::timeout(call.head_timeout, sent) => answer,
         () = call.cancel.cancelled() => {
-            // The receiver may be gone already.
+            // The receiver may have been dropped.
             let _ = call.reply.send(Err(ExchangeError::Cancelled));
             return;
         }
@@ -94,7 +94,7 @@
     ExchangeError::Broken(detail)
 }
 
-// The outer errors repeat the URL, which callers have no business with.
+// The outer errors contain the upstream's URL, which must not be disclosed to callers.
 fn root_cause(err: &reqwest::Error) -> String {
     let mut cause: &dyn std::error::Error = err;
     while let Some(source) = cause.source() {
--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -1,8 +1,8 @@
 //! Calls to upstreams.
 //!
-//! One thread with an event loop of its own runs every exchange. A job comes in through a bounded
-//! ring; its answer goes back as a head and a bounded queue of chunks, so a slow caller slows its
-//! upstream down instead of filling memory.
+//! One thread with its own event loop runs every exchange. Calls arrive through a bounded ring;
+//! each answer is returned as a head and a bounded queue of chunks, so that a slow caller slows
+//! down its upstream instead of filling memory.
 
 mod call;
 mod client;
@@ -18,10 +18,10 @@
 use tokio::{runtime, task};
 use tokio_util::sync::CancellationToken;
 
-/// Jobs that wait for the dispatching thread at most.
+/// Maximum number of calls that wait for the dispatch thread.
 pub const MAX_QUEUED_CALLS: usize = 8_192;
 
-/// Starts the dispatching thread, which ends when `cancel` is cancelled.
+/// Starts the dispatch thread, which ends when `cancel` is cancelled.
 ///
 /// # Errors
 ///
@@ -35,7 +35,7 @@
     let event_loop = runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .context("cannot set up the dispatching event loop")?;
+        .context("cannot set up the event loop of the dispatch thread")?;
     let thread = thread::Builder::new()
         .name("dispatch".to_owned())
         .spawn(move || {
@@ -50,6 +50,6 @@
                 }
             });
         })
-        .context("cannot start the dispatching thread")?;
+        .context("cannot start the dispatch thread")?;
     Ok((sender, thread))
 }
--- a/crates/gateway/src/intake/action/mod.rs
+++ b/crates/gateway/src/intake/action/mod.rs
@@ -1,7 +1,7 @@
-//! Actions that may not be repeated: claimed in the store before anything is sent.
+//! Actions that must run at most once: each is claimed in the store before anything is sent.
 //!
-//! The state machine is [`carobwheel_core::once::Action`]; this module carries out its effects.
-//! An action goes on when its caller leaves, since its outcome has still to be recorded.
+//! The state machine is [`carobwheel_core::once::Action`]; this module executes its effects. An
+//! action continues after its caller has disconnected, since its outcome has still to be recorded.
 
 mod records;
 mod upstream;
@@ -28,19 +28,19 @@
 use std::{collections::VecDeque, pin::pin, sync::Arc, time::Duration};
 use tokio::{sync::oneshot, time};
 
-/// Longest time for which an answer waits for its record.
+/// Maximum delay of an answer while its outcome is being recorded.
 const MAX_RELAY_DELAY: Duration = Duration::from_millis(500);
 
 type AnswerSender = oneshot::Sender<Result<Answer, Refusal>>;
 
-/// Runs the action of `classified` and answers as soon as its fate is known.
+/// Runs the action of `classified` and returns its answer as soon as the outcome is known.
 pub(super) async fn run(
     shared: &Arc<IntakeState>,
     classified: ClassifiedRequest,
     running: Running,
 ) -> Result<Answer, Refusal> {
     let spec = action_spec(&classified)?;
-    // The placement comes first: a request that is refused costs the store nothing.
+    // Placed before it is claimed, so that a refused request causes no store traffic.
     let placement = match attempt::place(shared, &classified, &[], None).await? {
         Destination::Upstream(placement) => placement,
         Destination::Instance(to) => return forward::send(shared, &classified, to, running).await,
@@ -72,7 +72,7 @@
             })?;
             Some(key)
         }
-        // Keys of callers without an account would collide.
+        // Idempotency keys are scoped to an account; without one, keys of several callers collide.
         (Caller::Open, Some(_)) => {
             let message = "an Idempotency-Key needs an account";
             return Err(Refusal::not_run(Cause::InvalidRequest, message));
@@ -92,7 +92,7 @@
     })
 }
 
-/// Carries out the effects of one action.
+/// Executor of one action's effects.
 struct Driver {
     shared: Arc<IntakeState>,
     action: Action,
@@ -115,7 +115,7 @@
         }
         assert!(
             self.reply.is_none(),
-            "an action ends with an answer to its caller"
+            "an action must answer its caller before it ends"
         );
     }
 
@@ -156,7 +156,7 @@
             }
             Effect::Dispatch { call, send_before } => self.dispatch(call, send_before).await,
             Effect::Relay => {
-                // With a key the answer follows the record, so that a repeat finds it.
+                // With an idempotency key the outcome is recorded first, so that a repeat finds it.
                 if self.classified.idempotency_key.is_none() {
                     self.send_pending_answer();
                 }
@@ -191,14 +191,17 @@
         action_records.create(key, record, lease).await
     }
 
-    /// Writes the outcome and relays the answer, which does not wait long for a slow store.
+    /// Writes the outcome and then sends the answer, or sends it after [`MAX_RELAY_DELAY`] if the
+    /// store is slow.
     async fn write_outcome(
         &mut self,
         key: &OnceKey,
         record: &ActionRecord,
         revision: u64,
     ) -> StoreAnswer {
-        let lease = self.lease.expect("an outcome follows a claim on a lease");
+        let lease = self
+            .lease
+            .expect("a claim with a lease precedes every outcome");
         let shared = Arc::clone(&self.shared);
         let mut write = pin!(shared.action_records.write(key, record, revision, lease));
         let written = time::timeout(MAX_RELAY_DELAY, &mut write).await;
@@ -237,7 +240,7 @@
             .collect()
     }
 
-    // A caller that has gone drops the receiving end.
+    // Sending fails when the caller has disconnected and dropped the receiver.
     fn send_answer(&mut self, answer: Result<Answer, Refusal>) {
         if let Some(reply) = self.reply.take() {
             let _ = reply.send(answer);
@@ -245,8 +248,8 @@
     }
 }
 
-/// The answer of the state machine as the caller gets it. `refusal` is what the deciding thread
-/// last said, and is told to the caller when no upstream took the request.
+/// Converts the answer of the state machine into the answer for the caller. `refusal` is the last
+/// refusal of the decision thread; the caller gets it when no upstream accepted the request.
 fn final_answer(answer: &once::Answer, refusal: Option<Refusal>) -> Result<Answer, Refusal> {
     match answer {
         once::Answer::Replay(outcome) => Ok(replayed_answer(outcome)),
--- a/crates/gateway/src/intake/action/records.rs
+++ b/crates/gateway/src/intake/action/records.rs
@@ -1,4 +1,4 @@
-//! Records of actions in the store.
+//! Storage of action records.
 
 use crate::store::{Record as Stored, StoreClient, WriteOutcome};
 use carobwheel_core::{
@@ -7,7 +7,7 @@
 };
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The records of this instance's actions.
+/// Client for the action records in the store, with the leases that this instance's records use.
 pub(crate) struct ActionRecords {
     store: StoreClient,
     leases: Mutex<LeasePool>,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// A lease on which a record lives for at least `lifetime_ms`.
+    /// Returns a lease that lasts for at least `lifetime_ms`; `None` if the store grants none.
     pub(super) async fn lease(&self, lifetime_ms: u64, now: Millis) -> Option<LeaseId> {
         let choice = self.leases().choose(lifetime_ms, now);
         match choice {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Creates the record on `lease` unless the key is present.
+    /// Creates the record under `lease` unless the key exists.
     pub(super) async fn create(
         &self,
         key: &OnceKey,
@@ -46,13 +46,13 @@
             .create(key.as_str(), &record.to_json(), lease.0)
             .await;
         if let WriteOutcome::NotWritten { .. } = &written {
-            // The store may have lost the lease; the next record gets a new one.
+            // The lease may no longer exist in the store, so the next record gets a new one.
             self.leases().forget(lease);
         }
         answer_of(written)
     }
 
-    /// Reads the record.
+    /// Reads the record of `key`.
     pub(super) async fn read(&self, key: &OnceKey) -> StoreAnswer {
         match self.store.get(key.as_str()).await {
             Ok(Some(stored)) => found(&stored),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Writes the outcome over the claim of `revision`, which hangs on `lease`.
+    /// Replaces the claim of `revision`, which is attached to `lease`, by a record of the outcome.
     pub(super) async fn write(
         &self,
         key: &OnceKey,
@@ -83,7 +83,7 @@
     pub(super) async fn release(&self, key: &OnceKey, record: &ActionRecord) {
         if let Ok(Some(stored)) = self.store.get(key.as_str()).await {
             if ActionRecord::from_json(&stored.value).is_ok_and(|held| held == *record) {
-                // A claim that stays until its lease ends only blocks a repeat.
+                // A failed deletion is harmless: the claim blocks repeats until its lease expires.
                 let _ = self
                     .store
                     .delete_if(key.as_str(), stored.mod_revision)
--- a/crates/gateway/src/intake/action/upstream.rs
+++ b/crates/gateway/src/intake/action/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream's side of an action.
+//! Attempts of an action at upstreams.
 
 use super::super::{
     answer::Answer,
@@ -20,15 +20,15 @@
 use reqwest::header::RETRY_AFTER;
 use std::sync::Arc;
 
-/// Longest answer of an action, in bytes.
+/// Maximum size of an action's answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 4 * 1_024 * 1_024;
 
-/// A placement and the exchange on it.
+/// Upstream of an action: its current placement and the upstreams already tried.
 pub(super) struct ActionUpstream {
     placement: Option<Placement>,
     charge_guard: Option<ChargeGuard>,
     tried: Vec<UpstreamId>,
-    /// What the deciding thread said when it had no placement.
+    /// Last refusal of the decision thread to place the action.
     pub(super) refusal: Option<Refusal>,
 }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Makes sure that there is a placement.
+    /// Requests a placement unless there is one; returns whether there is one now.
     pub(super) async fn ensure_placed(
         &mut self,
         shared: &IntakeState,
@@ -54,14 +54,15 @@
         let charge_guard = self.charge_guard.take();
         match attempt::place(shared, classified, &self.tried, charge_guard).await {
             Ok(Destination::Upstream(placement)) => self.placement = Some(placement),
-            // Another instance would claim the action anew, under a claim that is held here.
+            // Not forwarded: the other instance would claim the action again while this one holds
+            // the claim.
             Ok(Destination::Instance(_)) => {}
             Err(refusal) => self.refusal = Some(refusal),
         }
         self.placement.is_some()
     }
 
-    /// Sends the request once, on a connection of its own, and gathers the whole answer.
+    /// Sends the request once, on a new connection, and reads the complete answer.
     pub(super) async fn exchange(
         &mut self,
         shared: &Arc<IntakeState>,
@@ -70,10 +71,10 @@
         let mut placement = self
             .placement
             .take()
-            .expect("a placement is found before an exchange");
+            .expect("an exchange needs a placement");
         let exchange = attempt::dispatch(shared, classified, &placement, true).await;
         let placement_guard = &mut placement.placement_guard;
-        let gathered = match exchange {
+        let received = match exchange {
             Ok(head) if is_refusal(&head) => {
                 self.charge_guard = placement_guard.take_charge();
                 placement_guard.settle(Ending::Failed(Failure::RefusedNotRun));
@@ -83,7 +84,7 @@
             Ok(head) => read_answer(head, placement_guard).await,
             Err(err) => Err(err),
         };
-        match gathered {
+        match received {
             Ok((outcome, answer)) => {
                 placement_guard.settle(Ending::Whole);
                 let events = vec![UpstreamEvent::Head, UpstreamEvent::Done(outcome)];
@@ -103,8 +104,8 @@
     }
 }
 
-/// Whether the upstream itself says that it did not run the request: 429, or 503 with the time
-/// after which to come again. A bare 503 may also come from something that gave up waiting.
+/// Whether the upstream states that it did not run the request: status 429, or 503 with
+/// `retry-after`. A 503 without it may also come from a proxy that timed out during the request.
 fn is_refusal(head: &AnswerHead) -> bool {
     match head.status {
         429 => true,
--- a/crates/gateway/src/intake/answer.rs
+++ b/crates/gateway/src/intake/answer.rs
@@ -13,17 +13,17 @@
 use std::io::Cursor;
 
 const MS_PER_S: u64 = 1_000;
-/// Chunk in which a relayed body is read, in bytes.
+/// Maximum size of the chunks in which a relayed body is read, in bytes.
 const MAX_CHUNK_BYTES: usize = 16 * 1_024;
 
 /// Body of an answer.
 pub(super) enum AnswerBody {
-    /// A body in hand.
+    /// A complete body in memory.
     Buffered(Bytes),
-    /// A stream of events, whose last event tells that it is whole.
+    /// A stream of server-sent events; its last event marks it as complete.
     Events(Box<RelayBody>),
-    /// A body of this many bytes that is relayed as it arrives. The length tells the caller
-    /// whether it is whole.
+    /// A body of this many bytes that is relayed as it arrives. From the length the caller can tell
+    /// whether it is complete.
     Sized(Box<RelayBody>, u64),
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl Answer {
-    /// An answer with its body in hand.
+    /// Creates an answer with a complete body and no headers.
     pub(super) fn buffered(status: u16, run: Execution, body: Bytes) -> Self {
         Self {
             status,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A JSON answer of the gateway's own.
+    /// Creates a JSON answer that the gateway itself produces.
     pub(super) fn json(status: u16, run: Execution, body: &serde_json::Value) -> Self {
         Self {
             status,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A refusal in the shape of the OpenAI API.
+    /// Creates the answer for a refusal, in the error format of the OpenAI API.
     pub(super) fn refusal(refusal: &Refusal) -> Self {
         let body = serde_json::json!({
             "error": {
@@ -76,7 +76,7 @@
         answer
     }
 
-    /// The answer as Rocket sends it.
+    /// Converts the answer into a Rocket response.
     pub(super) fn into_response<'r>(self, request_id: &RequestId, close: bool) -> Response<'r> {
         let mut response = Response::build();
         response.status(Status::new(self.status));
--- a/crates/gateway/src/intake/attempt.rs
+++ b/crates/gateway/src/intake/attempt.rs
@@ -1,4 +1,4 @@
-//! A request that has been read and classified, and its steps towards an upstream.
+//! Attempts of a classified request: placement, dispatch and the question whether to retry.
 
 use super::{classify, upstream_headers, IntakeState};
 use crate::{
@@ -30,7 +30,7 @@
     pub(super) request_id: RequestId,
     pub(super) method: Method,
     pub(super) path_and_query: String,
-    /// Headers that any upstream may see.
+    /// Headers on the allow-list for upstreams.
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
     pub(super) idempotency_key: Option<String>,
@@ -38,30 +38,30 @@
     pub(super) classification: classify::Classification,
     pub(super) deadline: Millis,
     pub(super) hops: Hops,
-    /// Ends the request and every exchange of it.
+    /// Cancels the request and each of its exchanges.
     pub(super) cancel: CancellationToken,
-    /// Room that the body takes while the request runs.
+    /// Permit for the memory of the body, held while the request runs.
     pub(super) _body_memory: Arc<OwnedSemaphorePermit>,
 }
 
-/// A placement at an upstream, given back when it is dropped.
+/// Placement of a request at an upstream, released when it is dropped.
 pub(super) struct Placement {
     pub(super) placed: Placed,
     pub(super) placement_guard: PlacementGuard,
-    /// Ends the exchange on this placement.
+    /// Cancels the exchange of this placement.
     pub(super) cancel: CancellationToken,
 }
 
-/// Where a request goes.
+/// Destination of a request.
 pub(super) enum Destination {
-    /// To an upstream.
+    /// An upstream.
     Upstream(Placement),
-    /// To another instance.
+    /// Another instance, to which the request is forwarded.
     Instance(ForwardTo),
 }
 
-/// Asks for a placement at an upstream that is not among `tried`. `charge_guard` is the charge of an
-/// earlier attempt.
+/// Requests a placement at an upstream that is not in `tried`. `charge_guard` holds the charge of
+/// an earlier attempt.
 pub(super) async fn place(
     shared: &IntakeState,
     classified: &ClassifiedRequest,
@@ -134,7 +134,7 @@
     Duration::from_millis(classified.deadline.since(shared.clock.now()))
 }
 
-/// Sends the request to its placement.
+/// Sends the request to the upstream of its placement.
 pub(super) async fn dispatch(
     shared: &IntakeState,
     classified: &ClassifiedRequest,
@@ -164,7 +164,7 @@
         .unwrap_or_else(|_| Err(ExchangeError::Cancelled))
 }
 
-/// Time after which a failed attempt is followed by another, in milliseconds; none if it is not.
+/// Returns the delay before the next attempt, in milliseconds; `None` if there is no retry.
 pub(super) async fn retry_delay_ms(
     shared: &IntakeState,
     classified: &ClassifiedRequest,
--- a/crates/gateway/src/intake/body.rs
+++ b/crates/gateway/src/intake/body.rs
@@ -1,4 +1,4 @@
-//! The body of a request: read whole, bounded in size, memory and time.
+//! Reading of request bodies, limited in size, memory and time.
 
 use super::{head::BodyLength, IntakeState, BODY_UNIT_BYTES};
 use crate::refusal::{Cause, Refusal};
@@ -7,7 +7,7 @@
 use std::{sync::Arc, time::Duration};
 use tokio::{sync::OwnedSemaphorePermit, time};
 
-/// A whole body and the memory_permit that it takes while its request runs.
+/// A complete request body and the permit for its memory, held while the request runs.
 pub(super) struct BufferedBody {
     pub(super) bytes: Bytes,
     pub(super) memory_permit: OwnedSemaphorePermit,
@@ -51,7 +51,7 @@
     u32::try_from(bytes.div_ceil(BODY_UNIT_BYTES as u64)).unwrap_or(u32::MAX)
 }
 
-/// Room for a body of `bytes` in memory.
+/// Reserves memory for a body of `bytes`.
 pub(super) fn reserve_memory(
     shared: &IntakeState,
     bytes: u64,
@@ -64,7 +64,7 @@
         })
 }
 
-// The server reports a body that was cut short as complete.
+// Rocket reports a truncated body as complete, so the length is checked here.
 fn check_length(length: BodyLength, body_bytes: u64, max_body_bytes: u64) -> Result<(), Refusal> {
     if body_bytes > max_body_bytes {
         return Err(too_large(max_body_bytes));
--- a/crates/gateway/src/intake/buffer.rs
+++ b/crates/gateway/src/intake/buffer.rs
@@ -1,4 +1,5 @@
-//! Gathers short answers, so that a cut one becomes a refusal instead of a cut answer.
+//! Buffering of short answers, so that a truncated one becomes a refusal instead of a truncated
+//! answer.
 
 use super::answer::AnswerBody;
 use crate::{
@@ -14,10 +15,10 @@
 use serde::Deserialize;
 use tokio::sync::mpsc;
 
-/// Longest answer of a known length that is gathered before it is passed on, in bytes.
+/// Maximum size of an answer of known length that is buffered before it is sent on, in bytes.
 const MAX_BUFFERED_BYTES: u64 = 1_024 * 1_024;
-/// Longest answer of an unknown length, in bytes. The server ends a chunked body in the same way
-/// whether it is whole or cut, so an answer has to be in hand or its length has to be known.
+/// Maximum size of an answer of unknown length, in bytes. Rocket ends a chunked body in the same
+/// way whether it is complete or truncated, so an answer is either buffered or of known length.
 const MAX_UNKNOWN_LENGTH_BYTES: usize = 16 * 1_024 * 1_024;
 
 #[derive(Deserialize)]
@@ -25,7 +26,7 @@
     usage: Option<Usage>,
 }
 
-/// Gathers an answer. One that is long is relayed as it arrives.
+/// Buffers an answer; one longer than [`MAX_BUFFERED_BYTES`] is relayed as it arrives.
 pub(super) async fn buffer_answer(
     mut chunks: mpsc::Receiver<Result<Bytes, ExchangeError>>,
     framing: Framing,
--- a/crates/gateway/src/intake/classify.rs
+++ b/crates/gateway/src/intake/classify.rs
@@ -1,4 +1,4 @@
-//! Finds out what a request asks for: a model and its class, or a plain route.
+//! Classification of requests: a model and its class, or a service route.
 
 use super::head::BodyLength;
 use crate::{
@@ -14,23 +14,23 @@
 use rocket::http::Method;
 use std::ops::RangeInclusive;
 
-/// Bytes of prompt that are counted as one token.
+/// Prompt bytes that count as one token.
 const BYTES_PER_TOKEN: u64 = 4;
 const MS_PER_S: u64 = 1_000;
-/// Answers that one request may ask for.
+/// Numbers of answers that one request may ask for (`n`).
 const ANSWERS_PER_REQUEST: RangeInclusive<u64> = 1..=16;
 const MODEL_PATHS: [&str; 2] = [CHAT_PATH, COMPLETIONS_PATH];
 
-/// What the path of a request leads to.
+/// Endpoint that a request addresses.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Endpoint<'a> {
-    /// A call of a model, named in the body.
+    /// A model call; the body names the model.
     Model,
-    /// A plain route.
+    /// A route to a service.
     Route(&'a Route),
 }
 
-/// What a request asks for and what it may cost.
+/// Target, limits and maximum cost of a request.
 #[derive(Clone, Debug)]
 pub(super) struct Classification {
     pub(super) target: Target,
@@ -40,13 +40,13 @@
     pub(super) bound_region: Option<RegionId>,
     pub(super) idempotent: bool,
     pub(super) deadline_ms: u64,
-    /// Time for which the outcome of an action is kept, in milliseconds.
+    /// Retention of an action's outcome, in milliseconds.
     pub(super) outcome_kept_ms: u64,
-    /// Every copy of the service drops a second action with the same idempotency key.
+    /// Whether every upstream of the service ignores a second action with the same idempotency key.
     pub(super) deduplicates: bool,
 }
 
-/// The endpoint that the head of a request leads.
+/// Finds the endpoint that the head of a request addresses.
 pub(super) fn endpoint<'a>(
     document: &'a Document,
     path: &str,
@@ -75,7 +75,7 @@
     Ok(Endpoint::Route(route))
 }
 
-/// What the whole request asks for.
+/// Classifies a request whose body has been read.
 pub(super) fn classify(
     document: &Document,
     endpoint: Endpoint<'_>,
@@ -85,8 +85,8 @@
     match endpoint {
         Endpoint::Model => classify_model_call(document, account, body),
         Endpoint::Route(route) => {
-            let of_account = account.and_then(|account| account.bound_region.clone());
-            classify_route_call(document, route, of_account)
+            let account_region = account.and_then(|account| account.bound_region.clone());
+            classify_route_call(document, route, account_region)
         }
     }
 }
@@ -145,7 +145,7 @@
     })
 }
 
-/// Output tokens of all the answers that the request asks for.
+/// Maximum output tokens of all answers that the request asks for together.
 fn max_output_tokens(view: &RequestView<'_>, model: &Model) -> Result<u64, Refusal> {
     let per_answer = view
         .max_output_tokens()
@@ -174,9 +174,10 @@
     account_region: Option<RegionId>,
 ) -> Result<Classification, Refusal> {
     let bound_region = match (&route.bound_region, account_region) {
-        (Some(of_route), Some(of_account)) if *of_route != of_account => {
-            let message =
-                format!("the route is bound to region `{of_route}`, the account to `{of_account}`");
+        (Some(route_region), Some(account_region)) if *route_region != account_region => {
+            let message = format!(
+                "the route is bound to region `{route_region}`, the account to `{account_region}`"
+            );
             return Err(Refusal::not_run(Cause::WrongRegion, message));
         }
         (Some(region), _) => Some(region.clone()),
--- a/crates/gateway/src/intake/entry_points.rs
+++ b/crates/gateway/src/intake/entry_points.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/entry`: which instances callers should use, in order.
+//! `GET /v1/entry`: the instances that callers may use, in order of preference.
 
 use arc_swap::ArcSwap;
 use carobwheel_core::{
@@ -9,10 +9,10 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// Time for which callers may use an answer, in seconds.
+/// Time for which callers may cache the list, in seconds.
 pub const ENTRY_POINTS_LIFETIME_S: u64 = 10;
 
-/// One instance that callers may use.
+/// An instance that callers may use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct EntryPoint {
     /// Name of the instance.
@@ -21,24 +21,24 @@
     pub region: RegionId,
     /// Base URL for callers.
     pub url: String,
-    /// Shards of accounts that the instance counts for, with its role.
+    /// Account shards that the instance owns, with its role.
     #[serde(skip)]
     pub owned_shards: Vec<(u16, Role)>,
 }
 
-/// Instances that callers may use, best first.
+/// Instances that callers may use, in order of preference.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct EntryPointList {
     /// The instances.
     pub entries: Vec<EntryPoint>,
-    /// Time for which the list may be used, in seconds.
+    /// Time for which callers may cache the list, in seconds.
     pub lifetime_s: u64,
 }
 
 impl EntryPointList {
-    /// The list for callers of `account`: only instances of the region that the account is bound
-    /// to, and in each region first those that count for the account, so that its requests need
-    /// no tokens from elsewhere.
+    /// Returns the list for callers of `account`: only instances of the region that the account is
+    /// bound to, and in each region first the owners of the account's shard, so that its requests
+    /// need no tokens from other instances.
     pub(super) fn for_account(&self, account: &Account) -> Self {
         let shard = shard_of(&account.id);
         let owner_rank = |entry: &EntryPoint| {
@@ -55,8 +55,9 @@
         };
         let mut entries: Vec<EntryPoint> =
             self.entries.iter().filter(is_allowed).cloned().collect();
-        let order: Vec<RegionId> = self.entries.iter().map(|it| it.region.clone()).collect();
-        let region_rank = |entry: &EntryPoint| order.iter().position(|it| *it == entry.region);
+        let region_order: Vec<RegionId> = self.entries.iter().map(|it| it.region.clone()).collect();
+        let region_rank =
+            |entry: &EntryPoint| region_order.iter().position(|it| *it == entry.region);
         entries.sort_by_key(|entry| (region_rank(entry), owner_rank(entry)));
         Self {
             entries,
@@ -65,14 +66,14 @@
     }
 }
 
-/// The shared place of the list; the deciding thread replaces it.
+/// Shared list of entry points, replaced by the decision thread.
 #[derive(Clone, Debug, Default)]
 pub struct SharedEntryPoints {
     list: Arc<ArcSwap<EntryPointList>>,
 }
 
 impl SharedEntryPoints {
-    /// The newest list.
+    /// Returns the current list.
     pub fn load(&self) -> Arc<EntryPointList> {
         self.list.load_full()
     }
--- a/crates/gateway/src/intake/forward.rs
+++ b/crates/gateway/src/intake/forward.rs
@@ -1,4 +1,4 @@
-//! Requests that go to another instance, from the side that sends them.
+//! Sending side of forwarding a request to another instance.
 
 use super::{answer::Answer, attempt::ClassifiedRequest, pipeline, IntakeState};
 use crate::{
@@ -20,13 +20,13 @@
 use std::time::Duration;
 use tokio::{sync::mpsc, time};
 
-/// Parts of a body that wait between two threads.
+/// Capacity of the queue of body parts between two threads.
 const PART_QUEUE_LENGTH: usize = 16;
-/// Largest part of a body, in bytes.
+/// Maximum size of a body part, in bytes.
 const MAX_PART_BYTES: usize = 64 * 1_024;
 
-/// Who a forwarded request runs for. The receiver checks it against its own document; the key
-/// itself stays where the caller presented it.
+/// Credential of a forwarded request, which the receiver checks against its own document. The key
+/// itself never leaves the instance to which the caller presented it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct ForwardedCredential {
     pub(super) account: AccountId,
@@ -40,16 +40,16 @@
     pub(super) request: RequestId,
     pub(super) method: String,
     pub(super) path_and_query: String,
-    /// Headers that any upstream may see.
+    /// Headers on the allow-list for upstreams.
     pub(super) headers: Vec<(String, String)>,
     pub(super) idempotency_key: Option<String>,
-    /// None on open routes.
+    /// `None` on open routes.
     pub(super) credential: Option<ForwardedCredential>,
     pub(super) body_bytes: u64,
     pub(super) hops: Hops,
 }
 
-/// What an answer says about the request having run.
+/// Whether the request ran, in encoded form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum ForwardedRun {
     NotRun,
@@ -101,7 +101,7 @@
     let bytes = classified.body.clone();
     let sending = async move {
         send_body(bytes, &parts).await;
-        // Dropping the sender before the answer would cancel the request.
+        // Dropping the sender before the answer has arrived would cancel the request.
         parts.closed().await;
     };
     tokio::spawn(sending);
@@ -157,7 +157,7 @@
             return;
         }
     }
-    // A peer that has answered early does not need the rest.
+    // Sending fails when the peer answered early; it does not need the rest then.
     let _ = parts.send(Part::End).await;
 }
 
@@ -168,18 +168,23 @@
     };
     let (chunks, received) = mpsc::channel(PART_QUEUE_LENGTH);
     tokio::spawn(relay_chunks(answer.body, chunks));
-    let exchanged = AnswerHead {
+    let answer_head = AnswerHead {
         status: head.status,
         headers: header_map(&head.headers),
         chunks: received,
     };
-    let mut answer =
-        pipeline::relay_answer(exchanged, PlacementGuard::placed_remotely(), running, None).await?;
+    let mut answer = pipeline::relay_answer(
+        answer_head,
+        PlacementGuard::placed_remotely(),
+        running,
+        None,
+    )
+    .await?;
     answer.run = head.run.into();
     Ok(answer)
 }
 
-/// Turns the parts of a body into chunks; a body that breaks off ends with an error.
+/// Converts body parts into chunks; a body that ends without its last part ends with an error.
 async fn relay_chunks(
     mut parts: mpsc::Receiver<Part>,
     chunks: mpsc::Sender<Result<Bytes, ExchangeError>>,
--- a/crates/gateway/src/intake/forwarded.rs
+++ b/crates/gateway/src/intake/forwarded.rs
@@ -1,7 +1,7 @@
-//! Requests that another instance has forwarded here.
+//! Receiving side of forwarding: requests that another instance has forwarded to this one.
 //!
-//! One thread with an event loop of its own. A forwarded request passes the same filters as one
-//! of a caller, but is identified by its credential instead of a key.
+//! They run on a thread with its own event loop. A forwarded request passes the same stages as one
+//! from a caller, but is identified by its credential instead of a key.
 
 use super::{
     answer::{Answer, AnswerBody},
@@ -26,9 +26,9 @@
 use tokio::{io::AsyncReadExt as _, runtime, sync::mpsc};
 use tokio_util::sync::CancellationToken;
 
-/// Forwarded requests that wait for their thread at most.
+/// Maximum number of forwarded requests that wait for their thread.
 pub(crate) const MAX_QUEUED_FORWARDS: usize = 1_024;
-/// Largest part of an answer, in bytes.
+/// Maximum size of an answer part, in bytes.
 const MAX_PART_BYTES: usize = 16 * 1_024;
 
 /// Starts the thread, which ends when `cancel` is cancelled.
@@ -159,7 +159,7 @@
     }
 }
 
-/// The whole body, or none if it broke off or is not as long as announced.
+/// Reads the body; returns `None` if it is truncated or not as long as announced.
 async fn read_body(mut parts: mpsc::Receiver<Part>, body_bytes: u64) -> Option<Bytes> {
     let mut body = BytesMut::new();
     loop {
@@ -211,7 +211,7 @@
         AnswerBody::Events(body) | AnswerBody::Sized(body, _) => send_stream(*body, &parts).await,
     };
     if is_whole {
-        // The peer may have gone away at the very end.
+        // The peer may have disconnected in the meantime.
         let _ = parts.send(Part::End).await;
     }
 }
--- a/crates/gateway/src/intake/handler.rs
+++ b/crates/gateway/src/intake/handler.rs
@@ -1,4 +1,4 @@
-//! Rocket's side of the intake: routes, catchers and the answers that need no upstream.
+//! Rocket handler for callers, with the endpoints that need no upstream, and the error catcher.
 
 use super::{
     answer::{Answer, AnswerBody},
@@ -27,18 +27,18 @@
     Method::Options,
 ];
 
-/// Routes for callers: every path and method leads to one handler.
+/// Returns the routes for callers: every path and method is served by one handler.
 pub(super) fn routes(shared: &Arc<IntakeState>) -> Vec<Route> {
     let route = |method| Route::new(method, "/<path..>", CallerHandler(Arc::clone(shared)));
     METHODS.into_iter().map(route).collect()
 }
 
-/// Catchers for what Rocket refuses by itself.
+/// Returns the catcher for requests that Rocket itself rejects.
 pub(super) fn catchers() -> Vec<Catcher> {
-    vec![Catcher::new(None, refuse_unrouted)]
+    vec![Catcher::new(None, catch_error)]
 }
 
-fn refuse_unrouted<'r>(status: Status, _request: &'r Request<'_>) -> BoxFuture<'r> {
+fn catch_error<'r>(status: Status, _request: &'r Request<'_>) -> BoxFuture<'r> {
     let cause = match status.code {
         404 => Cause::NotFound,
         405 => Cause::MethodNotAllowed,
@@ -52,7 +52,7 @@
     Box::pin(async move { catcher::Result::Ok(response) })
 }
 
-// A request that Rocket refuses has not been given a name.
+// Requests that Rocket rejects get no identifier of their own.
 fn placeholder_request_id() -> RequestId {
     "unnamed".parse().expect("a constant identifier is valid")
 }
--- a/crates/gateway/src/intake/head.rs
+++ b/crates/gateway/src/intake/head.rs
@@ -1,18 +1,18 @@
-//! The head of a request: method, path, framing and the caller's key.
+//! Parsing of a request's head: method, path, framing and the caller's key.
 
 use crate::refusal::{Cause, Refusal};
 use rocket::{http::Method, Request};
 
-/// Longest path with query, in bytes.
+/// Maximum length of a path with its query, in bytes.
 const MAX_PATH_BYTES: usize = 8_192;
 const KEY_HEADERS: [&str; 2] = ["x-api-key", "api-key"];
 
-/// How the length of a request's body is known.
+/// Length of a request's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyLength {
-    /// By `content-length`, or no body at all.
+    /// Length from `content-length`, or 0 without a body.
     Bytes(u64),
-    /// Chunked: unknown, and a cut body looks like a whole one.
+    /// Unknown, because the body is chunked; a truncated body cannot be told from a complete one.
     Unknown,
 }
 
@@ -20,17 +20,17 @@
 #[derive(Clone, Debug)]
 pub(super) struct RequestHead {
     pub(super) method: Method,
-    /// Path as sent, without the query.
+    /// Path as received, without the query.
     pub(super) path: String,
-    /// Query as sent.
+    /// Query as received.
     pub(super) query: Option<String>,
-    /// The key that the caller presented.
+    /// API key that the caller presented.
     pub(super) key: Option<String>,
     pub(super) length: BodyLength,
     pub(super) idempotency_key: Option<String>,
 }
 
-/// Reads the head of `request`.
+/// Parses the head of `request`.
 pub(super) fn read(request: &Request<'_>) -> Result<RequestHead, Refusal> {
     let uri = request.uri();
     let path = uri.path().raw().as_str().to_owned();
@@ -61,7 +61,7 @@
     Ok(first)
 }
 
-// Two different keys would leave it open which account the request runs for.
+// Two different keys are refused: it would be ambiguous which account the request runs for.
 fn presented_key(request: &Request<'_>) -> Result<Option<String>, Refusal> {
     let mut keys = Vec::new();
     if let Some(authorization) = single_header(request, "authorization")? {
@@ -89,7 +89,7 @@
     let length = single_header(request, "content-length")?;
     let is_chunked = request.headers().contains("transfer-encoding");
     match (length, is_chunked) {
-        // Two lengths are an old way of smuggling a second request.
+        // Conflicting framing headers allow request smuggling.
         (Some(_), true) => Err(invalid("content-length stands with transfer-encoding")),
         (None, true) => Ok(BodyLength::Unknown),
         (None, false) => Ok(BodyLength::Bytes(0)),
--- a/crates/gateway/src/intake/mod.rs
+++ b/crates/gateway/src/intake/mod.rs
@@ -1,8 +1,8 @@
-//! Requests from callers.
+//! Server for callers.
 //!
-//! A Rocket server on a thread and an event loop of its own. Each request passes the filters
-//! identify, classify, admit and place, dispatch, relay, settle; the first that refuses ends it
-//! with a typed refusal.
+//! A Rocket server on its own thread and event loop. Each request passes the stages identify,
+//! classify, admit and place, dispatch, relay, settle; the first stage that refuses it ends it with
+//! a typed refusal.
 
 mod action;
 mod answer;
@@ -48,14 +48,14 @@
 };
 use tokio::{runtime, sync::Semaphore};
 
-/// Unit in which the memory for request bodies is counted, in bytes.
+/// Unit in which memory for request bodies is reserved, in bytes.
 pub(crate) const BODY_UNIT_BYTES: usize = 1_024;
-// Rocket waits out its grace period even when nothing runs, so the instance drains by its own
-// count of requests and leaves Rocket only a short one.
+// Rocket waits for its whole grace period even when no request is running. The instance therefore
+// drains by its own count of requests in flight, and Rocket's grace period is short.
 const ROCKET_GRACE_S: u32 = 1;
 const KEEP_ALIVE_S: u32 = 60;
 
-/// What the handlers of one instance share.
+/// State shared by the request handlers of an instance.
 pub struct IntakeState {
     /// Name of the instance.
     pub instance: InstanceId,
@@ -63,33 +63,34 @@
     pub clock: Clock,
     /// The document in force.
     pub current: Current,
-    /// Ring to the deciding thread.
+    /// Ring to the decision thread.
     pub decide: Sender<decide::Event>,
-    /// Ring to the dispatching thread.
+    /// Ring to the dispatch thread.
     pub dispatch: Sender<dispatch::UpstreamCall>,
-    /// Links to other instances; none for an instance that stands alone.
+    /// Links to other instances; `None` for a standalone instance.
     pub peers: Option<peers::Handle>,
-    /// Ring to the reporting thread.
+    /// Ring to the report thread.
     pub report: Sender<report::Observation>,
-    /// Records of actions that may not be repeated.
+    /// Records of actions that must run at most once.
     pub(crate) action_records: ActionRecords,
     /// Credential of each upstream.
     pub credentials: BTreeMap<UpstreamId, String>,
-    /// Instances that callers may use, in order.
+    /// Instances that callers may use, in order of preference.
     pub entries: SharedEntryPoints,
     /// Requests in flight.
     pub in_flight: Arc<InFlight>,
-    /// Room for request bodies, in units of [`BODY_UNIT_BYTES`].
+    /// Memory for request bodies, in units of [`BODY_UNIT_BYTES`].
     pub body_memory: Arc<Semaphore>,
-    /// Longest time in which a request body has to arrive, in milliseconds.
+    /// Timeout for receiving a request body, in milliseconds.
     pub body_timeout_ms: u64,
-    /// The instance can serve requests.
+    /// Whether the instance can serve requests.
     pub is_ready: Arc<AtomicBool>,
-    /// The instance is leaving: it is not ready and closes connections.
+    /// Whether the instance is leaving: it reports itself as not ready and closes connections.
     pub is_leaving: AtomicBool,
-    /// Requests so far.
+    /// Number of requests received so far.
     pub requests: AtomicU64,
-    /// Distinguishes requests of this process from those of an earlier one.
+    /// Incarnation of the instance; distinguishes request identifiers of this process from those of
+    /// an earlier one.
     pub incarnation: u64,
 }
 
@@ -102,8 +103,8 @@
 }
 
 impl Server {
-    /// Closes the port and waits for the thread. Requests in flight are cut after the server's
-    /// short grace period, so the caller drains them first.
+    /// Closes the port and waits for the thread. Requests still in flight after the server's short
+    /// grace period are cut off, so the caller must drain them first.
     pub fn stop(self) {
         self.shutdown.notify();
         if self.thread.join().is_err() {
@@ -137,11 +138,11 @@
     address: SocketAddr,
     threads: usize,
 ) -> anyhow::Result<Server> {
-    let (announce, announced) = mpsc::channel();
-    let on_failure = announce.clone();
+    let (start_sender, start_result) = mpsc::channel();
+    let on_failure = start_sender.clone();
     let rocket = rocket.attach(AdHoc::on_liftoff("announce", move |rocket| {
         Box::pin(async move {
-            let _ = announce.send(Ok((rocket.config().port, rocket.shutdown())));
+            let _ = start_sender.send(Ok((rocket.config().port, rocket.shutdown())));
         })
     }));
     let event_loop = runtime::Builder::new_multi_thread()
@@ -159,9 +160,9 @@
             }
         })
         .context("cannot start a server thread")?;
-    let (port, shutdown) = announced
+    let (port, shutdown) = start_result
         .recv()
-        .context("the server ended at its start")?
+        .context("the server exited during start-up")?
         .map_err(|message| anyhow::anyhow!("cannot listen on {address}: {message}"))?;
     Ok(Server {
         address: SocketAddr::new(address.ip(), port),
@@ -170,7 +171,7 @@
     })
 }
 
-/// The server's configuration, independent of the environment.
+/// Returns Rocket's configuration, independent of the environment.
 pub(crate) fn config(address: SocketAddr, threads: usize) -> Config {
     Config {
         address: address.ip(),
--- a/crates/gateway/src/intake/pipeline.rs
+++ b/crates/gateway/src/intake/pipeline.rs
@@ -1,4 +1,4 @@
-//! The endpoint of one request through the filters.
+//! Stages of one request, from its head to its answer.
 
 use super::{
     action,
@@ -33,7 +33,7 @@
 use tokio::time;
 use tokio_util::sync::CancellationToken;
 
-/// Headers of an upstream's answer that are allowed on to callers.
+/// Headers of an upstream's answer that are relayed to callers.
 const RELAYED_HEADERS: [&str; 6] = [
     "cache-control",
     "content-language",
@@ -43,7 +43,7 @@
     "retry-after",
 ];
 
-/// The document in force.
+/// Returns the document in force.
 pub(super) fn in_force(shared: &IntakeState) -> Result<Arc<InForce>, Refusal> {
     shared
         .current
@@ -51,7 +51,7 @@
         .ok_or_else(|| Refusal::not_run(Cause::NotReady, "no configuration yet").retry_after(1_000))
 }
 
-/// The account behind `key`.
+/// Identifies the caller that presents `key`; `is_open` allows a caller without a key.
 pub(super) fn identify(
     in_force: &InForce,
     key: Option<&str>,
@@ -66,7 +66,7 @@
         })
 }
 
-/// Takes a request from its head to the beginning of its answer.
+/// Handles a request from its head to the beginning of its answer.
 pub(super) async fn handle(
     shared: &Arc<IntakeState>,
     request_id: &RequestId,
@@ -79,7 +79,7 @@
     serve(shared, classified, running).await
 }
 
-/// The filters placement, dispatch and relay.
+/// Runs the stages place, dispatch and relay.
 pub(super) async fn serve(
     shared: &Arc<IntakeState>,
     classified: ClassifiedRequest,
@@ -92,7 +92,7 @@
     action::run(shared, classified, running).await
 }
 
-/// Classifies a request that another instance has forwarded, by the document in force here.
+/// Classifies a forwarded request by the document in force on this instance.
 pub(super) fn classify_forwarded(
     in_force: &InForce,
     head: &ForwardedHead,
@@ -126,7 +126,7 @@
     }
 }
 
-/// The filters identify and classify.
+/// Runs the stages identify and classify.
 async fn read_and_classify(
     shared: &Arc<IntakeState>,
     request_id: &RequestId,
@@ -135,7 +135,8 @@
     data: Data<'_>,
 ) -> Result<ClassifiedRequest, Refusal> {
     let in_force = in_force(shared)?;
-    // A caller without a valid key learns nothing about which paths there are.
+    // The error is returned only after identification, so that a caller without a valid key cannot
+    // probe which paths exist.
     let endpoint = classify::endpoint(
         &in_force.document,
         &head.path,
@@ -171,7 +172,7 @@
     })
 }
 
-/// Places and dispatches the request, again where that is allowed.
+/// Places and dispatches the request, and retries on another upstream where that is allowed.
 async fn try_upstreams(
     shared: &Arc<IntakeState>,
     classified: &Arc<ClassifiedRequest>,
@@ -210,7 +211,7 @@
     }
 }
 
-/// How an answer counts that another upstream may give better; none if it is allowed on.
+/// Failure that a retryable status stands for; `None` if the answer is relayed to the caller.
 fn retryable_failure(status: u16) -> Option<Failure> {
     match status {
         429 | 503 => Some(Failure::RefusedNotRun),
@@ -239,7 +240,7 @@
     }
 }
 
-/// Turns an upstream's head into the answer for the caller.
+/// Converts an upstream's answer into the answer for the caller.
 pub(super) async fn relay_answer(
     head: AnswerHead,
     placement_guard: PlacementGuard,
@@ -261,7 +262,7 @@
     })
 }
 
-/// How the end of an answer with these headers is recognised.
+/// Returns the framing of an answer with these headers.
 pub(super) fn framing(headers: &HeaderMap) -> Framing {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     if text("content-type").is_some_and(|value| value.starts_with("text/event-stream")) {
@@ -273,7 +274,7 @@
     }
 }
 
-/// Headers of an upstream's answer for the caller.
+/// Returns the headers of an upstream's answer that the caller gets.
 pub(super) fn relayed_headers(headers: &HeaderMap) -> Vec<(&'static str, String)> {
     RELAYED_HEADERS
         .into_iter()
--- a/crates/gateway/src/intake/resume.rs
+++ b/crates/gateway/src/intake/resume.rs
@@ -1,4 +1,4 @@
-//! Continues a broken stream on another engine.
+//! Continuation of a broken stream on another engine.
 
 use super::{
     attempt::{self, ClassifiedRequest, Destination},
@@ -13,10 +13,10 @@
 };
 use tokio::{sync::oneshot, time};
 
-/// Tokens of the answer that the caller has; the engine goes on behind them.
+/// Header with the number of tokens that the caller already has; the engine continues after them.
 const RESUME_FROM: HeaderName = HeaderName::from_static("carobwheel-resume-from");
 
-/// A resumer for the stream of `classified`, which has been on the engines `tried`.
+/// Returns a resumer for the stream of `classified`, which the engines `tried` have already served.
 pub(super) fn resumer(
     shared: &Arc<IntakeState>,
     classified: &Arc<ClassifiedRequest>,
@@ -32,7 +32,7 @@
         let tried = Arc::clone(&tried);
         tokio::spawn(async move {
             let continuation = resume(&shared, &classified, &tried, broken).await;
-            // The caller may have gone away.
+            // The caller may have disconnected.
             let _ = reply.send(continuation);
         });
         resumed
--- a/crates/gateway/src/intake/upstream_headers.rs
+++ b/crates/gateway/src/intake/upstream_headers.rs
@@ -1,8 +1,8 @@
-//! What an upstream gets to see of a request.
+//! Parts of a request that are sent to upstreams.
 //!
-//! Headers are an allow-list. A caller's key may also have been put where it does not belong, so
-//! the query loses every parameter that holds it, and a request that carries it anywhere else is
-//! refused.
+//! Only headers on an allow-list are sent. Callers also put their key in other parts of a request
+//! by mistake: query parameters that contain it are removed, and a request that contains it
+//! anywhere else is refused.
 
 use super::head::RequestHead;
 use crate::refusal::{Cause, Refusal};
@@ -11,7 +11,7 @@
 use reqwest::header::{HeaderMap, HeaderName, HeaderValue, AUTHORIZATION};
 use rocket::Request;
 
-/// Headers that are allowed on to upstreams.
+/// Headers that are sent on to upstreams.
 const ALLOWED_HEADERS: [&str; 8] = [
     "accept",
     "accept-language",
@@ -31,12 +31,12 @@
     "key",
     "token",
 ];
-/// Names the request to the upstream.
+/// Header with the identifier of the request.
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// Priority for the engine; 0 is the most urgent.
+/// Header with the priority of the request; 0 is the most urgent.
 const PRIORITY: HeaderName = HeaderName::from_static("x-priority");
 
-/// Headers of the request that any upstream may see.
+/// Returns the headers of the request that are sent to every upstream.
 pub(super) fn allowed(request: &Request<'_>, request_id: &RequestId) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for name in ALLOWED_HEADERS {
@@ -52,7 +52,7 @@
     headers
 }
 
-/// The headers for one upstream: those allowed on, its own credential and the priority.
+/// Returns the headers for one upstream: the allowed ones, its own credential and the priority.
 pub(super) fn for_upstream(
     allowed: &HeaderMap,
     priority: u8,
@@ -67,22 +67,22 @@
     headers
 }
 
-/// Path and query for the upstream.
+/// Returns the path and query for the upstream, without parameters that hold a key.
 pub(super) fn path_and_query(head: &RequestHead) -> String {
     let Some(query) = &head.query else {
         return head.path.clone();
     };
-    let allowed: Vec<&str> = query
+    let kept_pairs: Vec<&str> = query
         .split('&')
         .filter(|pair| !is_key_parameter(pair, head.key.as_deref()))
         .collect();
-    if allowed.is_empty() {
+    if kept_pairs.is_empty() {
         return head.path.clone();
     }
-    format!("{}?{}", head.path, allowed.join("&"))
+    format!("{}?{}", head.path, kept_pairs.join("&"))
 }
 
-/// Refuses a request whose key stands in a place that is allowed on to upstreams.
+/// Refuses a request whose key occurs in a part that is sent to upstreams.
 pub(super) fn refuse_exposed_key(
     request: &Request<'_>,
     head: &RequestHead,
@@ -111,7 +111,7 @@
     holds_key || KEY_PARAMETERS.contains(&name.as_str())
 }
 
-// Decoded without regard to UTF-8: the text is only searched.
+// Invalid UTF-8 is replaced, since the result is only searched.
 fn percent_decoded(text: &str) -> String {
     rocket::http::RawStr::new(text)
         .percent_decode_lossy()
--- a/crates/gateway/src/options/edge.rs
+++ b/crates/gateway/src/options/edge.rs
@@ -1,4 +1,4 @@
-//! `carobwheel edge`: runs one instance on the platform until it is told to stop.
+//! `carobwheel edge`: runs one instance on the platform until it receives a signal to stop.
 
 use super::{EXIT_FAULTY_INPUT, EXIT_NOT_STARTED, EXIT_REQUESTS_CUT};
 use carobwheel_edge::settings::Settings;
@@ -7,13 +7,13 @@
     process::ExitCode,
 };
 
-/// Runs the instance that the settings file describes, or only checks the file.
+/// Runs the instance that the settings file describes, or only checks the file if `is_check`.
 pub(super) fn run(settings: Option<&Path>, is_check: bool) -> ExitCode {
     let Some(path) = settings
         .map(PathBuf::from)
         .or_else(carobwheel_platform::settings_path)
     else {
-        eprintln!("carobwheel: no settings file is named; see --settings");
+        eprintln!("carobwheel: no settings file given; see --settings");
         return ExitCode::from(EXIT_FAULTY_INPUT);
     };
     let settings = match Settings::read(&path) {
--- a/crates/gateway/src/options/mod.rs
+++ b/crates/gateway/src/options/mod.rs
@@ -1,4 +1,4 @@
-//! The command line of the daemon.
+//! Command line of the daemon.
 
 mod edge;
 mod serve;
@@ -15,30 +15,30 @@
 #[derive(Debug, Parser)]
 #[command(name = "carobwheel", version)]
 pub struct Options {
-    /// What to do.
+    /// Subcommand to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What the daemon is asked to do.
+/// Subcommands of the daemon.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Serve requests until SIGTERM; a second signal ends at once.
+    /// Serve requests until SIGTERM; a second signal stops at once.
     Serve {
         /// Settings file (JSON).
         #[arg(long)]
         settings: PathBuf,
     },
-    /// Serve requests on the platform, with the settings file that it names, until SIGTERM.
+    /// Serve requests on the platform, with the settings file that it provides, until SIGTERM.
     Edge {
-        /// Settings file (JSON), in place of the one that the platform names.
+        /// Settings file (JSON), instead of the one that the platform provides.
         #[arg(long)]
         settings: Option<PathBuf>,
-        /// Only check the settings file and name every fault.
+        /// Only check the settings file and report every fault.
         #[arg(long)]
         check: bool,
     },
-    /// Check a settings file and name every fault.
+    /// Check a settings file and report every fault.
     Check {
         /// Settings file (JSON).
         #[arg(long)]
@@ -46,14 +46,14 @@
     },
 }
 
-/// Exit code of a faulty command line or settings file.
+/// Exit code for an invalid command line or settings file.
 pub const EXIT_FAULTY_INPUT: u8 = 2;
-/// Exit code of an instance that could not start, or that a broken invariant has stopped.
+/// Exit code of an instance that could not start, or that a violated invariant has stopped.
 pub const EXIT_NOT_STARTED: u8 = 1;
-/// Exit code of an instance that stopped before its requests had ended.
+/// Exit code of an instance that stopped before all of its requests had ended.
 pub const EXIT_REQUESTS_CUT: u8 = 3;
 
-/// Runs the command.
+/// Runs the subcommand.
 pub fn run(options: &Options) -> ExitCode {
     match &options.command {
         Command::Check { settings } => check(settings),
--- a/crates/gateway/src/options/serve.rs
+++ b/crates/gateway/src/options/serve.rs
@@ -1,4 +1,4 @@
-//! `carobwheel serve`: runs one instance until it is told to stop.
+//! `carobwheel serve`: runs one instance until it receives a signal to stop.
 
 use super::{report_faults, EXIT_NOT_STARTED, EXIT_REQUESTS_CUT};
 use crate::{
@@ -17,7 +17,7 @@
     time,
 };
 
-/// Time between two looks at the threads.
+/// Interval at which the daemon's threads are checked.
 const THREAD_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Runs the instance that the file at `path` describes.
@@ -51,7 +51,7 @@
 }
 
 /// Serves until the first signal to stop, then drains. Returns the number of requests that were
-/// cut.
+/// cut off.
 fn serve(settings: &Settings, tls: Option<TlsMaterial>) -> anyhow::Result<usize> {
     let event_loop = runtime::Builder::new_current_thread()
         .enable_all()
@@ -65,17 +65,17 @@
         let mut thread_check = time::interval(THREAD_CHECK_INTERVAL);
         loop {
             tokio::select! {
-                // Without one of its threads the instance would only seem to be alive.
-                _ = thread_check.tick() => ensure!(!daemon.is_broken(), "a thread has ended by itself"),
+                // Without one of its threads the instance would look alive but could not serve.
+                _ = thread_check.tick() => ensure!(!daemon.is_broken(), "a thread exited unexpectedly"),
                 _ = terminate.recv() => break,
                 _ = interrupt.recv() => break,
-                _ = hangup.recv() => rotate(settings, &daemon),
+                _ = hangup.recv() => reload_tls(settings, &daemon),
             }
         }
         log::info!("stopping: draining requests; a second signal stops at once");
         let in_flight = daemon.in_flight();
-        let (announce, drained) = oneshot::channel();
-        thread::spawn(move || announce.send(daemon.stop()));
+        let (sender, drained) = oneshot::channel();
+        thread::spawn(move || sender.send(daemon.stop()));
         tokio::select! {
             cut_requests = drained => cut_requests.context("the daemon panicked while it stopped"),
             _ = terminate.recv() => Ok(in_flight.count()),
@@ -84,20 +84,20 @@
     })
 }
 
-/// Reads the files of the material again and uses it for new links.
-fn rotate(settings: &Settings, daemon: &Daemon) {
+/// Reloads the TLS files and uses them for new links.
+fn reload_tls(settings: &Settings, daemon: &Daemon) {
     let (Some(peers), Some(handle)) = (&settings.peers, daemon.peers()) else {
-        log::info!("no links to other instances, so there is nothing to rotate");
+        log::info!("no links to other instances, so no certificate to reload");
         return;
     };
     match peers.read_tls() {
         Ok(material) => match handle.reload(&material) {
             Ok(()) => log::info!("new links use the new certificate"),
-            Err(err) => log::error!("the certificate stays: {err}"),
+            Err(err) => log::error!("certificate not reloaded: {err}"),
         },
         Err(faults) => {
             for fault in faults {
-                log::error!("the certificate stays: {fault}");
+                log::error!("certificate not reloaded: {fault}");
             }
         }
     }
--- a/crates/gateway/src/refusal/mod.rs
+++ b/crates/gateway/src/refusal/mod.rs
@@ -1,10 +1,10 @@
-//! Typed refusals and what each says about the request having run.
+//! Typed refusals, each stating whether the request ran.
 
 pub use carobwheel_core::once::Execution;
 
 use std::fmt;
 
-/// The value of the `carobwheel-run` header.
+/// Returns the value of the `carobwheel-run` header.
 pub fn execution_header_value(run: Execution) -> &'static str {
     match run {
         Execution::NotRun => "not-run",
@@ -13,8 +13,8 @@
     }
 }
 
-/// What the status of an upstream's answer says about the request having run. An upstream that
-/// fails may have failed before or after it ran the request.
+/// Returns whether a request ran, by the status of the upstream's answer. An upstream that answers
+/// with a server error may have failed before or after it ran the request.
 pub fn execution_of_status(status: u16) -> Execution {
     match status {
         500.. => Execution::MayHaveRun,
@@ -22,38 +22,38 @@
     }
 }
 
-/// Why a request was refused.
+/// Cause of a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Cause {
-    /// The request cannot be read.
+    /// The request is malformed.
     InvalidRequest,
     /// The key is missing or unknown, or has been withdrawn.
     InvalidKey,
-    /// The request has to be served in another region that cannot be reached.
+    /// The request has to be served in another region, which cannot be reached.
     WrongRegion,
-    /// No route, model or path of that name.
+    /// The model or path does not exist.
     NotFound,
-    /// The route does not take this method.
+    /// The path does not allow the method.
     MethodNotAllowed,
     /// The body did not arrive in time.
     BodyTimeout,
-    /// The idempotency key is in use by a request that has not ended.
+    /// Another request with the same idempotency key has not ended.
     InProgress,
-    /// A body without a length on a route whose actions may not be repeated.
+    /// A body without `content-length` on a route whose actions must run at most once.
     LengthRequired,
     /// The body, the prompt or the requested output is too long.
     TooLarge,
-    /// The idempotency key stands with another body.
+    /// The idempotency key was used with a different request.
     KeyReused,
-    /// The account has used up its rate.
+    /// The account has exceeded its rate limit.
     RateLimited,
-    /// The instance or the upstreams have no room before the deadline.
+    /// The instance or its upstreams have no capacity before the deadline.
     Overloaded,
-    /// No upstream can serve the request now.
+    /// No upstream can currently serve the request.
     NoUpstream,
     /// The instance has no configuration document yet, or is stopping.
     NotReady,
-    /// The store does not answer and the action needs it.
+    /// The action needs the store, which does not answer.
     StoreUnavailable,
     /// The upstream failed or its answer was incomplete.
     UpstreamFailed,
@@ -62,7 +62,7 @@
 }
 
 impl Cause {
-    /// HTTP status of the refusal.
+    /// Returns the HTTP status of the refusal.
     pub fn status(self) -> u16 {
         match self {
             Self::InvalidRequest => 400,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Machine-readable code in the error body and in metrics.
+    /// Returns the machine-readable code for the error body and metrics.
     pub fn code(self) -> &'static str {
         match self {
             Self::InvalidRequest => "invalid_request",
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Error type in the shape of the OpenAI API.
+    /// Returns the error type of the OpenAI API.
     pub fn error_type(self) -> &'static str {
         match self.status() {
             401 => "authentication_error",
@@ -116,21 +116,21 @@
     }
 }
 
-/// A refusal as a value.
+/// Refusal of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why the request was refused.
+    /// Cause of the refusal.
     pub cause: Cause,
     /// Whether the request ran.
     pub run: Execution,
     /// Explanation for the caller.
     pub message: String,
-    /// Time after which another try makes sense, in milliseconds.
+    /// Delay after which the caller should retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// A refusal of a request that did not run.
+    /// Creates a refusal of a request that did not run.
     pub fn not_run(cause: Cause, message: impl Into<String>) -> Self {
         Self {
             cause,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// A refusal of a request that may have run.
+    /// Creates a refusal of a request that may have run.
     pub fn may_have_run(cause: Cause, message: impl Into<String>) -> Self {
         Self {
             run: Execution::MayHaveRun,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The same refusal, naming the time after which another try makes sense.
+    /// Sets the delay after which the caller should retry.
     #[must_use]
     pub fn retry_after(self, retry_after_ms: u64) -> Self {
         Self {
--- a/crates/gateway/src/relay/body.rs
+++ b/crates/gateway/src/relay/body.rs
@@ -1,4 +1,4 @@
-//! The body of a relayed answer as a byte stream.
+//! Body of a relayed answer as a byte stream.
 
 use super::{sse::EventSplitter, ChargeGuard, PlacementGuard};
 use crate::{decide::Ending, dispatch::ExchangeError, in_flight::Running, refusal::Cause};
@@ -23,7 +23,7 @@
 /// Chunks of an answer as they arrive.
 pub type Chunks = mpsc::Receiver<Result<Bytes, ExchangeError>>;
 
-/// How the end of an answer is recognised.
+/// Framing of an answer, by which its end is recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// Server-sent events that end with `data: [DONE]`.
@@ -34,25 +34,26 @@
     Unknown,
 }
 
-/// A stream that goes on from another engine.
+/// Continuation of a stream by another engine.
 pub struct ResumedStream {
-    /// Its chunks, beginning behind the tokens that were relayed.
+    /// Chunks, beginning after the tokens already relayed.
     pub chunks: Chunks,
-    /// Its place.
+    /// Guard of the placement at the other engine.
     pub placement_guard: PlacementGuard,
 }
 
-/// A stream that broke.
+/// State of a stream that broke.
 pub struct BrokenStream {
-    /// Tokens that the caller has.
+    /// Tokens already relayed to the caller.
     pub relayed_tokens: u64,
-    /// How the stream broke.
+    /// Cause of the break.
     pub failure: Failure,
-    /// The charge of the request.
+    /// Charge of the request.
     pub charge_guard: Option<ChargeGuard>,
 }
 
-/// Looks for another engine that continues a broken stream; none if there is none.
+/// Function that looks for another engine to continue a broken stream; it sends `None` if there is
+/// none.
 pub type Resumer = Box<dyn FnMut(BrokenStream) -> oneshot::Receiver<Option<ResumedStream>> + Send>;
 
 enum AnswerSource {
@@ -61,7 +62,7 @@
     Ended,
 }
 
-/// The body of a relayed answer.
+/// Body of a relayed answer.
 pub struct RelayBody {
     source: AnswerSource,
     unread: Bytes,
@@ -75,8 +76,8 @@
 }
 
 impl RelayBody {
-    /// A body that relays `chunks` and settles its placement at the end. A stream of events that
-    /// breaks is continued by `resumer`, if there is one.
+    /// Creates a body that relays `chunks` and settles its placement at the end. `resumer`, if
+    /// there is one, continues a stream of events that breaks.
     pub fn new(
         chunks: Chunks,
         framing: Framing,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The chunks have ended, by the upstream or by an error.
+    /// Handles the end of the chunks; `broken` is the error that ended them, if any.
     fn end(&mut self, broken: Option<ExchangeError>) -> io::Result<()> {
         if self.is_complete() && (broken.is_none() || self.framing == Framing::Events) {
             self.source = AnswerSource::Ended;
@@ -152,12 +153,12 @@
         }
     }
 
-    /// Ends the body so that the caller never takes it for whole: a stream of events gets an error
-    /// event, other bodies an I/O error.
+    /// Ends the body so that the caller cannot mistake it for complete: a stream of events ends
+    /// with an error event, any other body with an I/O error.
     fn fail(&mut self, err: &ExchangeError) -> io::Result<()> {
         self.source = AnswerSource::Ended;
         self.running.trace().refused(Cause::UpstreamFailed);
-        log::warn!(received_bytes = self.received_bytes; "answer cut short: {err}");
+        log::warn!(received_bytes = self.received_bytes; "answer truncated: {err}");
         if self.framing == Framing::Events {
             self.unread = error_event(&err.to_string());
             return Ok(());
@@ -174,7 +175,7 @@
                 chunks,
                 placement_guard,
             }) => {
-                log::info!(relayed_tokens = self.events.tokens(); "stream continued elsewhere");
+                log::info!(relayed_tokens = self.events.tokens(); "stream continued on another engine");
                 self.source = AnswerSource::Chunks(chunks);
                 self.placement_guard = placement_guard;
                 Ok(())
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Waits for the next bytes, an end, or a stream that continues this one.
+    /// Polls for the next bytes, the end, or the continuation of a broken stream.
     fn poll_source(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         match &mut self.source {
             AnswerSource::Chunks(chunks) => match ready!(chunks.poll_recv(cx)) {
@@ -213,7 +214,7 @@
         }
     }
 
-    // A stream without traffic notices that its caller left only when something is written.
+    // Without periodic writes, a disconnected caller of an idle stream would not be detected.
     fn poll_heartbeat(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         if self.framing != Framing::Events {
             return Poll::Pending;
--- a/crates/gateway/src/relay/guard.rs
+++ b/crates/gateway/src/relay/guard.rs
@@ -1,4 +1,4 @@
-//! Settles a placement exactly once, also when its request is dropped midway.
+//! Guards that settle a placement and its charge exactly once, also when the request is dropped.
 
 use crate::{
     decide::{Ending, Event, Settlement},
@@ -8,11 +8,11 @@
 use std::{thread, time::Duration};
 use tokio_util::sync::CancellationToken;
 
-/// Output tokens between two reports to the deciding thread.
+/// Output tokens between two progress reports to the decision thread.
 const TOKENS_PER_PROGRESS_REPORT: u64 = 32;
 const FULL_RING_RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// A charge that has still to be settled. Dropping it settles it by the tokens noted.
+/// Guard of a charge. Dropping it settles the charge by the output tokens counted so far.
 pub struct ChargeGuard {
     charge: ChargeId,
     output_tokens: u64,
@@ -20,7 +20,7 @@
 }
 
 impl ChargeGuard {
-    /// A guard for `charge`.
+    /// Creates a guard for `charge`.
     pub fn new(charge: ChargeId, decide: Sender<Event>) -> Self {
         Self {
             charge,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The charge.
+    /// Returns the identifier of the charge.
     pub fn id(&self) -> ChargeId {
         self.charge
     }
@@ -45,7 +45,8 @@
     }
 }
 
-// A lost settlement would hold a place or tokens for long, so a full ring is waited for.
+// Waits while the ring is full: a lost settlement would keep capacity of the upstream or
+// tokens reserved for a long time.
 fn send(decide: &Sender<Event>, event: Event) {
     let mut event = event;
     while let Err(Full(unsent)) = decide.try_send(event) {
@@ -57,10 +58,9 @@
     }
 }
 
-/// A placement that has still to be settled. Dropping it settles it as cancelled and cancels the
-/// exchange behind it.
+/// Guard of a placement. Dropping it settles the placement as cancelled and cancels its exchange.
 pub struct PlacementGuard {
-    /// Absent when another instance has placed the request.
+    /// `None` when another instance has placed the request.
     ticket: Option<u64>,
     output_tokens: u64,
     reported_tokens: u64,
@@ -72,7 +72,7 @@
 }
 
 impl PlacementGuard {
-    /// A guard for a request that another instance has placed, and settles there.
+    /// Creates a guard for a request that another instance has placed and settles itself.
     pub fn placed_remotely() -> Self {
         Self {
             ticket: None,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A guard for the placement `ticket`, whose exchange is cancelled by `cancel`.
+    /// Creates a guard for the placement `ticket`, whose exchange is cancelled by `cancel`.
     pub fn new(
         ticket: u64,
         charge_guard: Option<ChargeGuard>,
@@ -107,12 +107,12 @@
 
     fn report(&self, event: impl FnOnce(u64) -> Event) {
         if let (Some(ticket), Some(decide)) = (self.ticket, &self.decide) {
-            // Only an estimate is late when the ring is full.
+            // Dropped when the ring is full: only an estimate is updated late then.
             let _ = decide.try_send(event(ticket));
         }
     }
 
-    /// Notes that a byte of the answer arrived.
+    /// Records that bytes of the answer arrived, and reports the first.
     pub fn byte_arrived(&mut self) {
         if !self.has_first_byte {
             self.has_first_byte = true;
@@ -125,7 +125,8 @@
         self.has_first_byte
     }
 
-    /// Notes the output tokens relayed so far, and reports them now and then.
+    /// Records the output tokens relayed so far, and reports them to the decision thread at
+    /// intervals.
     pub fn set_output_tokens(&mut self, output_tokens: u64) {
         self.output_tokens = output_tokens;
         if output_tokens >= self.reported_tokens + TOKENS_PER_PROGRESS_REPORT {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Output tokens relayed so far.
+    /// Returns the output tokens relayed so far.
     pub fn output_tokens(&self) -> u64 {
         self.output_tokens
     }
@@ -165,12 +166,12 @@
         self.charge_guard = None;
     }
 
-    /// Puts a charge back that was taken out.
+    /// Restores a charge that [`Self::take_charge`] returned.
     pub fn restore_charge(&mut self, charge_guard: Option<ChargeGuard>) {
         self.charge_guard = charge_guard;
     }
 
-    /// Takes the charge out, for another attempt of the same request.
+    /// Removes and returns the charge, for another attempt of the same request.
     pub fn take_charge(&mut self) -> Option<ChargeGuard> {
         let mut charge_guard = self.charge_guard.take()?;
         charge_guard.output_tokens = self.output_tokens;
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -1,7 +1,7 @@
-//! Answers on their way from an upstream to a caller.
+//! Relaying of answers from an upstream to a caller.
 //!
-//! A filter between dispatch and intake: it counts output tokens, tells a whole answer from a cut
-//! one, and makes sure that the placement behind the answer is settled exactly once.
+//! The stage between dispatch and intake: it counts output tokens, distinguishes complete answers
+//! from truncated ones, and makes sure that the placement of the request is settled exactly once.
 
 mod body;
 mod guard;
--- a/crates/gateway/src/relay/sse.rs
+++ b/crates/gateway/src/relay/sse.rs
@@ -1,18 +1,18 @@
-//! Cuts a stream of server-sent events into whole events, and counts what they carry.
+//! Splitting of a stream of server-sent events into complete events, and counting of their tokens.
 //!
-//! Only whole events are passed on, so a stream that breaks in the middle of an event can be
-//! continued from another engine without a torn event in between.
+//! Only complete events are relayed, so a stream that breaks within an event can be continued by
+//! another engine without a partial event in between.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memmem;
 use serde::Deserialize;
 use std::borrow::Cow;
 
-/// Longest event, in bytes.
+/// Maximum size of an event, in bytes.
 pub const MAX_EVENT_BYTES: usize = 1_024 * 1_024;
 const DATA_FIELD: &[u8] = b"data:";
 const LAST_EVENT: &[u8] = b"[DONE]";
-/// Bytes before the last ones that may hold the beginning of an event's end.
+/// Number of bytes already searched that may hold the beginning of an event's terminator.
 const END_OVERLAP_BYTES: usize = 3;
 
 /// An event that is longer than [`MAX_EVENT_BYTES`].
@@ -39,7 +39,7 @@
     content: Option<Cow<'a, str>>,
 }
 
-/// A stream of events as far as it has passed.
+/// Splitter of one stream, with its incomplete last event and the tokens counted so far.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     incomplete: BytesMut,
@@ -48,8 +48,8 @@
 }
 
 impl EventSplitter {
-    /// Takes the next bytes, which may begin and end anywhere, and returns the events that are
-    /// whole by now.
+    /// Adds the next bytes, which may begin and end anywhere, and returns the events that are now
+    /// complete.
     ///
     /// # Errors
     ///
@@ -70,17 +70,17 @@
         Ok(complete)
     }
 
-    /// Forgets the beginning of an event whose end will not come.
+    /// Discards the incomplete last event of a stream that broke.
     pub fn discard_incomplete(&mut self) {
         self.incomplete.clear();
     }
 
-    /// Pieces of output that have passed; engines send one token in each.
+    /// Returns the number of events with output so far; engines send one token in each.
     pub fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// Whether the stream's last event (`data: [DONE]`) has passed.
+    /// Whether the stream's last event (`data: [DONE]`) has been read.
     pub fn is_done(&self) -> bool {
         self.is_done
     }
@@ -98,21 +98,21 @@
     }
 }
 
-/// Position behind the last event that ends in `bytes`.
+/// Returns the position after the last event that ends in `bytes`.
 fn end_of_events(bytes: &[u8]) -> Option<usize> {
     let ends = [&b"\n\n"[..], &b"\r\n\r\n"[..]];
-    let behind = |end: &&[u8]| memmem::rfind(bytes, end).map(|at| at + end.len());
-    ends.iter().filter_map(behind).max()
+    let position_after = |end: &&[u8]| memmem::rfind(bytes, end).map(|at| at + end.len());
+    ends.iter().filter_map(position_after).max()
 }
 
-// An event that cannot be read is passed on but counts as no output.
+// An event that cannot be parsed is relayed but counts as no output.
 fn has_output(data: &[u8]) -> bool {
     let Ok(chunk) = serde_json::from_slice::<Chunk<'_>>(data) else {
         return false;
     };
     chunk.choices.iter().any(|choice| {
-        let of_delta = choice.delta.as_ref().and_then(|it| it.content.as_ref());
-        let text = of_delta.or(choice.text.as_ref());
+        let delta_text = choice.delta.as_ref().and_then(|it| it.content.as_ref());
+        let text = delta_text.or(choice.text.as_ref());
         text.is_some_and(|text| !text.is_empty())
     })
 }
--- a/crates/gateway/tests/process.rs
+++ b/crates/gateway/tests/process.rs
@@ -1,4 +1,4 @@
-//! Starting, stopping and being left: one process and its edges.
+//! Start, stop and settings of a single process, and callers that disconnect from it.
 
 #![allow(clippy::unwrap_used)]
 
@@ -22,22 +22,22 @@
         .unwrap()
 }
 
-const GOOD: &str = r#"{
+const VALID_SETTINGS: &str = r#"{
     "instance": {"id": "n1", "region": "north", "data_centre": "north-a"},
     "callers": {"address": "127.0.0.1:0"},
     "store": {"url": "http://127.0.0.1:1"}
 }"#;
 
 #[test]
-fn good_settings_are_checked_without_starting_anything() {
-    let output = run("check", GOOD, "good");
+fn valid_settings_are_checked_without_starting_an_instance() {
+    let output = run("check", VALID_SETTINGS, "good");
     assert_eq!(output.status.code(), Some(0), "{output:?}");
 }
 
 #[test_case("broken", "{", &["not settings"]; "not JSON")]
-#[test_case("unknown", &GOOD.replace("\"store\"", "\"stroe\""), &["stroe"]; "unknown field")]
-#[test_case("values", &GOOD.replace("http://127.0.0.1:1", "etcd").replace("\"callers\": {", "\"callers\": {\"threads\": 0, "), &["store.url", "callers.threads", "1 to 64"]; "two faults at once")]
-fn faulty_settings_are_named_and_end_with_code_2(name: &str, settings: &str, named: &[&str]) {
+#[test_case("unknown", &VALID_SETTINGS.replace("\"store\"", "\"stroe\""), &["stroe"]; "unknown field")]
+#[test_case("values", &VALID_SETTINGS.replace("http://127.0.0.1:1", "etcd").replace("\"callers\": {", "\"callers\": {\"threads\": 0, "), &["store.url", "callers.threads", "1 to 64"]; "two faults at once")]
+fn faults_in_settings_are_reported_with_exit_code_2(name: &str, settings: &str, named: &[&str]) {
     for command in ["check", "serve"] {
         let output = run(command, settings, &format!("{name}-{command}"));
         let message = String::from_utf8_lossy(&output.stderr);
@@ -49,10 +49,14 @@
 }
 
 #[test]
-fn port_in_use_ends_with_code_1_and_its_cause() {
+fn port_in_use_is_reported_with_exit_code_1() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let output = run("serve", &GOOD.replace("127.0.0.1:0", &address), "in-use");
+    let output = run(
+        "serve",
+        &VALID_SETTINGS.replace("127.0.0.1:0", &address),
+        "in-use",
+    );
     let message = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(1), "{message}");
     assert!(
@@ -61,7 +65,7 @@
     );
 }
 
-fn endless() -> FleetOptions {
+fn endless_answers() -> FleetOptions {
     FleetOptions {
         engine: EngineOptions {
             answer_tokens: 1_000,
@@ -85,35 +89,39 @@
 }
 
 #[tokio::test]
-async fn caller_that_leaves_cancels_its_upstream_stream() {
-    let fleet = Fleet::start(endless()).await;
+async fn caller_that_disconnects_cancels_its_upstream_stream() {
+    let fleet = Fleet::start(endless_answers()).await;
     let response = open_stream(&fleet).await;
     drop(response);
-    eventually("the engine has noticed", CONDITION_TIMEOUT, || async {
-        let cancelled: u64 = fleet
-            .engines
-            .values()
-            .map(|engine| engine.counts().cancelled)
-            .sum();
-        (cancelled == 1).then_some(())
-    })
+    eventually(
+        "the engine has seen the cancellation",
+        CONDITION_TIMEOUT,
+        || async {
+            let cancelled: u64 = fleet
+                .engines
+                .values()
+                .map(|engine| engine.counts().cancelled)
+                .sum();
+            (cancelled == 1).then_some(())
+        },
+    )
     .await;
 }
 
 #[tokio::test]
 async fn second_signal_ends_the_process_at_once() {
-    let mut fleet = Fleet::start(endless()).await;
+    let mut fleet = Fleet::start(endless_answers()).await;
     let _response = open_stream(&fleet).await;
-    let place = fleet
+    let index = fleet
         .instances
         .iter()
         .position(|it| it.region == "north")
         .unwrap();
-    let url = format!("{}/readyz", fleet.instances[place].url);
+    let url = format!("{}/readyz", fleet.instances[index].url);
     let client = Caller::http_client();
-    fleet.instances[place].terminate();
+    fleet.instances[index].terminate();
     eventually(
-        "the first signal has been heard",
+        "the first signal has been handled",
         CONDITION_TIMEOUT,
         || async {
             let is_ready = client
@@ -125,7 +133,7 @@
         },
     )
     .await;
-    fleet.instances[place].terminate();
-    let status = fleet.instances[place].exit_status().await;
-    assert_eq!(status.code(), Some(3), "a request was cut");
+    fleet.instances[index].terminate();
+    let status = fleet.instances[index].exit_status().await;
+    assert_eq!(status.code(), Some(3), "a request was cut off");
 }
--- a/crates/gateway/tests/promise_actions.rs
+++ b/crates/gateway/tests/promise_actions.rs
@@ -1,4 +1,4 @@
-//! The promise that an action runs at most once, kept by real processes.
+//! The promise that an action runs at most once, tested with real processes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,8 +10,8 @@
 
 const ACTIONS: usize = 30;
 
-/// Every action is sent to all instances at once, again and again, while services die and the
-/// store loses answers.
+/// Guards against an action that runs twice: each one is sent to all instances at once, several
+/// times, while services crash and the store loses answers.
 #[tokio::test]
 async fn a_non_idempotent_certification_or_ledger_action_runs_at_most_once() {
     const ROUNDS: usize = 3;
@@ -29,7 +29,7 @@
         service.fail_next(&[DieAfterRunning, DieBeforeRunning, Status(503), DieInAnswer]);
     }
     let caller = Caller::of("insurers");
-    let mut told_run = vec![false; ACTIONS];
+    let mut reported_run = vec![false; ACTIONS];
     for _ in 0..ROUNDS {
         let sends = (0..ACTIONS).flat_map(|number| {
             let caller = &caller;
@@ -42,13 +42,16 @@
             })
         });
         for (number, reply) in join_all(sends).await {
-            told_run[number] |= reply.status == 200;
+            reported_run[number] |= reply.status == 200;
         }
     }
-    for (number, told_run) in told_run.into_iter().enumerate() {
+    for (number, reported_run) in reported_run.into_iter().enumerate() {
         let runs = fleet.runs(&format!("a-{number}"));
         assert!(runs <= 1, "a-{number} ran {runs} times");
-        assert!(!told_run || runs == 1, "a-{number} is said to have run");
+        assert!(
+            !reported_run || runs == 1,
+            "a-{number} was reported as run but did not run"
+        );
     }
     let ran = (0..ACTIONS)
         .filter(|number| fleet.runs(&format!("a-{number}")) == 1)
@@ -87,7 +90,7 @@
     )
     .await;
     fleet.instances[0].kill();
-    assert!(sent.await.unwrap().is_err(), "the connection is gone");
+    assert!(sent.await.unwrap().is_err(), "the connection is lost");
     for instance in &fleet.instances[1..] {
         let reply = caller.confirm(&instance.url, "a-1").await.unwrap();
         assert_ne!(reply.run, "not-run", "{reply:?}");
--- a/crates/gateway/tests/promise_answers.rs
+++ b/crates/gateway/tests/promise_answers.rs
@@ -1,4 +1,4 @@
-//! Promises about answers and refusals, kept by real processes.
+//! Promises about answers and refusals, tested with real processes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -28,7 +28,8 @@
     .await
 }
 
-/// Many callers at once, some of whom leave early, on engines that fail at random.
+/// Guards against answers that are truncated or reach another caller: many callers at once, some of
+/// whom disconnect early, on engines that fail at random.
 #[test_case(false; "whole")]
 #[test_case(true; "streamed")]
 #[tokio::test]
@@ -43,21 +44,21 @@
         engine.add_fault(FaultRule::random(Fault::Status(503), 30_000));
     }
     let caller = Caller::of("insurers");
-    let ask = |number: usize| {
+    let send_question = |number: usize| {
         let caller = caller.clone();
         let url = fleet.instances[number % fleet.instances.len()].url.clone();
         async move {
             let prompt = format!("question {number}");
-            let asked = caller.chat(&url, &prompt, stream);
+            let pending = caller.chat(&url, &prompt, stream);
             if number.is_multiple_of(10) {
-                // This caller leaves; its answer must not reach anybody else.
-                let patience = std::time::Duration::from_millis(20);
-                return tokio::time::timeout(patience, asked)
+                // This caller disconnects; its answer must not reach another caller.
+                let timeout = std::time::Duration::from_millis(20);
+                return tokio::time::timeout(timeout, pending)
                     .await
                     .is_err()
                     .then_some(true);
             }
-            let reply = asked.await.unwrap();
+            let reply = pending.await.unwrap();
             let text = if stream {
                 reply.streamed_text()
             } else {
@@ -70,16 +71,20 @@
             Some(true)
         }
     };
-    let answered = join_all((0..CALLERS).map(ask)).await;
-    let whole = answered
+    let answered = join_all((0..CALLERS).map(send_question)).await;
+    let complete = answered
         .into_iter()
         .flatten()
-        .filter(|is_whole| *is_whole)
+        .filter(|is_complete| *is_complete)
         .count();
-    assert!(whole > CALLERS / 2, "{whole} of {CALLERS} answered whole");
+    assert!(
+        complete > CALLERS / 2,
+        "{complete} of {CALLERS} answered completely"
+    );
 }
 
-/// An answer too long to be held in memory breaks off: its caller has to notice.
+/// Guards against an answer that is too long to be buffered and breaks off without its caller being
+/// able to detect it.
 #[test_case(false; "whole")]
 #[test_case(true; "streamed")]
 #[tokio::test]
@@ -123,7 +128,7 @@
     );
 }
 
-/// The same for an answer of a plain service, with its length announced and without.
+/// Guards against the same failure for an answer of a service, with and without a `content-length`.
 #[test_case(false; "with its length")]
 #[test_case(true; "in chunks")]
 #[tokio::test]
@@ -157,7 +162,8 @@
     );
 }
 
-/// What a service does to a request, and whether the store answers.
+/// Guards against a refusal that says `not-run` although the action ran, for each fault of a
+/// service and of the store.
 #[test_case(&[ServiceFault::Status(503)], Availability::Up; "refused by the service")]
 #[test_case(&[ServiceFault::DieBeforeRunning], Availability::Up; "service dies before running")]
 #[test_case(&[ServiceFault::DieAfterRunning], Availability::Up; "service dies after running")]
@@ -194,7 +200,7 @@
 }
 
 #[tokio::test]
-async fn a_refusal_for_want_of_an_upstream_says_not_run_and_is_true() {
+async fn a_refusal_without_a_usable_upstream_says_not_run_and_is_true() {
     let fleet = fleet().await;
     for region in REGIONS {
         fleet.engines[region].add_fault(FaultRule::random(Fault::Status(503), 1_000_000));
--- a/crates/gateway/tests/promise_forward.rs
+++ b/crates/gateway/tests/promise_forward.rs
@@ -1,4 +1,4 @@
-//! Requests of bound accounts that reach an instance of another region.
+//! Forwarding of bound accounts' requests that reach an instance of another region.
 
 #![allow(clippy::unwrap_used)]
 
@@ -26,12 +26,12 @@
 #[test_case(true; "streamed")]
 #[test_case(false; "whole")]
 #[tokio::test]
-async fn a_bound_request_is_served_at_home_whichever_instance_it_reaches(stream: bool) {
+async fn a_bound_request_is_served_in_its_home_region_whichever_instance_it_reaches(stream: bool) {
     let fleet = fleet().await;
     let caller = Caller::of("south-office");
     for instance in &fleet.instances {
         let prompt = format!("through {}", instance.id);
-        // An instance that has just started hears of the others within seconds.
+        // An instance that has just started receives the others' membership within seconds.
         let reply = eventually("the home region is known", PROPAGATION_LIMIT, || async {
             let reply = caller.chat(&instance.url, &prompt, stream).await.unwrap();
             (reply.status != 421).then_some(reply)
@@ -47,11 +47,11 @@
     }
     assert_eq!(fleet.engines["north"].counts().requests, 0);
     assert_eq!(fleet.engines["central"].counts().requests, 0);
-    assert_eq!(fleet.engine_requests(), 3, "no request went round");
+    assert_eq!(fleet.engine_requests(), 3, "no request was forwarded twice");
     assert_eq!(
         fleet.engines["south"].count_containing("secret-key-of"),
         0,
-        "the key stays where the caller presented it"
+        "the key does not leave the instance that received it"
     );
 }
 
@@ -87,10 +87,10 @@
 }
 
 #[tokio::test]
-async fn a_bound_request_whose_home_is_gone_is_refused_as_not_run() {
+async fn a_bound_request_whose_home_region_has_no_instance_is_refused_as_not_run() {
     let mut fleet = fleet().await;
-    let place = fleet.instances.iter().position(|it| it.region == "south");
-    fleet.remove_instance(place.unwrap());
+    let index = fleet.instances.iter().position(|it| it.region == "south");
+    fleet.remove_instance(index.unwrap());
     let north = fleet.instance("north").url.clone();
     let caller = Caller::of("south-office");
     let reply = eventually("a refusal", PROPAGATION_LIMIT, || async {
--- a/crates/gateway/tests/promise_keys.rs
+++ b/crates/gateway/tests/promise_keys.rs
@@ -1,4 +1,4 @@
-//! Promises about regions, accounts and keys, kept by real processes.
+//! Promises about regions, accounts and keys, tested with real processes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,8 +12,9 @@
 
 const TOKENS: u64 = 16;
 
-/// An instance outside the region may pass the request on or refuse it; one inside serves it.
-fn is_served_or_not_run(reply: &Reply, is_home: bool) -> bool {
+/// Whether the reply is allowed: an instance of the home region serves the request; one outside may
+/// forward it or refuse it.
+fn is_served_or_refused(reply: &Reply, is_home: bool) -> bool {
     reply.status == 200 || (!is_home && reply.run == "not-run")
 }
 
@@ -25,25 +26,25 @@
         for instance in &fleet.instances {
             let is_home = instance.region == region;
             let reply = caller.chat(&instance.url, region, false).await.unwrap();
-            assert!(is_served_or_not_run(&reply, is_home), "{reply:?}");
+            assert!(is_served_or_refused(&reply, is_home), "{reply:?}");
             let action = format!("{region}-by-{}", instance.id);
             let reply = caller.confirm(&instance.url, &action).await.unwrap();
-            assert!(is_served_or_not_run(&reply, is_home), "{reply:?}");
+            assert!(is_served_or_refused(&reply, is_home), "{reply:?}");
             let runs_at_home = fleet.services[region].runs(&action);
             assert_eq!(
                 fleet.runs(&action),
                 runs_at_home,
-                "it ran in its region only"
+                "it ran only in its region"
             );
             assert_eq!(reply.status == 200, runs_at_home == 1, "{reply:?}");
         }
-        let elsewhere = REGIONS.into_iter().filter(|other| *other != region);
-        for other in elsewhere {
-            let strays = fleet.engines[other].count_containing(&format!(r#""content":"{region}""#));
-            assert_eq!(strays, 0, "{region}'s prompts were seen in {other}");
+        let other_regions = REGIONS.into_iter().filter(|other| *other != region);
+        for other in other_regions {
+            let leaked = fleet.engines[other].count_containing(&format!(r#""content":"{region}""#));
+            assert_eq!(leaked, 0, "prompts of {region} were sent to {other}");
         }
     }
-    // Without an upstream in its region a request is refused rather than served elsewhere.
+    // Without an upstream in its region, a request is refused and not served in another one.
     fleet.engines["south"].set_refusing(true);
     fleet.engines["south"].cut();
     let before = fleet.engine_requests();
@@ -88,7 +89,7 @@
     }
     assert_eq!(fleet.engine_requests(), 0);
     assert_eq!(fleet.runs("a-1"), 0);
-    // The same idempotency key of two accounts names two actions.
+    // The same idempotency key in two accounts identifies two actions.
     for account in ["insurers", "north-office"] {
         let reply = Caller::of(account).confirm(url, "a-2").await.unwrap();
         assert_eq!(reply.status, 200, "{reply:?}");
@@ -151,7 +152,7 @@
         let reply = caller.chat(&instance.url, "hello", false).await.unwrap();
         assert_eq!(reply.status, 200, "{reply:?}");
     }
-    // The watch of one region has gone silent for good, while new connections work.
+    // The watch connection of one region stays silent, while new connections work.
     fleet.store_proxies["south"].freeze_existing();
     fleet.document.entry("accounts", "insurers")["keys"] = serde_json::json!([]);
     fleet.publish();
@@ -171,7 +172,7 @@
     let north = fleet.instance("north");
     let reply = caller.chat(&north.url, "before", false).await.unwrap();
     assert_eq!(reply.status, 200, "{reply:?}");
-    // Nothing outside the region answers any more.
+    // Partitioned: nothing outside the region answers.
     fleet.store_proxies["north"].set_both(carobwheel_standin::proxy::Way::partitioned());
     for region in ["central", "south"] {
         fleet.engines[region].set_refusing(true);
--- a/crates/gateway/tests/promise_operation.rs
+++ b/crates/gateway/tests/promise_operation.rs
@@ -1,4 +1,4 @@
-//! Promises to operators, kept by real processes.
+//! Promises to operators, tested with real processes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -15,7 +15,7 @@
 };
 
 #[tokio::test]
-async fn a_leaving_upstream_gets_no_new_work_after_a_few_seconds() {
+async fn a_leaving_upstream_gets_no_new_requests_after_a_few_seconds() {
     let mut fleet = Fleet::start(FleetOptions::default()).await;
     let caller = Caller::of("insurers");
     let north = fleet.instance("north").url.clone();
@@ -23,16 +23,20 @@
     assert_eq!(
         fleet.engines["north"].counts().requests,
         1,
-        "the engine at home is preferred"
+        "the engine in the same region is preferred"
     );
     fleet.document.entry("upstreams", "north-engine")["leaving"] = json!(true);
     fleet.publish();
-    eventually("new work goes elsewhere", PROPAGATION_LIMIT, || async {
-        let before = fleet.engines["north"].counts().requests;
-        let reply = caller.chat(&north, "during", false).await.unwrap();
-        assert_eq!(reply.status, 200, "{reply:?}");
-        (fleet.engines["north"].counts().requests == before).then_some(())
-    })
+    eventually(
+        "new requests go to another engine",
+        PROPAGATION_LIMIT,
+        || async {
+            let before = fleet.engines["north"].counts().requests;
+            let reply = caller.chat(&north, "during", false).await.unwrap();
+            assert_eq!(reply.status, 200, "{reply:?}");
+            (fleet.engines["north"].counts().requests == before).then_some(())
+        },
+    )
     .await;
     let before = fleet.engines["north"].counts().requests;
     for _ in 0..30 {
@@ -57,7 +61,7 @@
     })
     .await;
     let url = fleet.instance("north").url.clone();
-    let ask = |number: usize| {
+    let send_question = |number: usize| {
         let url = url.clone();
         async move {
             let prompt = format!("question {number}");
@@ -68,8 +72,8 @@
             (number, prompt, reply)
         }
     };
-    let asked = tokio::spawn(join_all((0..CALLERS).map(ask)));
-    eventually("all requests run", CONDITION_TIMEOUT, || async {
+    let pending = tokio::spawn(join_all((0..CALLERS).map(send_question)));
+    eventually("all requests are running", CONDITION_TIMEOUT, || async {
         let started: u64 = fleet
             .engines
             .values()
@@ -79,7 +83,7 @@
     })
     .await;
     fleet.instance("north").terminate();
-    for (number, prompt, reply) in asked.await.unwrap() {
+    for (number, prompt, reply) in pending.await.unwrap() {
         let text = if number.is_multiple_of(2) {
             reply.streamed_text()
         } else {
@@ -126,7 +130,7 @@
     engine["serves"]["model"] = json!("expert");
     fleet.document.list("models").push(model);
     fleet.document.list("upstreams").push(engine);
-    // A watch has gone silent, as connections do.
+    // A watch connection stays silent, as lost connections can.
     fleet.store_proxies["central"].freeze_existing();
     fleet.publish();
     for instance in &fleet.instances {
@@ -135,13 +139,13 @@
         })
         .await;
     }
-    // An invalid document is applied nowhere, not even partly.
+    // An invalid document must not be applied, not even in part.
     let valid = fleet.document.to_json();
     fleet.store.set_value(
         "config/document",
         valid.replace("\"schema\":1", "\"schema\":9").as_bytes(),
     );
-    // A store that comes back with an older revision reverts nothing.
+    // A store restored with an older revision must not revert anything.
     let old_store = store::start(&StoreOptions::default()).unwrap();
     old_store.set_value("config/document", old_document.as_bytes());
     for proxy in fleet.store_proxies.values() {
--- a/crates/gateway/tests/promise_streams.rs
+++ b/crates/gateway/tests/promise_streams.rs
@@ -1,4 +1,4 @@
-//! Streams that break are continued on another engine.
+//! Continuation of broken streams on another engine.
 
 #![allow(clippy::unwrap_used)]
 
@@ -22,14 +22,14 @@
     .await
 }
 
-/// The connection breaks at the start, inside an event, or close to the end; the stream also ends
-/// in good form without its last tokens.
+/// Guards against duplicated or lost tokens when the connection breaks at the first byte, within an
+/// event or close to the end, or when the stream ends normally without its last tokens.
 #[test_case(Fault::DieAfterBytes(1); "at the first byte")]
 #[test_case(Fault::DieAfterBytes(1_000); "after some events")]
 #[test_case(Fault::DieAfterBytes(12_345); "inside an event")]
 #[test_case(Fault::Short; "short of its end")]
 #[tokio::test]
-async fn a_broken_stream_goes_on_with_no_token_doubled_or_lost(fault: Fault) {
+async fn a_broken_stream_continues_with_no_token_duplicated_or_lost(fault: Fault) {
     let fleet = fleet().await;
     fleet.engines["north"].fail_next(fault, 1);
     let caller = Caller::of("insurers");
@@ -41,13 +41,14 @@
     assert_eq!(
         fleet.engine_requests(),
         2,
-        "one engine broke, another went on"
+        "one engine failed, another continued"
     );
 }
 
-/// A bound account's only engine at home is the one that broke.
+/// Guards against a bound account's stream being continued outside its region when its only engine
+/// there fails.
 #[tokio::test]
-async fn a_broken_stream_of_a_bound_account_never_goes_on_elsewhere() {
+async fn a_broken_stream_of_a_bound_account_never_continues_in_another_region() {
     let fleet = fleet().await;
     fleet.engines["north"].fail_next(Fault::DieAfterBytes(1_000), 1);
     let caller = Caller::of("north-office");
--- a/crates/gateway/tests/support/caller.rs
+++ b/crates/gateway/tests/support/caller.rs
@@ -1,39 +1,39 @@
-//! A caller: any HTTP client with a key.
+//! HTTP client that sends requests with an account's key.
 
 use super::key_of;
 use carobwheel_standin::engine::answer_text;
 use carobwheel_wire::openai::{ChatAnswer, ChatChunk, RequestView, CHAT_PATH, DONE};
 use serde_json::json;
 
-/// Most output tokens that a request asks for.
+/// Maximum output tokens (`max_tokens`) that a request asks for.
 const MAX_TOKENS: u64 = 1_000;
 
-/// A caller of one account.
+/// Caller of one account.
 #[derive(Clone)]
 pub(crate) struct Caller {
     http: reqwest::Client,
     key: Option<String>,
 }
 
-/// An answer as the caller got it.
+/// Answer as the caller received it.
 #[derive(Clone, Debug)]
 pub(crate) struct Reply {
     pub(crate) status: u16,
     /// Value of `carobwheel-run`.
     pub(crate) run: String,
-    /// The body; the error if it broke off.
+    /// Body, or the error if it was truncated.
     pub(crate) body: Result<String, String>,
 }
 
 impl Reply {
-    /// The text of a whole chat answer.
+    /// Returns the text of a complete chat answer.
     pub(crate) fn whole_text(&self) -> Option<String> {
         let body = self.body.as_ref().ok()?;
         let answer: ChatAnswer = serde_json::from_str(body).ok()?;
         answer.choices.into_iter().next()?.message.content
     }
 
-    /// The text of a streamed chat answer that came to its end.
+    /// Returns the text of a streamed chat answer; `None` if the stream did not end normally.
     pub(crate) fn streamed_text(&self) -> Option<String> {
         let body = self.body.as_ref().ok()?;
         let lines = body.lines().filter_map(|line| line.strip_prefix("data: "));
@@ -53,8 +53,8 @@
         Some(text)
     }
 
-    /// The caller is told that the answer has failed: by the status, by an event in the stream, or
-    /// by a body that breaks off.
+    /// Whether the caller can tell that the answer failed: by the status, by an error event in the
+    /// stream, or by a truncated body.
     pub(crate) fn is_failure(&self) -> bool {
         let has_error_event = |body: &String| body.contains("data: {\"error\"");
         self.status >= 400 || self.body.as_ref().map_or(true, has_error_event)
@@ -62,7 +62,7 @@
 }
 
 impl Caller {
-    /// A caller with the key of `account`.
+    /// Creates a caller with the key of `account`.
     pub(crate) fn of(account: &str) -> Self {
         Self {
             http: Self::http_client(),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A caller with this key.
+    /// Creates a caller with this key.
     pub(crate) fn with_key(key: Option<&str>) -> Self {
         Self {
             http: Self::http_client(),
@@ -88,7 +88,7 @@
             .unwrap()
     }
 
-    /// A request that carries the key.
+    /// Creates a request with the caller's key.
     pub(crate) fn request(&self, method: &str, url: &str) -> reqwest::RequestBuilder {
         let request = self.http.request(method.parse().unwrap(), url);
         match &self.key {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Sends a chat request; an error if no head of an answer came.
+    /// Sends a chat request; returns an error if no head of an answer arrived.
     pub(crate) async fn chat(
         &self,
         url: &str,
@@ -116,7 +116,7 @@
     }
 }
 
-/// Sends a request and reads the whole answer.
+/// Sends a request and reads the complete answer.
 pub(crate) async fn send(request: reqwest::RequestBuilder) -> Result<Reply, String> {
     let response = request.send().await.map_err(|err| err.to_string())?;
     let run = response.headers().get("carobwheel-run");
@@ -130,7 +130,7 @@
     })
 }
 
-/// Body of a chat request.
+/// Returns the body of a chat request.
 pub(crate) fn chat_body(prompt: &str, stream: bool) -> String {
     json!({
         "model": "appraiser",
@@ -141,7 +141,7 @@
     .to_string()
 }
 
-/// The whole answer of `tokens` tokens to `prompt`.
+/// Returns the complete answer of `tokens` tokens to `prompt`.
 pub(crate) fn expected_answer(prompt: &str, tokens: u64) -> String {
     let body = chat_body(prompt, false);
     answer_text(&RequestView::parse(body.as_bytes()).unwrap(), tokens)
--- a/crates/gateway/tests/support/document.rs
+++ b/crates/gateway/tests/support/document.rs
@@ -1,13 +1,13 @@
-//! The document of the fleet.
+//! Configuration document of the test fleet.
 
 use super::REGIONS;
 use serde_json::{json, Value};
 use sha2::{Digest, Sha256};
 
-/// Name of the account that is bound to no region.
-const FREE_ACCOUNT: &str = "insurers";
+/// Name of the account that is not bound to a region.
+const UNBOUND_ACCOUNT: &str = "insurers";
 
-/// A document that tests change before they publish it.
+/// Document that tests can change before they publish it.
 pub(crate) struct DocumentBuilder {
     pub(crate) json: Value,
 }
@@ -20,7 +20,7 @@
                 json!({"id": region, "data_centres": [format!("{region}-a")], "rate_weight": 1})
             })
             .collect();
-        let mut accounts = vec![account(FREE_ACCOUNT, None)];
+        let mut accounts = vec![account(UNBOUND_ACCOUNT, None)];
         accounts.extend(REGIONS.map(|region| account(&format!("{region}-office"), Some(region))));
         let json = json!({
             "schema": 1,
@@ -90,12 +90,12 @@
         self.list("upstreams").push(upstream);
     }
 
-    /// The list `name` of the document.
+    /// Returns the list `name` of the document.
     pub(crate) fn list(&mut self, name: &str) -> &mut Vec<Value> {
         self.json[name].as_array_mut().unwrap()
     }
 
-    /// The entry `id` of the list `name`.
+    /// Returns the entry `id` of the list `name`.
     pub(crate) fn entry(&mut self, name: &str, id: &str) -> &mut Value {
         let found = self.list(name).iter_mut().find(|entry| entry["id"] == id);
         found.unwrap()
@@ -106,7 +106,7 @@
     }
 }
 
-/// An account with one key and a rate that no test reaches by chance.
+/// Returns an account with one key and a rate limit that no test reaches by accident.
 pub(crate) fn account(id: &str, bound_region: Option<&str>) -> Value {
     let digest = Sha256::digest(key_of(id).as_bytes());
     let sha256: String = digest.iter().map(|byte| format!("{byte:02x}")).collect();
@@ -123,7 +123,7 @@
     account
 }
 
-/// The key of the account `id`.
+/// Returns the key of the account `id`.
 pub(crate) fn key_of(id: &str) -> String {
     format!("secret-key-of-{id}")
 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,6 +1,7 @@
-//! A small fleet of real `carobwheel` processes between callers and stand-ins.
+//! A small fleet of real `carobwheel` processes between callers and stand-ins for the store, the
+//! platform and the upstreams.
 //!
-//! Each region has its own proxy before the store, so that a region can be cut off from it.
+//! Each region reaches the store through its own proxy, so that it can be disconnected from it.
 
 #![allow(clippy::unwrap_used, dead_code, unused_imports)]
 
@@ -33,27 +34,27 @@
 
 /// Regions of the fleet.
 pub(crate) const REGIONS: [&str; 3] = ["north", "central", "south"];
-/// Longest wait for a condition before a test fails.
+/// Timeout of waits for a condition, after which a test fails.
 pub(crate) const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time that the users mean by "within seconds".
+/// Time within which a change has to take effect everywhere ("within seconds" in the promises).
 pub(crate) const PROPAGATION_LIMIT: Duration = Duration::from_secs(10);
 /// Key of the document in the store.
 const DOCUMENT_KEY: &str = "config/document";
 
 static NEXT_FOLDER: AtomicU64 = AtomicU64::new(0);
 
-/// How to set the stage.
+/// Options of a fleet.
 pub(crate) struct FleetOptions {
-    /// Instances in each region.
+    /// Number of instances in each region.
     pub(crate) instances_in_region: usize,
     /// Options of every engine.
     pub(crate) engine: EngineOptions,
     /// Options of every service.
     pub(crate) service: ServiceOptions,
-    /// Changes the document before it is published.
+    /// Function that changes the document before it is published.
     pub(crate) document: fn(&mut DocumentBuilder),
-    /// Other instances reach each instance through a proxy of its own that delays datagrams by
-    /// this time each way, in milliseconds; none for direct links.
+    /// Delay of datagrams between instances in each direction, in milliseconds, by a proxy in front
+    /// of each instance; `None` for direct links.
     pub(crate) link_delay_ms: Option<u64>,
 }
 
@@ -69,7 +70,7 @@
     }
 }
 
-/// A fleet, its platform and its upstreams.
+/// Fleet of instances with its platform and upstreams.
 pub(crate) struct Fleet {
     pub(crate) instances: Vec<Instance>,
     pub(crate) store: Store,
@@ -78,7 +79,7 @@
     pub(crate) engines: BTreeMap<&'static str, Engine>,
     pub(crate) services: BTreeMap<&'static str, Service>,
     pub(crate) document: DocumentBuilder,
-    /// Proxies before the links of each instance, if they are delayed.
+    /// Proxy in front of each instance's links, if links are delayed.
     pub(crate) links: BTreeMap<String, Proxy>,
     link_delay_ms: Option<u64>,
     authority: Authority,
@@ -86,8 +87,8 @@
 }
 
 impl Fleet {
-    /// Starts one engine and one service a region, the platform and the instances, and waits until
-    /// all are ready.
+    /// Starts one engine and one service per region, the platform and the instances, and waits
+    /// until all instances are ready.
     pub(crate) async fn start(options: FleetOptions) -> Self {
         let store = store::start(&StoreOptions::default()).unwrap();
         let mut fleet = Self {
@@ -115,14 +116,15 @@
                     .await;
             }
         }
-        fleet.slots_are_owned().await;
+        fleet.wait_for_slot_owners().await;
         fleet
     }
 
-    /// Waits until every region has told the store who owns its slots, as in normal operation.
-    async fn slots_are_owned(&self) {
+    /// Waits until every region has written the owners of its slots to the store, as in normal
+    /// operation.
+    async fn wait_for_slot_owners(&self) {
         eventually(
-            "every region's slots are owned",
+            "every region's slots have owners",
             CONDITION_TIMEOUT,
             || async {
                 let is_owned =
@@ -159,7 +161,7 @@
         let link = RefCell::new(None);
         let settings = |caller_address: &str, peer_address: &str| {
             let proxy = delay_ms.map(|delay_ms| start_link(peer_address, delay_ms));
-            let dialled = match &proxy {
+            let advertised_address = match &proxy {
                 Some(proxy) => proxy.addr(),
                 None => peer_address.parse().unwrap(),
             };
@@ -168,7 +170,7 @@
                 id: id.parse().unwrap(),
                 region: region.parse().unwrap(),
                 data_centre: format!("{region}-a").parse().unwrap(),
-                peer_address: dialled,
+                peer_address: advertised_address,
                 caller_address: caller_address.parse().unwrap(),
                 state: InstanceState::Live,
                 incarnation: None,
@@ -176,7 +178,7 @@
             let mut settings = self.settings(region, id, caller_address);
             settings["peers"] = tls.clone();
             settings["peers"]["address"] = json!(peer_address);
-            settings["peers"]["advertised_address"] = json!(dialled);
+            settings["peers"]["advertised_address"] = json!(advertised_address);
             settings
         };
         let instance = Instance::start(&self.folder, id, region, settings).await;
@@ -217,19 +219,19 @@
         })
     }
 
-    /// Kills the instance at `place`, and takes it off the live list.
-    pub(crate) fn remove_instance(&mut self, place: usize) {
-        let instance = self.instances.remove(place);
+    /// Kills the instance at `index` and removes it from the live list.
+    pub(crate) fn remove_instance(&mut self, index: usize) {
+        let instance = self.instances.remove(index);
         self.live_list.remove(&instance.id);
     }
 
-    /// Publishes the document as it stands.
+    /// Publishes the document in its current state.
     pub(crate) fn publish(&self) {
         self.store
             .set_value(DOCUMENT_KEY, self.document.to_json().as_bytes());
     }
 
-    /// The first instance of `region`.
+    /// Returns the first instance of `region`.
     pub(crate) fn instance(&self, region: &str) -> &Instance {
         let found = self
             .instances
@@ -238,7 +240,7 @@
         found.unwrap()
     }
 
-    /// Requests that the engines have seen, refused ones included.
+    /// Returns the number of requests that the engines have received, including refused ones.
     pub(crate) fn engine_requests(&self) -> u64 {
         self.engines
             .values()
@@ -246,7 +248,7 @@
             .sum()
     }
 
-    /// Times that the action with the key `key` ran on any service.
+    /// Returns how many times the action with the idempotency key `key` ran, over all services.
     pub(crate) fn runs(&self, key: &str) -> u64 {
         self.services
             .values()
@@ -255,7 +257,7 @@
     }
 }
 
-/// A proxy before the links of the instance at `peer_address`.
+/// Starts a proxy in front of the links of the instance at `peer_address`.
 fn start_link(peer_address: &str, delay_ms: u64) -> Proxy {
     let options = ProxyOptions::new(peer_address.parse().unwrap());
     let proxy = proxy::start_udp(options).unwrap();
@@ -267,7 +269,7 @@
     fn drop(&mut self) {
         self.instances.clear();
         if std::thread::panicking() {
-            eprintln!("logs are left in {}", self.folder.display());
+            eprintln!("the logs are in {}", self.folder.display());
         } else {
             std::fs::remove_dir_all(&self.folder).unwrap_or_default();
         }
@@ -286,10 +288,10 @@
     folder
 }
 
-/// Waits until `condition` gives a value.
+/// Waits until `condition` returns a value, and panics after `timeout`.
 pub(crate) async fn eventually<T, F: Future<Output = Option<T>>>(
     what: &str,
-    patience: Duration,
+    timeout: Duration,
     mut condition: impl FnMut() -> F,
 ) -> T {
     let start = Instant::now();
@@ -297,10 +299,7 @@
         if let Some(value) = condition().await {
             return value;
         }
-        assert!(
-            start.elapsed() < patience,
-            "not within {patience:?}: {what}"
-        );
+        assert!(start.elapsed() < timeout, "not within {timeout:?}: {what}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
--- a/crates/gateway/tests/support/process.rs
+++ b/crates/gateway/tests/support/process.rs
@@ -1,4 +1,4 @@
-//! One instance as a process.
+//! An instance as a child process.
 
 use super::{eventually, Caller, CONDITION_TIMEOUT};
 use std::{
@@ -8,10 +8,10 @@
     process::{Child, Command, ExitStatus, Stdio},
 };
 
-/// Times that a port taken by another process in the meantime is replaced.
+/// Maximum start attempts: another process may take a chosen port before the instance binds it.
 const MAX_STARTS: usize = 5;
 
-/// A running process; dropping it kills it.
+/// Running instance; dropping it kills the process.
 pub(crate) struct Instance {
     pub(crate) id: String,
     pub(crate) region: &'static str,
@@ -20,8 +20,8 @@
 }
 
 impl Instance {
-    /// Starts an instance with the settings for a free address for callers and one for other
-    /// instances, and waits until it is ready.
+    /// Starts an instance and waits until it is ready. `settings` returns its settings for a free
+    /// address for callers and a free address for other instances.
     pub(crate) async fn start(
         folder: &Path,
         id: &str,
@@ -48,42 +48,46 @@
                 url: format!("http://{address}"),
                 child,
             };
-            if instance.is_ready_or_gone().await {
+            if instance.wait_until_ready_or_exited().await {
                 return instance;
             }
         }
         panic!("{id} did not start; see its log in {}", folder.display());
     }
 
-    async fn is_ready_or_gone(&mut self) -> bool {
+    async fn wait_until_ready_or_exited(&mut self) -> bool {
         let url = format!("{}/readyz", self.url);
         let client = Caller::http_client();
         let child = &mut self.child;
-        eventually("an instance is ready or gone", CONDITION_TIMEOUT, || {
-            let is_gone = child.try_wait().unwrap().is_some();
-            let asked = client.get(&url).send();
-            async move {
-                if is_gone {
-                    return Some(false);
+        eventually(
+            "an instance is ready or has exited",
+            CONDITION_TIMEOUT,
+            || {
+                let has_exited = child.try_wait().unwrap().is_some();
+                let readiness = client.get(&url).send();
+                async move {
+                    if has_exited {
+                        return Some(false);
+                    }
+                    let is_ready = readiness.await.is_ok_and(|answer| answer.status() == 200);
+                    is_ready.then_some(true)
                 }
-                let is_ready = asked.await.is_ok_and(|answer| answer.status() == 200);
-                is_ready.then_some(true)
-            }
-        })
+            },
+        )
         .await
     }
 
-    /// Asks the process to stop.
+    /// Sends SIGTERM.
     pub(crate) fn terminate(&self) {
         self.signal("TERM");
     }
 
-    /// Pauses the process.
+    /// Pauses the process with SIGSTOP.
     pub(crate) fn pause(&self) {
         self.signal("STOP");
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a paused process.
     pub(crate) fn resume(&self) {
         self.signal("CONT");
     }
@@ -94,16 +98,16 @@
         assert!(sent.unwrap().success(), "signal {name} was not sent");
     }
 
-    /// Kills the process at once.
+    /// Kills the process with SIGKILL.
     pub(crate) fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process exits and returns its status.
     pub(crate) async fn exit_status(&mut self) -> ExitStatus {
         let child = &mut self.child;
-        eventually("the process ends", CONDITION_TIMEOUT, || {
+        eventually("the process exits", CONDITION_TIMEOUT, || {
             let status = child.try_wait().unwrap();
             async move { status }
         })
@@ -113,7 +117,7 @@
 
 impl Drop for Instance {
     fn drop(&mut self) {
-        // The process may have ended already.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
