--- a/crates/gateway/src/dispatch/mod.rs
+++ b/crates/gateway/src/dispatch/mod.rs
@@ -1,14 +1,14 @@
 //! Calls to upstreams.
 //!
-//! One thread with an event loop of its own runs every exchange. A job comes in through a bounded
-//! ring; its answer goes back as a head and a bounded queue of chunks, so a slow caller slows its
-//! upstream down instead of filling memory.
+//! One thread with its own event loop runs every exchange. Calls arrive through a bounded ring;
+//! each answer is returned as a head and a bounded queue of chunks, so that a slow caller slows
+//! down its upstream instead of filling memory.
 
+mod call;
 mod client;
 mod exchange;
-mod job;
 
-pub use job::{ExchangeError, Head, Job};
+pub use call::{AnswerHead, ExchangeError, UpstreamCall};
 
 use crate::ring::{async_ring, Sender};
 use anyhow::Context as _;
@@ -18,10 +18,10 @@
 use tokio::{runtime, task};
 use tokio_util::sync::CancellationToken;
 
-/// Jobs that wait for the dispatching thread at most.
-pub const RING_JOBS: usize = 8_192;
+/// Maximum number of calls that wait for the dispatch thread.
+pub const MAX_QUEUED_CALLS: usize = 8_192;
 
-/// Starts the dispatching thread, which ends when `cancel` is cancelled.
+/// Starts the dispatch thread, which ends when `cancel` is cancelled.
 ///
 /// # Errors
 ///
@@ -29,27 +29,27 @@
 pub fn start(
     clock: Clock,
     cancel: CancellationToken,
-) -> anyhow::Result<(Sender<Job>, thread::JoinHandle<()>)> {
-    let (sender, mut receiver) = async_ring::<Job>(RING_JOBS);
+) -> anyhow::Result<(Sender<UpstreamCall>, thread::JoinHandle<()>)> {
+    let (sender, mut receiver) = async_ring::<UpstreamCall>(MAX_QUEUED_CALLS);
     let clients = Clients::new()?;
     let event_loop = runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .context("cannot set up the dispatching event loop")?;
+        .context("cannot set up the event loop of the dispatch thread")?;
     let thread = thread::Builder::new()
         .name("dispatch".to_owned())
         .spawn(move || {
             let local = task::LocalSet::new();
             local.block_on(&event_loop, async move {
                 loop {
-                    let job = tokio::select! {
-                        job = receiver.recv() => job,
+                    let call = tokio::select! {
+                        call = receiver.recv() => call,
                         () = cancel.cancelled() => return,
                     };
-                    task::spawn_local(exchange::run(clients.clone(), clock, job));
+                    task::spawn_local(exchange::run(clients.clone(), clock, call));
                 }
             });
         })
-        .context("cannot start the dispatching thread")?;
+        .context("cannot start the dispatch thread")?;
     Ok((sender, thread))
 }
--- a/crates/gateway/src/intake/action/mod.rs
+++ b/crates/gateway/src/intake/action/mod.rs
@@ -1,22 +1,21 @@
-//! Actions that may not be repeated: claimed in the store before anything is sent.
+//! Actions that must run at most once: each is claimed in the store before anything is sent.
 //!
-//! The state machine is [`carobwheel_core::once::Action`]; this module carries out its effects.
-//! An action goes on when its caller leaves, since its outcome has still to be recorded.
+//! The state machine is [`carobwheel_core::once::Action`]; this module executes its effects. An
+//! action continues after its caller has disconnected, since its outcome has still to be recorded.
 
-mod claims;
+mod records;
 mod upstream;
 
-pub(crate) use claims::Claims;
+pub(crate) use records::ActionRecords;
 
 use super::{
     answer::Answer,
-    forward,
-    work::{self, Found, Work},
-    Shared,
+    attempt::{self, ClassifiedRequest, Destination},
+    forward, IntakeState,
 };
 use crate::{
     in_flight::Running,
-    refusal::{run_of_status, Cause, Execution, Refusal},
+    refusal::{execution_of_status, Cause, Execution, Refusal},
 };
 use carobwheel_core::{
     identity::Caller,
@@ -29,32 +28,32 @@
 use std::{collections::VecDeque, pin::pin, sync::Arc, time::Duration};
 use tokio::{sync::oneshot, time};
 
-/// Longest time for which an answer waits for its record.
-const RELAY_DELAY: Duration = Duration::from_millis(500);
+/// Maximum delay of an answer while its outcome is being recorded.
+const MAX_RELAY_DELAY: Duration = Duration::from_millis(500);
 
-type Reply = oneshot::Sender<Result<Answer, Refusal>>;
+type AnswerSender = oneshot::Sender<Result<Answer, Refusal>>;
 
-/// Runs the action of `work` and answers as soon as its fate is known.
+/// Runs the action of `classified` and returns its answer as soon as the outcome is known.
 pub(super) async fn run(
-    shared: &Arc<Shared>,
-    work: Work,
+    shared: &Arc<IntakeState>,
+    classified: ClassifiedRequest,
     running: Running,
 ) -> Result<Answer, Refusal> {
-    let spec = spec(&work)?;
-    // The place comes first: a request that is refused costs the store nothing.
-    let place = match work::place(shared, &work, &[], None).await? {
-        Found::Place(place) => place,
-        Found::Forward(to) => return forward::send(shared, &work, to, running).await,
+    let spec = action_spec(&classified)?;
+    // Placed before it is claimed, so that a refused request causes no store traffic.
+    let placement = match attempt::place(shared, &classified, &[], None).await? {
+        Destination::Upstream(placement) => placement,
+        Destination::Instance(to) => return forward::send(shared, &classified, to, running).await,
     };
-    let upstream = upstream::Upstream::new(place);
+    let upstream = upstream::ActionUpstream::new(placement);
     let (reply, answer) = oneshot::channel();
     let driver = Driver {
         shared: Arc::clone(shared),
         action: Action::new(spec, once::WriterId(rand::random())),
-        work,
+        classified,
         upstream,
         reply: Some(reply),
-        relayed: None,
+        pending_answer: None,
         lease: None,
         _running: running,
     };
@@ -65,15 +64,15 @@
     })
 }
 
-fn spec(work: &Work) -> Result<ActionSpec, Refusal> {
-    let key = match (&work.caller, &work.idempotency_key) {
+fn action_spec(classified: &ClassifiedRequest) -> Result<ActionSpec, Refusal> {
+    let key = match (&classified.caller, &classified.idempotency_key) {
         (Caller::Account(credential), Some(key)) => {
             let key = OnceKey::new(&credential.account, key).map_err(|err| {
                 Refusal::not_run(Cause::InvalidRequest, format!("Idempotency-Key: {err}"))
             })?;
             Some(key)
         }
-        // Keys of callers without an account would collide.
+        // Idempotency keys are scoped to an account; without one, keys of several callers collide.
         (Caller::Open, Some(_)) => {
             let message = "an Idempotency-Key needs an account";
             return Err(Refusal::not_run(Cause::InvalidRequest, message));
@@ -82,21 +81,25 @@
     };
     Ok(ActionSpec {
         key,
-        request_sha256: request_hash(work.method.as_str(), &work.path_and_query, &work.body),
-        deadline: work.deadline,
-        outcome_kept_ms: work.call.outcome_kept_ms,
-        deduplicates: work.call.deduplicates,
+        request_sha256: request_hash(
+            classified.method.as_str(),
+            &classified.path_and_query,
+            &classified.body,
+        ),
+        deadline: classified.deadline,
+        outcome_kept_ms: classified.classification.outcome_kept_ms,
+        deduplicates: classified.classification.deduplicates,
     })
 }
 
-/// Carries out the effects of one action.
+/// Executor of one action's effects.
 struct Driver {
-    shared: Arc<Shared>,
+    shared: Arc<IntakeState>,
     action: Action,
-    work: Work,
-    upstream: upstream::Upstream,
-    reply: Option<Reply>,
-    relayed: Option<Answer>,
+    classified: ClassifiedRequest,
+    upstream: upstream::ActionUpstream,
+    reply: Option<AnswerSender>,
+    pending_answer: Option<Answer>,
     lease: Option<LeaseId>,
     _running: Running,
 }
@@ -105,14 +108,14 @@
     async fn drive(mut self) {
         let mut effects = VecDeque::from(self.action.start(self.now()));
         while let Some(effect) = effects.pop_front() {
-            for input in self.carry_out(effect).await {
+            for input in self.execute(effect).await {
                 let now = self.now();
                 effects.extend(self.action.step(input, now));
             }
         }
         assert!(
             self.reply.is_none(),
-            "an action ends with an answer to its caller"
+            "an action must answer its caller before it ends"
         );
     }
 
@@ -120,7 +123,7 @@
         self.shared.clock.now()
     }
 
-    async fn carry_out(&mut self, effect: Effect) -> Vec<Input> {
+    async fn execute(&mut self, effect: Effect) -> Vec<Input> {
         match effect {
             Effect::Create {
                 call,
@@ -132,7 +135,7 @@
                 vec![Input::Store { call, answer }]
             }
             Effect::ReadBack { call, key } => {
-                let answer = self.shared.claims.read(&key).await;
+                let answer = self.shared.action_records.read(&key).await;
                 vec![Input::Store { call, answer }]
             }
             Effect::WriteOutcome {
@@ -148,24 +151,24 @@
                 vec![Input::Store { call, answer }]
             }
             Effect::Release { key, record } => {
-                self.shared.claims.release(&key, &record).await;
+                self.shared.action_records.release(&key, &record).await;
                 Vec::new()
             }
             Effect::Dispatch { call, send_before } => self.dispatch(call, send_before).await,
             Effect::Relay => {
-                // With a key the answer follows the record, so that a repeat finds it.
-                if self.work.idempotency_key.is_none() {
-                    self.relay();
+                // With an idempotency key the outcome is recorded first, so that a repeat finds it.
+                if self.classified.idempotency_key.is_none() {
+                    self.send_pending_answer();
                 }
                 Vec::new()
             }
             Effect::Answer(answer) => {
                 let answer = final_answer(&answer, self.upstream.refusal.take());
-                self.answer(answer);
+                self.send_answer(answer);
                 Vec::new()
             }
             Effect::End => {
-                self.relay();
+                self.send_pending_answer();
                 Vec::new()
             }
         }
@@ -177,45 +180,54 @@
         record: &ActionRecord,
         lifetime_ms: u64,
     ) -> StoreAnswer {
-        let claims = &self.shared.claims;
-        let Some(lease) = claims.lease(lifetime_ms, self.shared.clock.now()).await else {
+        let action_records = &self.shared.action_records;
+        let Some(lease) = action_records
+            .lease(lifetime_ms, self.shared.clock.now())
+            .await
+        else {
             return StoreAnswer::NotSent;
         };
         self.lease = Some(lease);
-        claims.create(key, record, lease).await
+        action_records.create(key, record, lease).await
     }
 
-    /// Writes the outcome and relays the answer, which does not wait long for a slow store.
+    /// Writes the outcome and then sends the answer, or sends it after [`MAX_RELAY_DELAY`] if the
+    /// store is slow.
     async fn write_outcome(
         &mut self,
         key: &OnceKey,
         record: &ActionRecord,
         revision: u64,
     ) -> StoreAnswer {
-        let lease = self.lease.expect("an outcome follows a claim on a lease");
+        let lease = self
+            .lease
+            .expect("a claim with a lease precedes every outcome");
         let shared = Arc::clone(&self.shared);
-        let mut write = pin!(shared.claims.write(key, record, revision, lease));
-        let written = time::timeout(RELAY_DELAY, &mut write).await;
-        self.relay();
+        let mut write = pin!(shared.action_records.write(key, record, revision, lease));
+        let written = time::timeout(MAX_RELAY_DELAY, &mut write).await;
+        self.send_pending_answer();
         match written {
             Ok(answer) => answer,
             Err(_) => write.await,
         }
     }
 
-    fn relay(&mut self) {
-        if let Some(answer) = self.relayed.take() {
-            self.answer(Ok(answer));
+    fn send_pending_answer(&mut self) {
+        if let Some(answer) = self.pending_answer.take() {
+            self.send_answer(Ok(answer));
         }
     }
 
     async fn dispatch(&mut self, call: u32, send_before: Millis) -> Vec<Input> {
-        let events = if self.upstream.find_place(&self.shared, &self.work).await
+        let events = if self
+            .upstream
+            .ensure_placed(&self.shared, &self.classified)
+            .await
             && self.now() < send_before
             && self.action.permit_send(call, self.now())
         {
-            let (events, answer) = self.upstream.exchange(&self.shared, &self.work).await;
-            self.relayed = answer;
+            let (events, answer) = self.upstream.exchange(&self.shared, &self.classified).await;
+            self.pending_answer = answer;
             events
         } else {
             vec![once::UpstreamEvent::Failed {
@@ -228,19 +240,19 @@
             .collect()
     }
 
-    // A caller that has gone drops the receiving end.
-    fn answer(&mut self, answer: Result<Answer, Refusal>) {
+    // Sending fails when the caller has disconnected and dropped the receiver.
+    fn send_answer(&mut self, answer: Result<Answer, Refusal>) {
         if let Some(reply) = self.reply.take() {
             let _ = reply.send(answer);
         }
     }
 }
 
-/// The answer of the state machine as the caller gets it. `refusal` is what the deciding thread
-/// last said, and is told to the caller when no upstream took the request.
+/// Converts the answer of the state machine into the answer for the caller. `refusal` is the last
+/// refusal of the decision thread; the caller gets it when no upstream accepted the request.
 fn final_answer(answer: &once::Answer, refusal: Option<Refusal>) -> Result<Answer, Refusal> {
     match answer {
-        once::Answer::Replay(outcome) => Ok(replay(outcome)),
+        once::Answer::Replay(outcome) => Ok(replayed_answer(outcome)),
         once::Answer::ReplayUnavailable { status } => Err(Refusal {
             run: Execution::Ran,
             ..Refusal::not_run(
@@ -252,15 +264,15 @@
             let message = "no upstream could be reached";
             Err(refusal.unwrap_or_else(|| Refusal::not_run(Cause::NoUpstream, message)))
         }
-        once::Answer::NotRun(cause) => Err(not_run(*cause)),
-        once::Answer::MayHaveRun(cause) => Err(may_have_run(*cause)),
+        once::Answer::NotRun(cause) => Err(not_run_refusal(*cause)),
+        once::Answer::MayHaveRun(cause) => Err(may_have_run_refusal(*cause)),
     }
 }
 
-fn replay(outcome: &once::Outcome) -> Answer {
-    let mut answer = Answer::whole(
+fn replayed_answer(outcome: &once::Outcome) -> Answer {
+    let mut answer = Answer::buffered(
         outcome.status,
-        run_of_status(outcome.status),
+        execution_of_status(outcome.status),
         outcome.body.bytes().unwrap_or_default().to_vec().into(),
     );
     if let Some(content_type) = &outcome.content_type {
@@ -272,7 +284,7 @@
     answer
 }
 
-fn not_run(cause: NotRun) -> Refusal {
+fn not_run_refusal(cause: NotRun) -> Refusal {
     match cause {
         NotRun::StoreUnavailable => {
             let message = "the action cannot be claimed now, since the store does not answer";
@@ -292,7 +304,7 @@
     }
 }
 
-fn may_have_run(cause: MayHaveRun) -> Refusal {
+fn may_have_run_refusal(cause: MayHaveRun) -> Refusal {
     match cause {
         MayHaveRun::UpstreamLost => Refusal::may_have_run(
             Cause::UpstreamFailed,
--- a/crates/gateway/src/options/edge.rs
+++ b/crates/gateway/src/options/edge.rs
@@ -1,19 +1,19 @@
-//! `carobwheel edge`: runs one instance on the platform until it is told to stop.
+//! `carobwheel edge`: runs one instance on the platform until it receives a signal to stop.
 
-use super::{EXIT_CUT, EXIT_FAULTY_INPUT, EXIT_NOT_STARTED};
+use super::{EXIT_FAULTY_INPUT, EXIT_NOT_STARTED, EXIT_REQUESTS_CUT};
 use carobwheel_edge::settings::Settings;
 use std::{
     path::{Path, PathBuf},
     process::ExitCode,
 };
 
-/// Runs the instance that the settings file describes, or only checks the file.
+/// Runs the instance that the settings file describes, or only checks the file if `is_check`.
 pub(super) fn run(settings: Option<&Path>, is_check: bool) -> ExitCode {
     let Some(path) = settings
         .map(PathBuf::from)
         .or_else(carobwheel_platform::settings_path)
     else {
-        eprintln!("carobwheel: no settings file is named; see --settings");
+        eprintln!("carobwheel: no settings file given; see --settings");
         return ExitCode::from(EXIT_FAULTY_INPUT);
     };
     let settings = match Settings::read(&path) {
@@ -31,9 +31,9 @@
     }
     match carobwheel_platform::run(settings, path) {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(cut) => {
-            eprintln!("{cut} requests were cut");
-            ExitCode::from(EXIT_CUT)
+        Ok(cut_requests) => {
+            eprintln!("{cut_requests} requests were cut");
+            ExitCode::from(EXIT_REQUESTS_CUT)
         }
         Err(err) => {
             eprintln!("carobwheel: {err:#}");
--- a/crates/gateway/tests/promise_actions.rs
+++ b/crates/gateway/tests/promise_actions.rs
@@ -1,4 +1,4 @@
-//! The promise that an action runs at most once, kept by real processes.
+//! The promise that an action runs at most once, tested with real processes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -6,12 +6,12 @@
 
 use carobwheel_standin::service::{ServiceFault, ServiceOptions};
 use futures::future::join_all;
-use support::{eventually, Caller, Fleet, FleetOptions, PATIENCE};
+use support::{eventually, Caller, Fleet, FleetOptions, CONDITION_TIMEOUT};
 
 const ACTIONS: usize = 30;
 
-/// Every action is sent to all instances at once, again and again, while services die and the
-/// store loses answers.
+/// Guards against an action that runs twice: each one is sent to all instances at once, several
+/// times, while services crash and the store loses answers.
 #[tokio::test]
 async fn a_non_idempotent_certification_or_ledger_action_runs_at_most_once() {
     const ROUNDS: usize = 3;
@@ -34,7 +34,7 @@
         ]);
     }
     let caller = Caller::of("insurers");
-    let mut told_run = vec![false; ACTIONS];
+    let mut reported_run = vec![false; ACTIONS];
     for _ in 0..ROUNDS {
         let sends = (0..ACTIONS).flat_map(|number| {
             let caller = &caller;
@@ -47,13 +47,16 @@
             })
         });
         for (number, reply) in join_all(sends).await {
-            told_run[number] |= reply.status == 200;
+            reported_run[number] |= reply.status == 200;
         }
     }
-    for (number, told_run) in told_run.into_iter().enumerate() {
+    for (number, reported_run) in reported_run.into_iter().enumerate() {
         let runs = fleet.runs(&format!("a-{number}"));
         assert!(runs <= 1, "a-{number} ran {runs} times");
-        assert!(!told_run || runs == 1, "a-{number} is said to have run");
+        assert!(
+            !reported_run || runs == 1,
+            "a-{number} was reported as run but did not run"
+        );
     }
     let ran = (0..ACTIONS)
         .filter(|number| fleet.runs(&format!("a-{number}")) == 1)
@@ -78,17 +81,21 @@
         let caller = caller.clone();
         tokio::spawn(async move { caller.confirm(&first, "a-1").await })
     };
-    eventually("the action has reached a service", PATIENCE, || async {
-        let requests: u64 = fleet
-            .services
-            .values()
-            .map(|service| service.request_count())
-            .sum();
-        (requests == 1).then_some(())
-    })
+    eventually(
+        "the action has reached a service",
+        CONDITION_TIMEOUT,
+        || async {
+            let requests: u64 = fleet
+                .services
+                .values()
+                .map(|service| service.request_count())
+                .sum();
+            (requests == 1).then_some(())
+        },
+    )
     .await;
     fleet.instances[0].kill();
-    assert!(sent.await.unwrap().is_err(), "the connection is gone");
+    assert!(sent.await.unwrap().is_err(), "the connection is lost");
     for instance in &fleet.instances[1..] {
         let reply = caller.confirm(&instance.url, "a-1").await.unwrap();
         assert_ne!(reply.run, "not-run", "{reply:?}");
