--- a/crates/gateway/src/decide/mod.rs
+++ b/crates/gateway/src/decide/mod.rs
@@ -4,13 +4,13 @@
 //! other, so that no decision needs a lock and each one sees the whole state.
 
 mod apply;
-mod ask;
+mod place;
 mod charge;
 mod event;
 mod forward;
 mod gossip;
 mod membership;
-mod outlets;
+mod outputs;
 mod rollouts;
 mod settle;
 mod slots;
