--- a/crates/gateway/src/daemon/mod.rs
+++ b/crates/gateway/src/daemon/mod.rs
@@ -3,7 +3,7 @@
 mod links;
 
 use crate::{
-    decide::{self, Outlets},
+    decide::{self, Outputs},
     dispatch,
     in_flight::InFlight,
     in_force::Current,
@@ -67,7 +67,7 @@
     let is_ready = Arc::new(AtomicBool::new(false));
     let has_handed_over = Arc::new(AtomicBool::new(false));
     let store = platform::store_client(settings, incarnation)?;
-    let (decide, events) = ring::ring(decide::RING_EVENTS);
+    let (decide, events) = ring::ring(decide::EVENT_RING_CAPACITY);
     let (commands, platform_commands) = ring::async_ring(platform::RING_COMMANDS);
     let (forwarded, forwards) = ring::async_ring(RING_FORWARDED);
     let mut threads = Vec::new();
@@ -88,7 +88,7 @@
     let metrics = settings.metrics.as_ref();
     let (report, report_thread) = report::start(metrics, board.clone(), cancel.child_token())?;
     threads.push(report_thread);
-    let outlets = Outlets {
+    let outputs = Outputs {
         current: current.clone(),
         entries: entries.clone(),
         board: board.clone(),
@@ -103,7 +103,7 @@
         incarnation,
         clock,
         events,
-        outlets,
+        outputs,
         token,
     )?);
     let (dispatch, dispatch_thread) = dispatch::start(clock, cancel.child_token())?;
--- a/crates/gateway/src/decide/apply.rs
+++ b/crates/gateway/src/decide/apply.rs
@@ -26,12 +26,12 @@
             return;
         }
         log::info!(revision = next.revision; "document in force");
-        self.outlets.current.replace(Arc::clone(&next));
-        if let Some(peers) = &self.outlets.peers {
+        self.outputs.current.replace(Arc::clone(&next));
+        if let Some(peers) = &self.outputs.peers {
             peers.serve_document(next.revision, next.bytes.clone());
         }
         let packets = self.members.set_revision(next.revision, now);
-        self.outlets.send_packets(packets);
+        self.outputs.send_packets(packets);
         let limiter = &mut self.charging.limiter;
         limiter.apply_document(next.revision, &next.document, now);
         self.apply_rollouts(&next.document);
--- a/crates/gateway/src/decide/charge.rs
+++ b/crates/gateway/src/decide/charge.rs
@@ -1,9 +1,9 @@
 //! Charges requests to their accounts before they are placed.
 
 use super::{
-    ask::refuse,
-    event::Ask,
+    event::PlacementRequest,
     gossip::LOAN_CHANNEL,
+    place::refuse,
     state::{account_of, State},
 };
 use crate::refusal::{Cause, Refusal};
@@ -29,7 +29,7 @@
 
 /// A request that waits for tokens of its account.
 struct Waiting {
-    ask: Box<Ask>,
+    request: Box<PlacementRequest>,
     until: Millis,
     retry_at: Millis,
 }
@@ -63,67 +63,70 @@
 
 impl State {
     /// Charges the request, then looks for a place.
-    pub(super) fn charge(&mut self, ask: Box<Ask>, now: Millis) {
-        let wait_ms = (ask.deadline.since(now) / WAIT_DIVISOR).min(MAX_WAIT_MS);
+    pub(super) fn charge(&mut self, request: Box<PlacementRequest>, now: Millis) {
+        let wait_ms = (request.deadline.since(now) / WAIT_DIVISOR).min(MAX_WAIT_MS);
         let until = now.plus(wait_ms);
         let mut waiting = self.charging.waiting.iter();
-        if waiting.any(|other| account_of(&other.ask) == account_of(&ask)) {
+        if waiting.any(|other| account_of(&other.request) == account_of(&request)) {
             // A small request does not overtake a large one of the same account.
-            self.wait_for_tokens(ask, until, now);
+            self.wait_for_tokens(request, until, now);
             return;
         }
-        self.try_charge(ask, until, now);
+        self.try_charge(request, until, now);
     }
 
-    fn try_charge(&mut self, mut ask: Box<Ask>, until: Millis, now: Millis) {
-        let Some(account) = account_of(&ask) else {
-            self.seek_place(ask, now);
+    fn try_charge(&mut self, mut request: Box<PlacementRequest>, until: Millis, now: Millis) {
+        let Some(account) = account_of(&request) else {
+            self.seek_place(request, now);
             return;
         };
-        let request = ChargeRequest {
+        let charge_request = ChargeRequest {
             account,
-            prompt_tokens: ask.prompt_tokens,
-            max_output_tokens: ask.max_output_tokens,
+            prompt_tokens: request.prompt_tokens,
+            max_output_tokens: request.max_output_tokens,
             wait_until: until,
         };
-        match self.charging.limiter.try_charge(&request, now) {
+        match self.charging.limiter.try_charge(&charge_request, now) {
             ChargeOutcome::Admitted { charge } => {
-                ask.charge = Some(charge);
-                let cancel = ask.cancel.clone();
+                request.charge = Some(charge);
+                let cancel = request.cancel.clone();
                 self.charging.cancels.insert(charge, cancel);
-                self.seek_place(ask, now);
+                self.seek_place(request, now);
             }
             ChargeOutcome::Borrow { messages, wait_ms } => {
                 self.send_loans(messages);
-                self.wait_for_tokens(ask, until, now.plus(wait_ms.max(1)));
+                self.wait_for_tokens(request, until, now.plus(wait_ms.max(1)));
             }
-            ChargeOutcome::Wait { ms } => self.wait_for_tokens(ask, until, now.plus(ms.max(1))),
+            ChargeOutcome::Wait { ms } => self.wait_for_tokens(request, until, now.plus(ms.max(1))),
             ChargeOutcome::Refused { retry_after_ms } => {
                 let message = "the account has used up its rate";
                 let refusal = Refusal::not_run(Cause::RateLimited, message);
-                refuse(ask, refusal.retry_after(retry_after_ms));
+                refuse(request, refusal.retry_after(retry_after_ms));
             }
             ChargeOutcome::TooLarge => {
                 let message = "prompt and output together exceed the account's burst";
-                refuse(ask, Refusal::not_run(Cause::TooLarge, message));
+                refuse(request, Refusal::not_run(Cause::TooLarge, message));
             }
             ChargeOutcome::UnknownAccount => {
-                refuse(ask, Refusal::not_run(Cause::InvalidKey, "no such account"));
+                refuse(
+                    request,
+                    Refusal::not_run(Cause::InvalidKey, "no such account"),
+                );
             }
         }
     }
 
-    fn wait_for_tokens(&mut self, ask: Box<Ask>, until: Millis, retry_at: Millis) {
+    fn wait_for_tokens(&mut self, request: Box<PlacementRequest>, until: Millis, retry_at: Millis) {
         if self.charging.waiting.len() >= MAX_WAITING {
             let message = "too many requests wait for tokens of their accounts";
             refuse(
-                ask,
+                request,
                 Refusal::not_run(Cause::Overloaded, message).retry_after(1_000),
             );
             return;
         }
         self.charging.waiting.push(Waiting {
-            ask,
+            request,
             until,
             retry_at,
         });
@@ -135,16 +138,16 @@
         let waiting = mem::take(&mut self.charging.waiting);
         let mut behind: HashSet<AccountId> = HashSet::new();
         for entry in waiting {
-            if entry.ask.reply.is_closed() {
+            if entry.request.reply.is_closed() {
                 continue;
             }
-            let account = account_of(&entry.ask).cloned();
+            let account = account_of(&entry.request).cloned();
             let is_behind = account.as_ref().is_some_and(|it| behind.contains(it));
             let is_late = entry.until <= now;
             let is_due = all || entry.retry_at <= now;
             let before = self.charging.waiting.len();
             if is_due && (!is_behind || is_late) {
-                self.try_charge(entry.ask, entry.until, now);
+                self.try_charge(entry.request, entry.until, now);
             } else {
                 self.charging.waiting.push(entry);
             }
@@ -155,7 +158,7 @@
     }
 
     /// A request with a charge has ended.
-    pub(super) fn uncharge(&mut self, charge: ChargeId, output_tokens: u64, now: Millis) {
+    pub(super) fn settle_charge(&mut self, charge: ChargeId, output_tokens: u64, now: Millis) {
         self.charging.cancels.remove(&charge);
         self.charging.limiter.settle(charge, output_tokens, now);
     }
@@ -192,7 +195,7 @@
             match postcard::to_stdvec(&signed) {
                 Ok(bytes) => {
                     let message = Message::opaque(LOAN_CHANNEL, bytes);
-                    self.outlets.send(to.instance, Some(addr), message);
+                    self.outputs.send(to.instance, Some(addr), message);
                 }
                 Err(err) => log::error!("a message about loans cannot be encoded: {err}"),
             }
--- a/crates/gateway/src/decide/event.rs
+++ b/crates/gateway/src/decide/event.rs
@@ -21,7 +21,7 @@
 
 /// What a request asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Target {
+pub enum Destination {
     /// A model by name.
     Model {
         /// Name of the model.
@@ -40,13 +40,13 @@
 
 /// A request that asks for a place at an upstream.
 #[derive(Debug)]
-pub struct Ask {
+pub struct PlacementRequest {
     /// Name of the request.
-    pub request: RequestId,
+    pub id: RequestId,
     /// Who the request runs for.
     pub caller: Caller,
     /// What it asks for.
-    pub target: Target,
+    pub destination: Destination,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
     /// Tokens of output at most.
@@ -68,21 +68,21 @@
     /// Ends the request when its account may not go on with it.
     pub cancel: CancellationToken,
     /// Where the decision goes.
-    pub reply: oneshot::Sender<Result<Step, Refusal>>,
+    pub reply: oneshot::Sender<Result<PlacementDecision, Refusal>>,
 }
 
 /// The next step of a request.
 #[derive(Clone, Debug)]
-pub enum Step {
+pub enum PlacementDecision {
     /// Send it to an upstream.
-    Dispatch(Placed),
+    Dispatch(Assignment),
     /// Send it to another instance.
-    Forward(ForwardTo),
+    Forward(NextHop),
 }
 
 /// Another instance that a request goes to.
 #[derive(Clone, Debug)]
-pub struct ForwardTo {
+pub struct NextHop {
     /// Name of the instance.
     pub instance: InstanceId,
     /// Its address for instances.
@@ -93,7 +93,7 @@
 
 /// A place at an upstream.
 #[derive(Clone, Debug)]
-pub struct Placed {
+pub struct Assignment {
     /// Number of the placement, named again when the request settles.
     pub ticket: u64,
     /// Name of the upstream.
@@ -112,9 +112,9 @@
 
 /// How a placed request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// The answer was whole.
-    Whole,
+    Completed,
     /// The attempt failed.
     Failed(Failure),
     /// The caller went away or the request was cancelled before its end.
@@ -127,14 +127,14 @@
     /// Number of the placement.
     pub ticket: u64,
     /// How the request ended.
-    pub ending: Ending,
+    pub outcome: AttemptOutcome,
     /// Output tokens that were relayed.
     pub output_tokens: u64,
 }
 
 /// Asks whether a failed attempt is tried again.
 #[derive(Debug)]
-pub struct RetryQuestion {
+pub struct RetryRequest {
     /// The request may be repeated without a further effect.
     pub idempotent: bool,
     /// How the attempt failed.
@@ -151,7 +151,7 @@
 #[derive(Debug)]
 pub enum Event {
     /// A request asks for a place.
-    Ask(Box<Ask>),
+    Place(Box<PlacementRequest>),
     /// The first byte of an answer arrived.
     FirstByte {
         /// Number of the placement.
@@ -167,11 +167,11 @@
     /// A placed request ended.
     Settle(Settlement),
     /// An attempt failed before its answer began; may it be tried again?
-    MayRetry(Box<RetryQuestion>),
+    Retry(Box<RetryRequest>),
     /// A document arrived from the store or a peer.
     Document(Arc<InForce>),
     /// A request with a charge has ended.
-    Uncharge {
+    SettleCharge {
         /// The charge.
         charge: ChargeId,
         /// Output tokens that were generated.
@@ -182,7 +182,7 @@
     /// The record of slots of one region was read.
     Slots(Box<SlotsRead>),
     /// The records of slots of all regions have been read once.
-    SlotsKnown,
+    SlotsLoaded,
     /// The live list was read.
     LiveList(Box<LiveListRead>),
     /// The store answered a call about a verdict.
--- a/crates/gateway/src/decide/forward.rs
+++ b/crates/gateway/src/decide/forward.rs
@@ -1,8 +1,8 @@
 //! Requests that another instance has to serve.
 
 use super::{
-    ask::refuse,
-    event::{Ask, ForwardTo, Step},
+    event::{NextHop, PlacementDecision, PlacementRequest},
+    place::refuse,
     state::{account_of, State},
 };
 use crate::refusal::{Cause, Refusal};
@@ -16,29 +16,32 @@
 
 impl State {
     /// Sends a request to an instance of the region that it is bound to.
-    pub(super) fn forward_home(&mut self, ask: Box<Ask>) {
-        let Some(region) = ask.bound_region.clone() else {
+    pub(super) fn forward_home(&mut self, request: Box<PlacementRequest>) {
+        let Some(region) = request.bound_region.clone() else {
             return;
         };
-        let account = account_of(&ask);
+        let account = account_of(&request);
         let Some(next) = self.instance_in(&region, account) else {
             let message = format!("no instance of region `{region}` can be reached");
             let refusal = Refusal::not_run(Cause::WrongRegion, message).retry_after(1_000);
-            refuse(ask, refusal);
+            refuse(request, refusal);
             return;
         };
-        match ask.hops.forward(Hop::AcrossRegions, &next.instance) {
+        match request.hops.forward(Hop::AcrossRegions, &next.instance) {
             Ok(hops) => {
-                let step = Step::Forward(ForwardTo {
+                let step = PlacementDecision::Forward(NextHop {
                     instance: next.instance,
                     addr: next.peer_addr,
                     hops,
                 });
                 // A caller that went away needs no answer.
-                let _ = ask.reply.send(Ok(step));
+                let _ = request.reply.send(Ok(step));
             }
             Err(fault) => {
-                refuse(ask, Refusal::not_run(Cause::WrongRegion, fault.to_string()));
+                refuse(
+                    request,
+                    Refusal::not_run(Cause::WrongRegion, fault.to_string()),
+                );
             }
         }
     }
--- a/crates/gateway/src/decide/membership.rs
+++ b/crates/gateway/src/decide/membership.rs
@@ -41,7 +41,7 @@
 impl State {
     pub(super) fn tick_members(&mut self, now: Millis) {
         let packets = self.members.tick(now);
-        self.outlets.send_packets(packets);
+        self.outputs.send_packets(packets);
         self.fetch_document(now);
         self.log_member_events(now);
     }
@@ -74,7 +74,7 @@
         };
         self.slots.presence.note_heartbeat(&peer, now);
         let answers = self.members.on_packet(from, packet, now);
-        self.outlets.send_packets(answers);
+        self.outputs.send_packets(answers);
         self.fetch_document(now);
     }
 
@@ -95,9 +95,9 @@
         self.slots.listed = Some(names.collect());
         self.slots.presence.note_live_list(&listed, read.began, now);
         let packets = self.members.on_live_list(&lines, now);
-        self.outlets.send_packets(packets);
+        self.outputs.send_packets(packets);
         let instances = u32::try_from(self.members.snapshot().len()).unwrap_or(u32::MAX);
-        self.outlets
+        self.outputs
             .command(Command::SetInstances(instances.max(1)));
     }
 
@@ -115,7 +115,7 @@
             .iter()
             .take(WATCHERS_IN_REGION)
             .any(|name| **name == self.identity.id);
-        self.outlets.command(Command::WatchDocument(is_watcher));
+        self.outputs.command(Command::WatchDocument(is_watcher));
     }
 
     // A platform that does not know incarnations means the one that runs now.
@@ -144,7 +144,7 @@
             return;
         };
         let above_revision = self.revision().unwrap_or(0);
-        if let Some(peers) = &self.outlets.peers {
+        if let Some(peers) = &self.outputs.peers {
             // A full queue means that the fetch is advised again later.
             let _ = peers.fetch_document(from, addr, above_revision);
         }
@@ -157,9 +157,9 @@
         }
         self.is_leaving = true;
         let packets = self.members.leave(now);
-        self.outlets.send_packets(packets);
+        self.outputs.send_packets(packets);
         self.hand_over(now);
-        self.outlets.command(Command::Leave);
+        self.outputs.command(Command::Leave);
         self.publish_entries();
     }
 
@@ -206,7 +206,7 @@
                 region: member.identity.region,
             })
             .collect();
-        self.outlets.entries.store(EntryList {
+        self.outputs.entries.store(EntryList {
             entries,
             lifetime_s: LIFETIME_S,
         });
--- a/crates/gateway/src/decide/mod.rs
+++ b/crates/gateway/src/decide/mod.rs
@@ -4,13 +4,13 @@
 //! other, so that no decision needs a lock and each one sees the whole state.
 
 mod apply;
-mod place;
 mod charge;
 mod event;
 mod forward;
 mod gossip;
 mod membership;
 mod outputs;
+mod place;
 mod rollouts;
 mod settle;
 mod slots;
@@ -18,10 +18,10 @@
 mod status;
 
 pub use event::{
-    Ask, Ending, Event, ForwardTo, LiveListRead, Placed, RetryQuestion, Settlement, SlotsRead,
-    Step, Target,
+    Assignment, AttemptOutcome, Destination, Event, LiveListRead, NextHop, PlacementDecision,
+    PlacementRequest, RetryRequest, Settlement, SlotsRead,
 };
-pub use outlets::Outlets;
+pub use outputs::Outputs;
 
 use crate::{ring::Receiver, settings::Settings};
 use anyhow::Context as _;
@@ -31,7 +31,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Events that wait for the deciding thread at most.
-pub const RING_EVENTS: usize = 16_384;
+pub const EVENT_RING_CAPACITY: usize = 16_384;
 const TICK: Duration = Duration::from_millis(10);
 
 /// Starts the deciding thread, which ends when `cancel` is cancelled.
@@ -44,10 +44,10 @@
     incarnation: u64,
     clock: Clock,
     mut events: Receiver<Event>,
-    outlets: Outlets,
+    outputs: Outputs,
     cancel: CancellationToken,
 ) -> anyhow::Result<thread::JoinHandle<()>> {
-    let mut state = State::new(settings, incarnation, clock, outlets);
+    let mut state = State::new(settings, incarnation, clock, outputs);
     thread::Builder::new()
         .name("decide".to_owned())
         .spawn(move || {
--- a/crates/gateway/src/decide/outputs.rs
+++ b/crates/gateway/src/decide/outputs.rs
@@ -11,7 +11,7 @@
 };
 
 /// The other threads, as far as the deciding thread tells them something.
-pub struct Outlets {
+pub struct Outputs {
     /// The document in force.
     pub current: Current,
     /// Instances that callers may use.
@@ -28,7 +28,7 @@
     pub platform: Sender<platform::Command>,
 }
 
-impl Outlets {
+impl Outputs {
     /// Sends a message to a peer. Like a datagram it may get lost, also when the queue is full.
     pub(super) fn send(&self, to: InstanceId, addr: Option<SocketAddr>, message: Message) {
         if let Some(peers) = &self.peers {
--- a/crates/gateway/src/decide/place.rs
+++ b/crates/gateway/src/decide/place.rs
@@ -1,7 +1,7 @@
 //! Requests that ask for a place: placed at once, queued, or refused.
 
 use super::{
-    event::{Ask, Placed, Step, Target},
+    event::{Assignment, Destination, PlacementDecision, PlacementRequest},
     rollouts::{Rollouts, Trial},
     state::{account_of, Configured, Open, State},
 };
@@ -25,35 +25,35 @@
 
 impl State {
     /// Answers `ask` now or puts it into its queue.
-    pub(super) fn ask(&mut self, ask: Box<Ask>, now: Millis) {
+    pub(super) fn on_placement_request(&mut self, request: Box<PlacementRequest>, now: Millis) {
         let Some(configured) = &mut self.configured else {
             refuse(
-                ask,
+                request,
                 Refusal::not_run(Cause::NotReady, "no configuration yet"),
             );
             return;
         };
-        if !configured.in_force.keys.is_valid(&ask.caller) {
-            refuse(ask, withdrawn());
+        if !configured.in_force.keys.is_valid(&request.caller) {
+            refuse(request, withdrawn());
             return;
         }
-        let bound = ask.bound_region.as_ref();
+        let bound = request.bound_region.as_ref();
         if bound.is_some_and(|region| *region != self.identity.region) {
-            self.forward_home(ask);
+            self.forward_home(request);
             return;
         }
-        if ask.tried.is_empty() {
+        if request.tried.is_empty() {
             configured.retrier.on_request();
         }
-        if ask.charge.is_some() {
-            self.seek_place(ask, now);
+        if request.charge.is_some() {
+            self.seek_place(request, now);
         } else {
-            self.charge(ask, now);
+            self.charge(request, now);
         }
     }
 
     /// Places a request that has been charged, or queues it.
-    pub(super) fn seek_place(&mut self, ask: Box<Ask>, now: Millis) {
+    pub(super) fn seek_place(&mut self, request: Box<PlacementRequest>, now: Millis) {
         let unix_now = self.unix_now();
         let Some(configured) = &self.configured else {
             return;
@@ -64,21 +64,21 @@
             unix_now,
             now,
         };
-        let placed = way.place(&ask, &mut self.rng);
+        let placed = way.place(&request, &mut self.rng);
         match placed {
             // A request that finds others waiting takes its turn behind them.
-            Ok(placement) if self.admit.is_empty() => self.start(*ask, placement, now),
-            Ok(_) => self.wait(ask, 0, now),
-            Err(route::Refusal::Full { wait_ms }) => self.wait(ask, wait_ms, now),
-            Err(refusal) => self.turn_away(ask, refusal_of(&refusal), now),
+            Ok(placement) if self.admit.is_empty() => self.start(*request, placement, now),
+            Ok(_) => self.wait(request, 0, now),
+            Err(route::Refusal::Full { wait_ms }) => self.wait(request, wait_ms, now),
+            Err(refusal) => self.turn_away(request, refusal_of(&refusal), now),
         }
     }
 
-    fn wait(&mut self, ask: Box<Ask>, slot_wait_ms: u64, now: Millis) {
+    fn wait(&mut self, request: Box<PlacementRequest>, slot_wait_ms: u64, now: Millis) {
         let Some(configured) = &self.configured else {
             return;
         };
-        let entry = entry(&configured.in_force, ask);
+        let entry = entry(&configured.in_force, request);
         match self.admit.enqueue(entry, slot_wait_ms, now) {
             Ok(()) => self.place_waiting(now),
             Err((entry, rejected)) => {
@@ -90,11 +90,11 @@
     }
 
     /// Refuses a request that has been charged and gives its reservation back.
-    fn turn_away(&mut self, ask: Box<Ask>, refusal: Refusal, now: Millis) {
-        if let Some(charge) = ask.charge {
-            self.uncharge(charge, 0, now);
+    fn turn_away(&mut self, request: Box<PlacementRequest>, refusal: Refusal, now: Millis) {
+        if let Some(charge) = request.charge {
+            self.settle_charge(charge, 0, now);
         }
-        refuse(ask, refusal);
+        refuse(request, refusal);
     }
 
     /// Places waiting requests as far as there is room.
@@ -133,7 +133,7 @@
         }
     }
 
-    fn start(&mut self, ask: Ask, chosen: Chosen, now: Millis) {
+    fn start(&mut self, request: PlacementRequest, chosen: Chosen, now: Millis) {
         let Chosen {
             placement,
             version,
@@ -148,21 +148,25 @@
             .iter()
             .find(|upstream| upstream.id == placement.upstream)
             .expect("a placement names an upstream of the document in force");
-        let placed = Placed {
+        let placed = Assignment {
             ticket: self.last_ticket + 1,
             upstream: spec.id.clone(),
             url: spec.url.clone(),
             version,
-            priority: priority(&configured.in_force, &ask),
+            priority: priority(&configured.in_force, &request),
             send_before: now.plus(TOLERATED_PAUSE_MS / 2),
-            charge: ask.charge,
+            charge: request.charge,
         };
         let ticket = placed.ticket;
         // A caller that went away has dropped the receiving end and uses nothing.
-        let charge = ask.charge;
-        if ask.reply.send(Ok(Step::Dispatch(placed))).is_err() {
+        let charge = request.charge;
+        if request
+            .reply
+            .send(Ok(PlacementDecision::Dispatch(placed)))
+            .is_err()
+        {
             if let Some(charge) = charge {
-                self.uncharge(charge, 0, now);
+                self.settle_charge(charge, 0, now);
             }
             return;
         }
@@ -185,8 +189,8 @@
 }
 
 /// Refuses a request. The caller may have gone away, which makes the refusal moot.
-pub(super) fn refuse(ask: Box<Ask>, refusal: Refusal) {
-    let _ = ask.reply.send(Err(refusal));
+pub(super) fn refuse(request: Box<PlacementRequest>, refusal: Refusal) {
+    let _ = request.reply.send(Err(refusal));
 }
 
 /// Where a request goes, with the version and what it tries.
@@ -205,14 +209,18 @@
 }
 
 impl Way<'_> {
-    fn place(&self, ask: &Ask, rng: &mut impl Rng) -> Result<Chosen, route::Refusal> {
-        let remaining_ms = ask.deadline.since(self.now);
-        match &ask.target {
-            Target::Model { model, class } => {
+    fn place(
+        &self,
+        request: &PlacementRequest,
+        rng: &mut impl Rng,
+    ) -> Result<Chosen, route::Refusal> {
+        let remaining_ms = request.deadline.since(self.now);
+        match &request.destination {
+            Destination::Model { model, class } => {
                 let document = &self.configured.in_force.document;
                 let (version, trial) = self
                     .rollouts
-                    .version(document, ask, self.unix_now, self.now)
+                    .version(document, request, self.unix_now, self.now)
                     .ok_or(route::Refusal::NoUpstream)?;
                 let class = document
                     .classes
@@ -224,21 +232,21 @@
                     model,
                     version: &version,
                 };
-                match self.seek(ask, requirement, target, rng) {
+                match self.seek(request, requirement, target, rng) {
                     Ok(placement) => Ok(Chosen {
                         placement,
                         version: Some(version),
                         trial,
                     }),
                     Err(_) if trial.as_ref().is_some_and(Trial::is_of_new_version) => {
-                        self.place_on_old(ask, model, target, rng)
+                        self.place_on_old(request, model, target, rng)
                     }
                     Err(refusal) => Err(refusal),
                 }
             }
-            Target::Service { service, .. } => {
+            Destination::Service { service, .. } => {
                 let target = route::LatencyTarget::of_service(remaining_ms);
-                let placement = self.seek(ask, Requirement::Service(service), target, rng)?;
+                let placement = self.seek(request, Requirement::Service(service), target, rng)?;
                 Ok(Chosen {
                     placement,
                     version: None,
@@ -251,7 +259,7 @@
     /// Places a request on the old version when the new one has no room for it.
     fn place_on_old(
         &self,
-        ask: &Ask,
+        request: &PlacementRequest,
         model: &ModelId,
         target: route::LatencyTarget,
         rng: &mut impl Rng,
@@ -264,7 +272,7 @@
             model,
             version: &version,
         };
-        let placement = self.seek(ask, requirement, target, rng)?;
+        let placement = self.seek(request, requirement, target, rng)?;
         Ok(Chosen {
             placement,
             version: Some(version),
@@ -274,40 +282,43 @@
 
     fn seek(
         &self,
-        ask: &Ask,
+        request: &PlacementRequest,
         requirement: Requirement<'_>,
         target: route::LatencyTarget,
         rng: &mut impl Rng,
     ) -> Result<Placement, route::Refusal> {
-        let request = Request {
-            id: &ask.request,
+        let route_request = Request {
+            id: &request.id,
             requirement,
-            prompt_tokens: ask.prompt_tokens,
-            max_output_tokens: ask.max_output_tokens,
-            prefix_hashes: &ask.prefix,
+            prompt_tokens: request.prompt_tokens,
+            max_output_tokens: request.max_output_tokens,
+            prefix_hashes: &request.prefix,
             target,
-            bound_region: ask.bound_region.as_ref(),
-            hops: &ask.hops,
-            tried: &ask.tried,
+            bound_region: request.bound_region.as_ref(),
+            hops: &request.hops,
+            tried: &request.tried,
         };
-        self.configured.router.place(&request, self.now, rng)
+        self.configured.router.place(&route_request, self.now, rng)
     }
 }
 
-fn priority(in_force: &InForce, ask: &Ask) -> u8 {
-    match &ask.target {
-        Target::Model { class, .. } => in_force
+fn priority(in_force: &InForce, request: &PlacementRequest) -> u8 {
+    match &request.destination {
+        Destination::Model { class, .. } => in_force
             .document
             .classes
             .iter()
             .find(|known| known.id == *class)
             .map_or(u8::MAX, |class| class.priority),
-        Target::Service { .. } => SERVICE_PRIORITY,
+        Destination::Service { .. } => SERVICE_PRIORITY,
     }
 }
 
-fn entry(in_force: &InForce, ask: Box<Ask>) -> QueuedRequest<Box<Ask>> {
-    let account = account_of(&ask).cloned();
+fn entry(
+    in_force: &InForce,
+    request: Box<PlacementRequest>,
+) -> QueuedRequest<Box<PlacementRequest>> {
+    let account = account_of(&request).cloned();
     let weight = account
         .as_ref()
         .and_then(|id| in_force.document.account(id))
@@ -315,10 +326,10 @@
     QueuedRequest {
         account,
         weight,
-        priority: priority(in_force, &ask),
-        cost_tokens: ask.prompt_tokens + ask.max_output_tokens,
-        deadline: ask.deadline,
-        item: ask,
+        priority: priority(in_force, &request),
+        cost_tokens: request.prompt_tokens + request.max_output_tokens,
+        deadline: request.deadline,
+        item: request,
     }
 }
 
--- a/crates/gateway/src/decide/rollouts/gossip.rs
+++ b/crates/gateway/src/decide/rollouts/gossip.rs
@@ -75,7 +75,7 @@
         let identity = &member.identity;
         let message = Message::opaque(EVIDENCE_CHANNEL, bytes);
         let addr = Some(identity.peer_addr);
-        self.outlets.send(identity.instance.clone(), addr, message);
+        self.outputs.send(identity.instance.clone(), addr, message);
     }
 
     /// Takes what a peer knows.
--- a/crates/gateway/src/decide/rollouts/mod.rs
+++ b/crates/gateway/src/decide/rollouts/mod.rs
@@ -7,7 +7,7 @@
 pub(super) use trial::Trial;
 
 use super::{
-    event::{Ask, Target},
+    event::{Destination, PlacementRequest},
     state::State,
 };
 use crate::platform::Command;
@@ -62,11 +62,11 @@
     pub(super) fn version(
         &self,
         document: &Document,
-        ask: &Ask,
+        request: &PlacementRequest,
         unix_now: UnixMillis,
         now: Millis,
     ) -> Option<(VersionId, Option<Trial>)> {
-        let Target::Model { model, class } = &ask.target else {
+        let Destination::Model { model, class } = &request.destination else {
             return None;
         };
         let Some(running) = self.of_model(model) else {
@@ -75,9 +75,9 @@
         };
         let state = &running.state;
         let route = route_tag(model, class);
-        let side = state.choose(route, ask.request.as_str(), unix_now);
+        let side = state.choose(route, request.id.as_str(), unix_now);
         // A failed attempt is not repeated on a version that is still being judged.
-        let is_repeat = !ask.tried.is_empty() && state.verdict().is_none();
+        let is_repeat = !request.tried.is_empty() && state.verdict().is_none();
         if side == Side::New && is_repeat {
             return Some((version_of(state, Side::Old), None));
         }
@@ -172,7 +172,7 @@
             };
             rollouts.running.insert(rollout.id.clone(), running);
             // A verdict that was written before this instance started counts at once.
-            self.outlets.command(Command::ReadVerdict {
+            self.outputs.command(Command::ReadVerdict {
                 rollout: rollout.id.clone(),
                 call: FIRST_LOOK,
             });
--- a/crates/gateway/src/decide/rollouts/trial.rs
+++ b/crates/gateway/src/decide/rollouts/trial.rs
@@ -1,7 +1,7 @@
 //! What requests say about the version that they went to.
 
 use super::super::{
-    event::{Ending, Settlement},
+    event::{AttemptOutcome, Settlement},
     state::State,
 };
 use carobwheel_core::{
@@ -67,7 +67,7 @@
             return;
         };
         let evidence = &mut self.rollouts.evidence;
-        let sample = match has_failed(settlement.ending) {
+        let sample = match has_failed(settlement.outcome) {
             Some(false) => trial.sample(settlement.output_tokens, now),
             Some(true) => Sample {
                 failed: true,
@@ -105,11 +105,11 @@
 }
 
 /// Whether the version failed; none if the end says nothing about it.
-fn has_failed(ending: Ending) -> Option<bool> {
-    match ending {
-        Ending::Whole => Some(false),
-        Ending::Cancelled => None,
-        Ending::Failed(Failure::ConnectFailed | Failure::RefusedNotRun) => None,
-        Ending::Failed(_) => Some(true),
+fn has_failed(outcome: AttemptOutcome) -> Option<bool> {
+    match outcome {
+        AttemptOutcome::Completed => Some(false),
+        AttemptOutcome::Cancelled => None,
+        AttemptOutcome::Failed(Failure::ConnectFailed | Failure::RefusedNotRun) => None,
+        AttemptOutcome::Failed(_) => Some(true),
     }
 }
--- a/crates/gateway/src/decide/rollouts/verdicts.rs
+++ b/crates/gateway/src/decide/rollouts/verdicts.rs
@@ -60,7 +60,7 @@
             });
         }
         for command in commands {
-            self.outlets.command(command);
+            self.outputs.command(command);
         }
     }
 
--- a/crates/gateway/src/decide/settle.rs
+++ b/crates/gateway/src/decide/settle.rs
@@ -1,7 +1,7 @@
 //! The life of placements after their start.
 
 use super::{
-    event::{Ending, RetryQuestion, Settlement},
+    event::{AttemptOutcome, RetryRequest, Settlement},
     state::State,
 };
 use carobwheel_core::{
@@ -36,17 +36,17 @@
             return;
         };
         let router = &mut configured.router;
-        match settlement.ending {
-            Ending::Whole => {
+        match settlement.outcome {
+            AttemptOutcome::Completed => {
                 router.progress(open.flight, settlement.output_tokens, now);
                 router.finish(open.flight);
             }
-            Ending::Failed(_) | Ending::Cancelled => router.cancel(open.flight),
+            AttemptOutcome::Failed(_) | AttemptOutcome::Cancelled => router.cancel(open.flight),
         }
-        let is_error = match settlement.ending {
-            Ending::Whole => Some(false),
-            Ending::Failed(failure) => failure.is_fault_of_upstream().then_some(true),
-            Ending::Cancelled => None,
+        let is_error = match settlement.outcome {
+            AttemptOutcome::Completed => Some(false),
+            AttemptOutcome::Failed(failure) => failure.is_fault_of_upstream().then_some(true),
+            AttemptOutcome::Cancelled => None,
         };
         if let Some(is_error) = is_error {
             let change = configured.outliers.record(&open.upstream, is_error, now);
@@ -58,18 +58,18 @@
         self.place_waiting(now);
     }
 
-    pub(super) fn may_retry(&mut self, question: RetryQuestion, now: Millis) {
+    pub(super) fn on_retry_request(&mut self, request: RetryRequest, now: Millis) {
         let decision = match &mut self.configured {
             Some(configured) => configured.retrier.decide(
-                question.idempotent,
-                question.failure,
-                question.attempts,
-                question.deadline.since(now),
+                request.idempotent,
+                request.failure,
+                request.attempts,
+                request.deadline.since(now),
                 &mut self.rng,
             ),
             None => Decision::GiveUp(GiveUpReason::Budget),
         };
         // The caller may have gone away.
-        let _ = question.reply.send(decision);
+        let _ = request.reply.send(decision);
     }
 }
--- a/crates/gateway/src/decide/slots.rs
+++ b/crates/gateway/src/decide/slots.rs
@@ -31,7 +31,7 @@
     pub(super) keeper: OwnershipReconciler,
     pub(super) presence: LivenessTracker,
     /// The records of all regions have been read once.
-    pub(super) are_known: bool,
+    pub(super) are_loaded: bool,
     pub(super) are_void: bool,
     /// Owners of the slots of all regions, as far as they are known.
     pub(super) owners: BTreeMap<SlotId, Peer>,
@@ -50,7 +50,7 @@
         Self {
             keeper: OwnershipReconciler::new(me, now),
             presence: LivenessTracker::default(),
-            are_known: false,
+            are_loaded: false,
             are_void: false,
             owners: BTreeMap::new(),
             is_read_due: false,
@@ -80,7 +80,7 @@
         self.slots.are_void = true;
         let uncovered = self.charging.limiter.invalidate_slots();
         self.charging.cancel(uncovered);
-        self.outlets.command(Command::ReadSlots);
+        self.outputs.command(Command::ReadSlots);
     }
 
     /// Hands the slots over as soon as the platform thread can.
@@ -90,9 +90,9 @@
     }
 
     /// The store has answered. A region without a record shows only when its key is read.
-    pub(super) fn slots_known(&mut self) {
-        self.slots.are_known = true;
-        self.outlets.command(Command::ReadSlots);
+    pub(super) fn on_slots_loaded(&mut self) {
+        self.slots.are_loaded = true;
+        self.outputs.command(Command::ReadSlots);
     }
 
     /// Takes a record of slots as read from the store.
@@ -131,14 +131,14 @@
 
     pub(super) fn tick_slots(&mut self, now: Millis) {
         self.update_members(now);
-        if now < self.slots.write_at || !self.slots.are_known {
+        if now < self.slots.write_at || !self.slots.are_loaded {
             return;
         }
         if !self.knows_listed(&self.members.snapshot()) {
             return;
         }
         if mem::take(&mut self.slots.is_read_due) {
-            self.outlets.command(Command::ReadSlots);
+            self.outputs.command(Command::ReadSlots);
         }
         let jitter_ms = self.rng.random_range(0..WRITE_PERIOD_MS);
         self.slots.write_at = now.plus(WRITE_PERIOD_MS + jitter_ms);
@@ -169,11 +169,11 @@
         match slots.keeper.next_write(&view) {
             Some(write) => {
                 self.charging.limiter.suspend(&write.suspended, now);
-                self.outlets.command(Command::WriteSlots(Box::new(write)));
+                self.outputs.command(Command::WriteSlots(Box::new(write)));
             }
             None if slots.are_void => {
                 slots.write_at = now.plus(CONFIRM_PERIOD_MS);
-                self.outlets.command(Command::ReadSlots);
+                self.outputs.command(Command::ReadSlots);
             }
             None => {}
         }
@@ -206,7 +206,7 @@
             .map(peer_of)
             .collect();
         if self.is_leaving && self.has_handed_over() {
-            self.outlets.has_handed_over.store(true, Ordering::Relaxed);
+            self.outputs.has_handed_over.store(true, Ordering::Relaxed);
         }
         let settled = self
             .knows_listed(&members)
@@ -248,7 +248,7 @@
         let knows_owners = !self.slots.owners.is_empty();
         let is_late = now.0 > READY_AT_LATEST_MS;
         let can_charge = can_charge && knows_owners;
-        if (can_charge || is_late) && !self.outlets.is_ready.swap(true, Ordering::Relaxed) {
+        if (can_charge || is_late) && !self.outputs.is_ready.swap(true, Ordering::Relaxed) {
             log::info!(revision = in_force, can_charge; "ready");
         }
     }
--- a/crates/gateway/src/decide/state.rs
+++ b/crates/gateway/src/decide/state.rs
@@ -2,9 +2,9 @@
 
 use super::{
     charge::Charging,
-    event::{Ask, Event},
+    event::{Event, PlacementRequest},
     membership,
-    outlets::Outlets,
+    outputs::Outputs,
     rollouts::{Rollouts, Trial},
     slots::Slots,
 };
@@ -51,13 +51,13 @@
 pub(super) struct State {
     pub(super) identity: Identity,
     pub(super) me: Peer,
-    pub(super) outlets: Outlets,
+    pub(super) outputs: Outputs,
     pub(super) configured: Option<Configured>,
     pub(super) members: Members,
     pub(super) slots: Slots,
     pub(super) charging: Charging,
     pub(super) rollouts: Rollouts,
-    pub(super) admit: AdmissionQueues<Box<Ask>>,
+    pub(super) admit: AdmissionQueues<Box<PlacementRequest>>,
     pub(super) open: HashMap<u64, Open>,
     pub(super) last_ticket: u64,
     pub(super) digest_sequence: u64,
@@ -93,7 +93,7 @@
         settings: &Settings,
         incarnation: u64,
         clock: Clock,
-        outlets: Outlets,
+        outputs: Outputs,
     ) -> Self {
         let now = clock.now();
         let identity = settings.instance.clone();
@@ -110,7 +110,7 @@
             rollouts: Rollouts::new(&me, &identity.region),
             identity,
             me,
-            outlets,
+            outputs,
             configured: None,
             admit: AdmissionQueues::new(AdmissionSettings::default()),
             open: HashMap::new(),
@@ -129,22 +129,22 @@
     pub(super) fn handle(&mut self, event: Event) {
         let now = self.clock.now();
         match event {
-            Event::Ask(ask) => self.ask(ask, now),
+            Event::Place(request) => self.on_placement_request(request, now),
             Event::FirstByte { ticket } => self.first_byte(ticket, now),
             Event::Progress {
                 ticket,
                 output_tokens,
             } => self.progress(ticket, output_tokens, now),
             Event::Settle(settlement) => self.settle(&settlement, now),
-            Event::Uncharge {
+            Event::SettleCharge {
                 charge,
                 output_tokens,
-            } => self.uncharge(charge, output_tokens, now),
-            Event::MayRetry(question) => self.may_retry(*question, now),
+            } => self.settle_charge(charge, output_tokens, now),
+            Event::Retry(request) => self.on_retry_request(*request, now),
             Event::Document(next) => self.apply(next, now),
             Event::Peer(inbound) => self.on_inbound(*inbound, now),
             Event::Slots(read) => self.on_slots(*read, now),
-            Event::SlotsKnown => self.slots_known(),
+            Event::SlotsLoaded => self.on_slots_loaded(),
             Event::LiveList(read) => self.on_live_list(&read, now),
             Event::Verdict {
                 rollout,
@@ -202,8 +202,8 @@
 }
 
 /// Account that a request runs for.
-pub(super) fn account_of(ask: &Ask) -> Option<&AccountId> {
-    match &ask.caller {
+pub(super) fn account_of(request: &PlacementRequest) -> Option<&AccountId> {
+    match &request.caller {
         Caller::Account(credential) => Some(&credential.account),
         Caller::Open => None,
     }
--- a/crates/gateway/src/decide/status.rs
+++ b/crates/gateway/src/decide/status.rs
@@ -10,7 +10,7 @@
     pub(super) fn publish_status(&self, now: Millis) {
         let totals = self.charging.limiter.totals();
         let configured = self.configured.as_ref();
-        self.outlets.board.decisions.store(Arc::new(Decisions {
+        self.outputs.board.decisions.store(Arc::new(Decisions {
             revision: self.revision(),
             members: self.member_status(),
             upstreams: self.upstream_status(now),
--- a/crates/gateway/src/intake/action/upstream.rs
+++ b/crates/gateway/src/intake/action/upstream.rs
@@ -7,7 +7,7 @@
     Shared,
 };
 use crate::{
-    decide::Ending,
+    decide::AttemptOutcome,
     dispatch::{ExchangeError, Head},
     refusal::{run_of_status, Refusal},
     relay::{Charged, Framing, Settling},
@@ -73,7 +73,7 @@
         let gathered = match exchange {
             Ok(head) if is_refusal(&head) => {
                 self.charged = settling.take_charge();
-                settling.settle(Ending::Failed(Failure::RefusedNotRun));
+                settling.settle(AttemptOutcome::Failed(Failure::RefusedNotRun));
                 self.tried.push(place.placed.upstream);
                 return (vec![UpstreamEvent::Refused], None);
             }
@@ -82,13 +82,13 @@
         };
         match gathered {
             Ok((outcome, answer)) => {
-                settling.settle(Ending::Whole);
+                settling.settle(AttemptOutcome::Completed);
                 let events = vec![UpstreamEvent::Head, UpstreamEvent::Done(outcome)];
                 (events, Some(answer))
             }
             Err(err) => {
                 self.charged = settling.take_charge();
-                settling.settle(Ending::Failed(err.failure()));
+                settling.settle(AttemptOutcome::Failed(err.failure()));
                 self.tried.push(place.placed.upstream);
                 let may_have_sent_bytes = err.failure() != Failure::ConnectFailed;
                 let failed = UpstreamEvent::Failed {
--- a/crates/gateway/src/intake/classify.rs
+++ b/crates/gateway/src/intake/classify.rs
@@ -2,7 +2,7 @@
 
 use super::head::BodyLength;
 use crate::{
-    decide::Target,
+    decide::Destination,
     refusal::{Cause, Refusal},
 };
 use carobwheel_core::{
@@ -33,7 +33,7 @@
 /// What a request asks for and what it may cost.
 #[derive(Clone, Debug)]
 pub(super) struct Call {
-    pub(super) target: Target,
+    pub(super) target: Destination,
     pub(super) prompt_tokens: u64,
     pub(super) max_output_tokens: u64,
     pub(super) prefix: Vec<u64>,
@@ -130,7 +130,7 @@
         )
     })?;
     Ok(Call {
-        target: Target::Model {
+        target: Destination::Model {
             model: model.id.clone(),
             class: class.id.clone(),
         },
@@ -183,7 +183,7 @@
         (None, region) => region,
     };
     Ok(Call {
-        target: Target::Service {
+        target: Destination::Service {
             service: route.service.clone(),
             route: route.path.clone(),
         },
--- a/crates/gateway/src/intake/forward.rs
+++ b/crates/gateway/src/intake/forward.rs
@@ -2,7 +2,7 @@
 
 use super::{answer::Answer, pass, work::Work, Shared};
 use crate::{
-    decide::ForwardTo,
+    decide::NextHop,
     dispatch::{ExchangeError, Head},
     in_flight::Running,
     peers::{ForwardAnswer, ForwardError, Part},
@@ -89,7 +89,7 @@
 pub(super) async fn send(
     shared: &Shared,
     work: &Work,
-    to: ForwardTo,
+    to: NextHop,
     running: Running,
 ) -> Result<Answer, Refusal> {
     let Some(peers) = &shared.peers else {
--- a/crates/gateway/src/intake/gather.rs
+++ b/crates/gateway/src/intake/gather.rs
@@ -2,7 +2,7 @@
 
 use super::answer::AnswerBody;
 use crate::{
-    decide::Ending,
+    decide::AttemptOutcome,
     dispatch::ExchangeError,
     in_flight::Running,
     refusal::{Cause, Refusal},
@@ -58,12 +58,12 @@
         return Err(cut(settling, Failure::ConnectionLost, detail));
     }
     settling.set_output_tokens(output_tokens(&body));
-    settling.settle(Ending::Whole);
+    settling.settle(AttemptOutcome::Completed);
     Ok(AnswerBody::Whole(body.freeze()))
 }
 
 fn cut(mut settling: Settling, failure: Failure, detail: &str) -> Refusal {
-    settling.settle(Ending::Failed(failure));
+    settling.settle(AttemptOutcome::Failed(failure));
     Refusal::may_have_run(Cause::UpstreamFailed, detail)
 }
 
--- a/crates/gateway/src/intake/pass.rs
+++ b/crates/gateway/src/intake/pass.rs
@@ -12,7 +12,7 @@
     Shared,
 };
 use crate::{
-    decide::{Ending, Target},
+    decide::{AttemptOutcome, Destination},
     dispatch::{ExchangeError, Head},
     in_flight::Running,
     in_force::InForce,
@@ -120,8 +120,8 @@
             Caller::Open => None,
         },
         class: match &work.call.target {
-            Target::Model { class, .. } => Some(class.clone()),
-            Target::Service { .. } => None,
+            Destination::Model { class, .. } => Some(class.clone()),
+            Destination::Service { .. } => None,
         },
     }
 }
@@ -197,7 +197,7 @@
             Err(err) => (err.failure(), refusal_of(&err)),
         };
         charged = place.settling.take_charge();
-        place.settling.settle(Ending::Failed(failure));
+        place.settling.settle(AttemptOutcome::Failed(failure));
         tried.push(place.placed.upstream);
         let after_ms = work::may_retry(shared, work, failure, tried.len())
             .await
--- a/crates/gateway/src/intake/work.rs
+++ b/crates/gateway/src/intake/work.rs
@@ -2,7 +2,7 @@
 
 use super::{classify, upstream_headers, Shared};
 use crate::{
-    decide::{Ask, Event, ForwardTo, Placed, RetryQuestion, Step},
+    decide::{Assignment, Event, NextHop, PlacementDecision, PlacementRequest, RetryRequest},
     dispatch::{ExchangeError, Head, Job},
     refusal::{Cause, Refusal},
     relay::{Charged, Settling},
@@ -46,7 +46,7 @@
 
 /// A place at an upstream, given back when it is dropped.
 pub(super) struct Place {
-    pub(super) placed: Placed,
+    pub(super) placed: Assignment,
     pub(super) settling: Settling,
     /// Ends the exchange on this place.
     pub(super) cancel: CancellationToken,
@@ -57,7 +57,7 @@
     /// To an upstream.
     Place(Place),
     /// To another instance.
-    Forward(ForwardTo),
+    Forward(NextHop),
 }
 
 /// Asks for a place at an upstream that is not among `tried`. `charged` is the charge of an
@@ -70,8 +70,8 @@
 ) -> Result<Found, Refusal> {
     let step = ask(shared, work, tried, charged.as_ref().map(Charged::id)).await?;
     let placed = match step {
-        Step::Dispatch(placed) => placed,
-        Step::Forward(to) => return Ok(Found::Forward(to)),
+        PlacementDecision::Dispatch(placed) => placed,
+        PlacementDecision::Forward(to) => return Ok(Found::Forward(to)),
     };
     let charged = charged.or_else(|| {
         let charge = placed.charge?;
@@ -91,13 +91,13 @@
     work: &Work,
     tried: &[UpstreamId],
     charge: Option<ChargeId>,
-) -> Result<Step, Refusal> {
+) -> Result<PlacementDecision, Refusal> {
     let (reply, decision) = oneshot::channel();
     let call = &work.call;
-    let ask = Ask {
-        request: work.request_id.clone(),
+    let ask = PlacementRequest {
+        id: work.request_id.clone(),
         caller: work.caller.clone(),
-        target: call.target.clone(),
+        destination: call.target.clone(),
         prompt_tokens: call.prompt_tokens,
         max_output_tokens: call.max_output_tokens,
         prefix: call.prefix.clone(),
@@ -112,7 +112,7 @@
     };
     shared
         .decide
-        .try_send(Event::Ask(Box::new(ask)))
+        .try_send(Event::Place(Box::new(ask)))
         .map_err(|_| overloaded("this instance is overloaded"))?;
     time::timeout(remaining(shared, work), decision)
         .await
@@ -166,7 +166,7 @@
     attempts: usize,
 ) -> Option<u64> {
     let (reply, decision) = oneshot::channel();
-    let question = RetryQuestion {
+    let question = RetryRequest {
         idempotent: work.call.idempotent,
         failure,
         attempts: u32::try_from(attempts).unwrap_or(u32::MAX),
@@ -175,7 +175,7 @@
     };
     shared
         .decide
-        .try_send(Event::MayRetry(Box::new(question)))
+        .try_send(Event::Retry(Box::new(question)))
         .ok()?;
     match decision.await.ok()? {
         Decision::Retry { after_ms } => Some(after_ms),
--- a/crates/gateway/src/platform/slots.rs
+++ b/crates/gateway/src/platform/slots.rs
@@ -31,7 +31,7 @@
     };
     let mut watch = store.watch(scope, snapshot.revision + 1);
     take_all(&snapshot.records, began, decide).await;
-    report(decide::Event::SlotsKnown, decide).await;
+    report(decide::Event::SlotsLoaded, decide).await;
     loop {
         match watch.next().await {
             WatchUpdate::Changes(changes) => {
--- a/crates/gateway/src/relay/body.rs
+++ b/crates/gateway/src/relay/body.rs
@@ -1,7 +1,7 @@
 //! The body of a relayed answer as a byte stream.
 
 use super::{sse::EventStream, Charged, Settling};
-use crate::{decide::Ending, dispatch::ExchangeError, in_flight::Running, refusal::Cause};
+use crate::{decide::AttemptOutcome, dispatch::ExchangeError, in_flight::Running, refusal::Cause};
 use bytes::{Buf as _, Bytes};
 use carobwheel_core::retry::Failure;
 use std::{
@@ -124,7 +124,7 @@
     fn end(&mut self, broken: Option<ExchangeError>) -> io::Result<()> {
         if self.is_whole() && (broken.is_none() || self.framing == Framing::Events) {
             self.source = Source::Over;
-            self.settling.settle(Ending::Whole);
+            self.settling.settle(AttemptOutcome::Completed);
             return Ok(());
         }
         let err = broken.unwrap_or_else(|| {
@@ -134,7 +134,7 @@
         let charged = self.settling.take_charge();
         match &mut self.resumer {
             Some(resume) => {
-                self.settling.settle(Ending::Failed(failure));
+                self.settling.settle(AttemptOutcome::Failed(failure));
                 self.events.drop_rest();
                 let resuming = resume(Broken {
                     relayed_tokens: self.events.tokens(),
@@ -146,7 +146,7 @@
             }
             None => {
                 self.settling.put_charge(charged);
-                self.settling.settle(Ending::Failed(failure));
+                self.settling.settle(AttemptOutcome::Failed(failure));
                 self.give_up(&err)
             }
         }
--- a/crates/gateway/src/relay/settle.rs
+++ b/crates/gateway/src/relay/settle.rs
@@ -1,7 +1,7 @@
 //! Settles a placement exactly once, also when its request is dropped midway.
 
 use crate::{
-    decide::{Ending, Event, Settlement},
+    decide::{AttemptOutcome, Event, Settlement},
     ring::{Full, Sender},
 };
 use carobwheel_core::limit::ChargeId;
@@ -37,7 +37,7 @@
 
 impl Drop for Charged {
     fn drop(&mut self) {
-        let event = Event::Uncharge {
+        let event = Event::SettleCharge {
             charge: self.charge,
             output_tokens: self.output_tokens,
         };
@@ -143,12 +143,12 @@
     }
 
     /// Settles the placement. Later calls have no effect.
-    pub fn settle(&mut self, ending: Ending) {
+    pub fn settle(&mut self, ending: AttemptOutcome) {
         if self.is_settled {
             return;
         }
         self.is_settled = true;
-        if ending != Ending::Whole {
+        if ending != AttemptOutcome::Completed {
             self.cancel.cancel();
         }
         if let Some(charged) = &mut self.charged {
@@ -157,7 +157,7 @@
         if let (Some(ticket), Some(decide)) = (self.ticket, &self.decide) {
             let settlement = Settlement {
                 ticket,
-                ending,
+                outcome: ending,
                 output_tokens: self.output_tokens,
             };
             send(decide, Event::Settle(settlement));
@@ -180,6 +180,6 @@
 
 impl Drop for Settling {
     fn drop(&mut self) {
-        self.settle(Ending::Cancelled);
+        self.settle(AttemptOutcome::Cancelled);
     }
 }
--- a/crates/gateway/src/report/mod.rs
+++ b/crates/gateway/src/report/mod.rs
@@ -30,7 +30,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Observations that wait for the reporting thread at most.
-pub const RING_OBSERVATIONS: usize = 16_384;
+pub const OBSERVATION_RING_CAPACITY: usize = 16_384;
 const PUBLISH_PERIOD: Duration = Duration::from_secs(1);
 
 /// Starts the reporting thread, which ends when `cancel` is cancelled.
@@ -44,7 +44,7 @@
     cancel: CancellationToken,
 ) -> anyhow::Result<(Sender<Observation>, thread::JoinHandle<()>)> {
     let client = metrics.map(metrics::client).transpose()?;
-    let (sender, mut receiver) = ring::<Observation>(RING_OBSERVATIONS);
+    let (sender, mut receiver) = ring::<Observation>(OBSERVATION_RING_CAPACITY);
     let thread = thread::Builder::new()
         .name("report".to_owned())
         .spawn(move || {
