--- a/crates/gateway/src/daemon/links.rs
+++ b/crates/gateway/src/daemon/links.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     decide::Event,
-    in_force::InForce,
+    in_force::ActiveDocument,
     peers::{self, Inbound, IncomingForward, PeerSettings, Sinks, TlsMaterial},
     ring::Sender,
     settings::Settings,
@@ -52,7 +52,7 @@
     else {
         return Some(Event::Peer(Box::new(inbound)));
     };
-    match InForce::parse(revision, bytes) {
+    match ActiveDocument::parse(revision, bytes) {
         Ok(in_force) => Some(Event::Document(Arc::new(in_force))),
         Err(faults) => {
             let count = faults.len();
--- a/crates/gateway/src/daemon/mod.rs
+++ b/crates/gateway/src/daemon/mod.rs
@@ -6,7 +6,7 @@
     decide::{self, Outputs},
     dispatch,
     in_flight::InFlight,
-    in_force::Current,
+    in_force::SharedDocument,
     intake::{
         self,
         forwarded::{self, RING_FORWARDED},
@@ -62,7 +62,7 @@
     let cancel = CancellationToken::new();
     // Ends the threads that run already if a later one cannot be started.
     let guard = cancel.clone().drop_guard();
-    let current = Current::default();
+    let current = SharedDocument::default();
     let entries = Entries::default();
     let is_ready = Arc::new(AtomicBool::new(false));
     let has_handed_over = Arc::new(AtomicBool::new(false));
--- a/crates/gateway/src/decide/apply.rs
+++ b/crates/gateway/src/decide/apply.rs
@@ -1,7 +1,7 @@
 //! Puts a document in force.
 
 use super::state::{retry_settings, Configured, State};
-use crate::in_force::InForce;
+use crate::in_force::ActiveDocument;
 use carobwheel_core::{
     document::{Serves, Upstream},
     id::UpstreamId,
@@ -20,7 +20,7 @@
 
 impl State {
     /// Puts `next` in force if its revision is higher than the one in force.
-    pub(super) fn apply(&mut self, next: Arc<InForce>, now: Millis) {
+    pub(super) fn apply(&mut self, next: Arc<ActiveDocument>, now: Millis) {
         let revision = self.revision();
         if revision.is_some_and(|revision| revision >= next.revision) {
             return;
--- a/crates/gateway/src/decide/event.rs
+++ b/crates/gateway/src/decide/event.rs
@@ -1,6 +1,6 @@
 //! What other threads tell the deciding thread, and what it answers.
 
-use crate::{in_force::InForce, peers::Inbound, refusal::Refusal};
+use crate::{in_force::ActiveDocument, peers::Inbound, refusal::Refusal};
 use carobwheel_core::{
     id::{
         ClassId, InstanceId, ModelId, RegionId, RequestId, RolloutId, ServiceId, UpstreamId,
@@ -169,7 +169,7 @@
     /// An attempt failed before its answer began; may it be tried again?
     Retry(Box<RetryRequest>),
     /// A document arrived from the store or a peer.
-    Document(Arc<InForce>),
+    Document(Arc<ActiveDocument>),
     /// A request with a charge has ended.
     SettleCharge {
         /// The charge.
--- a/crates/gateway/src/decide/outputs.rs
+++ b/crates/gateway/src/decide/outputs.rs
@@ -1,7 +1,7 @@
 //! Where the deciding thread's decisions go.
 
 use crate::{
-    in_force::Current, intake::Entries, peers, platform, report::StatusBoard, ring::Sender,
+    in_force::SharedDocument, intake::Entries, peers, platform, report::StatusBoard, ring::Sender,
 };
 use carobwheel_core::{id::InstanceId, member};
 use carobwheel_wire::peer::Message;
@@ -13,7 +13,7 @@
 /// The other threads, as far as the deciding thread tells them something.
 pub struct Outputs {
     /// The document in force.
-    pub current: Current,
+    pub current: SharedDocument,
     /// Instances that callers may use.
     pub entries: Entries,
     /// The status page.
--- a/crates/gateway/src/decide/place.rs
+++ b/crates/gateway/src/decide/place.rs
@@ -6,7 +6,7 @@
     state::{account_of, Configured, Open, State},
 };
 use crate::{
-    in_force::InForce,
+    in_force::ActiveDocument,
     refusal::{Cause, Refusal},
 };
 use carobwheel_core::{
@@ -302,7 +302,7 @@
     }
 }
 
-fn priority(in_force: &InForce, request: &PlacementRequest) -> u8 {
+fn priority(in_force: &ActiveDocument, request: &PlacementRequest) -> u8 {
     match &request.destination {
         Destination::Model { class, .. } => in_force
             .document
@@ -315,7 +315,7 @@
 }
 
 fn entry(
-    in_force: &InForce,
+    in_force: &ActiveDocument,
     request: Box<PlacementRequest>,
 ) -> QueuedRequest<Box<PlacementRequest>> {
     let account = account_of(&request).cloned();
--- a/crates/gateway/src/decide/state.rs
+++ b/crates/gateway/src/decide/state.rs
@@ -9,7 +9,7 @@
     slots::Slots,
 };
 use crate::{
-    in_force::InForce,
+    in_force::ActiveDocument,
     settings::{Identity, Settings},
 };
 use carobwheel_core::{
@@ -41,7 +41,7 @@
 
 /// What depends on a document being in force.
 pub(super) struct Configured {
-    pub(super) in_force: Arc<InForce>,
+    pub(super) in_force: Arc<ActiveDocument>,
     pub(super) router: Router,
     pub(super) retrier: Retrier,
     pub(super) outliers: OutlierDetector,
@@ -197,7 +197,7 @@
 }
 
 /// Retry settings of a document.
-pub(super) fn retry_settings(in_force: &InForce) -> RetrySettings {
+pub(super) fn retry_settings(in_force: &ActiveDocument) -> RetrySettings {
     RetrySettings::with_budget_pct(in_force.document.policy.retry_budget_pct)
 }
 
--- a/crates/gateway/src/in_flight/mod.rs
+++ b/crates/gateway/src/in_flight/mod.rs
@@ -28,9 +28,9 @@
     }
 
     /// Counts one more request, or `None` if there is no room.
-    pub fn begin(self: &Arc<Self>, trace: Trace) -> Option<Running> {
+    pub fn begin(self: &Arc<Self>, trace: Trace) -> Option<InFlightGuard> {
         let before = self.count.fetch_add(1, Ordering::AcqRel);
-        let running = Running {
+        let running = InFlightGuard {
             in_flight: Arc::clone(self),
             trace,
         };
@@ -39,19 +39,19 @@
 }
 
 /// One request in flight, until it is dropped.
-pub struct Running {
+pub struct InFlightGuard {
     in_flight: Arc<InFlight>,
     trace: Trace,
 }
 
-impl Running {
+impl InFlightGuard {
     /// The trace of the request.
     pub fn trace(&self) -> &Trace {
         &self.trace
     }
 }
 
-impl Drop for Running {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let before = self.in_flight.count.fetch_sub(1, Ordering::AcqRel);
         assert!(before > 0, "each request in flight ends once");
--- a/crates/gateway/src/in_force/mod.rs
+++ b/crates/gateway/src/in_force/mod.rs
@@ -12,7 +12,7 @@
 
 /// A document with its revision and what is derived from it.
 #[derive(Debug)]
-pub struct InForce {
+pub struct ActiveDocument {
     /// Revision in the store.
     pub revision: u64,
     /// The document.
@@ -23,7 +23,7 @@
     pub bytes: Bytes,
 }
 
-impl InForce {
+impl ActiveDocument {
     /// Reads and validates the document that was published at `revision`.
     ///
     /// # Errors
@@ -42,13 +42,13 @@
 
 /// The shared place of the document in force; empty until the first one arrives.
 #[derive(Clone, Debug, Default)]
-pub struct Current {
-    slot: Arc<ArcSwapOption<InForce>>,
+pub struct SharedDocument {
+    slot: Arc<ArcSwapOption<ActiveDocument>>,
 }
 
-impl Current {
+impl SharedDocument {
     /// The document in force.
-    pub fn load(&self) -> Option<Arc<InForce>> {
+    pub fn load(&self) -> Option<Arc<ActiveDocument>> {
         self.slot.load_full()
     }
 
@@ -57,7 +57,7 @@
     /// # Panics
     ///
     /// If the revision would not rise: a document never reverts.
-    pub(crate) fn replace(&self, next: Arc<InForce>) {
+    pub(crate) fn replace(&self, next: Arc<ActiveDocument>) {
         let former = self.slot.load();
         let is_newer = former
             .as_ref()
--- a/crates/gateway/src/intake/action/mod.rs
+++ b/crates/gateway/src/intake/action/mod.rs
@@ -15,7 +15,7 @@
     Shared,
 };
 use crate::{
-    in_flight::Running,
+    in_flight::InFlightGuard,
     refusal::{run_of_status, Cause, Execution, Refusal},
 };
 use carobwheel_core::{
@@ -38,7 +38,7 @@
 pub(super) async fn run(
     shared: &Arc<Shared>,
     work: Work,
-    running: Running,
+    running: InFlightGuard,
 ) -> Result<Answer, Refusal> {
     let spec = spec(&work)?;
     // The place comes first: a request that is refused costs the store nothing.
@@ -98,7 +98,7 @@
     reply: Option<Reply>,
     relayed: Option<Answer>,
     lease: Option<LeaseId>,
-    _running: Running,
+    _running: InFlightGuard,
 }
 
 impl Driver {
--- a/crates/gateway/src/intake/forward.rs
+++ b/crates/gateway/src/intake/forward.rs
@@ -4,7 +4,7 @@
 use crate::{
     decide::NextHop,
     dispatch::{ExchangeError, Head},
-    in_flight::Running,
+    in_flight::InFlightGuard,
     peers::{ForwardAnswer, ForwardError, Part},
     refusal::{Cause, Execution, Refusal},
     relay::Settling,
@@ -90,7 +90,7 @@
     shared: &Shared,
     work: &Work,
     to: NextHop,
-    running: Running,
+    running: InFlightGuard,
 ) -> Result<Answer, Refusal> {
     let Some(peers) = &shared.peers else {
         return Err(unreachable("this instance stands alone"));
@@ -161,7 +161,7 @@
     let _ = parts.send(Part::End).await;
 }
 
-async fn relay(answer: ForwardAnswer, running: Running) -> Result<Answer, Refusal> {
+async fn relay(answer: ForwardAnswer, running: InFlightGuard) -> Result<Answer, Refusal> {
     let Ok(head) = postcard::from_bytes::<ForwardedAnswerHead>(&answer.head) else {
         let message = "the other instance sent a malformed answer";
         return Err(Refusal::may_have_run(Cause::UpstreamFailed, message));
--- a/crates/gateway/src/intake/forwarded.rs
+++ b/crates/gateway/src/intake/forwarded.rs
@@ -12,7 +12,7 @@
     Shared,
 };
 use crate::{
-    in_flight::Running,
+    in_flight::InFlightGuard,
     peers::{IncomingForward, Part, ReplyBody},
     refusal::{Cause, Refusal},
     relay::RelayBody,
@@ -83,7 +83,7 @@
         () = cancelled.cancelled() => return,
     };
     let answer = answer.unwrap_or_else(|refusal| {
-        trace.refused(refusal.cause);
+        trace.record_refusal(refusal.cause);
         Answer::refusal(&refusal)
     });
     let Ok(head) = postcard::to_stdvec(&head_of(&answer)) else {
@@ -108,7 +108,7 @@
     shared: &Arc<Shared>,
     head: &[u8],
     parts: mpsc::Receiver<Part>,
-    running: Running,
+    running: InFlightGuard,
 ) -> Result<Answer, Refusal> {
     let head: ForwardedHead = postcard::from_bytes(head).map_err(|_| malformed())?;
     let hops = head
--- a/crates/gateway/src/intake/gather.rs
+++ b/crates/gateway/src/intake/gather.rs
@@ -4,7 +4,7 @@
 use crate::{
     decide::AttemptOutcome,
     dispatch::ExchangeError,
-    in_flight::Running,
+    in_flight::InFlightGuard,
     refusal::{Cause, Refusal},
     relay::{Framing, RelayBody, Settling},
 };
@@ -30,7 +30,7 @@
     mut chunks: mpsc::Receiver<Result<Bytes, ExchangeError>>,
     framing: Framing,
     mut settling: Settling,
-    running: Running,
+    running: InFlightGuard,
 ) -> Result<AnswerBody, Refusal> {
     if let Framing::Length(length_bytes) = framing {
         if length_bytes > MAX_GATHERED_BYTES {
@@ -43,7 +43,7 @@
         match chunk {
             Ok(chunk) => {
                 settling.byte_arrived();
-                running.trace().byte_arrived();
+                running.trace().record_first_byte();
                 body.extend_from_slice(&chunk);
             }
             Err(err) => return Err(cut(settling, err.failure(), &err.to_string())),
--- a/crates/gateway/src/intake/handler.rs
+++ b/crates/gateway/src/intake/handler.rs
@@ -69,7 +69,7 @@
         let answer = answer(shared, &request_id, request, data, &trace)
             .await
             .unwrap_or_else(|refusal| {
-                trace.refused(refusal.cause);
+                trace.record_refusal(refusal.cause);
                 log::debug!(request = request_id.as_str(); "refused: {refusal}");
                 Answer::refusal(&refusal)
             });
--- a/crates/gateway/src/intake/mod.rs
+++ b/crates/gateway/src/intake/mod.rs
@@ -23,7 +23,7 @@
 pub use entry::{Entries, Entry, EntryList, LIFETIME_S};
 
 use crate::{
-    decide, dispatch, in_flight::InFlight, in_force::Current, peers, report, ring::Sender,
+    decide, dispatch, in_flight::InFlight, in_force::SharedDocument, peers, report, ring::Sender,
     settings::Settings,
 };
 use anyhow::Context as _;
@@ -62,7 +62,7 @@
     /// Clock of the process.
     pub clock: Clock,
     /// The document in force.
-    pub current: Current,
+    pub current: SharedDocument,
     /// Ring to the deciding thread.
     pub decide: Sender<decide::Event>,
     /// Ring to the dispatching thread.
--- a/crates/gateway/src/intake/pass.rs
+++ b/crates/gateway/src/intake/pass.rs
@@ -14,8 +14,8 @@
 use crate::{
     decide::{AttemptOutcome, Destination},
     dispatch::{ExchangeError, Head},
-    in_flight::Running,
-    in_force::InForce,
+    in_flight::InFlightGuard,
+    in_force::ActiveDocument,
     refusal::{run_of_status, Cause, Refusal},
     relay::{Framing, RelayBody, Resumer, Settling},
     report::Label,
@@ -44,7 +44,7 @@
 ];
 
 /// The document in force.
-pub(super) fn in_force(shared: &Shared) -> Result<Arc<InForce>, Refusal> {
+pub(super) fn in_force(shared: &Shared) -> Result<Arc<ActiveDocument>, Refusal> {
     shared
         .current
         .load()
@@ -53,7 +53,7 @@
 
 /// The account behind `key`.
 pub(super) fn identify(
-    in_force: &InForce,
+    in_force: &ActiveDocument,
     key: Option<&str>,
     is_open: bool,
 ) -> Result<Caller, Refusal> {
@@ -73,7 +73,7 @@
     request: &Request<'_>,
     head: RequestHead,
     data: Data<'_>,
-    running: Running,
+    running: InFlightGuard,
 ) -> Result<Answer, Refusal> {
     let work = read(shared, request_id, request, head, data).await?;
     serve(shared, work, running).await
@@ -83,9 +83,9 @@
 pub(super) async fn serve(
     shared: &Arc<Shared>,
     work: Work,
-    running: Running,
+    running: InFlightGuard,
 ) -> Result<Answer, Refusal> {
-    running.trace().label(label(&work));
+    running.trace().set_label(label(&work));
     if work.call.idempotent {
         return try_upstreams(shared, &Arc::new(work), running).await;
     }
@@ -94,7 +94,7 @@
 
 /// Classifies a request that another instance has forwarded, by the document in force here.
 pub(super) fn classify_again(
-    in_force: &InForce,
+    in_force: &ActiveDocument,
     head: &ForwardedHead,
     caller: &Caller,
     body: &[u8],
@@ -106,7 +106,7 @@
     classify::call(document, way, account_of(in_force, caller), body)
 }
 
-fn account_of<'a>(in_force: &'a InForce, caller: &Caller) -> Option<&'a Account> {
+fn account_of<'a>(in_force: &'a ActiveDocument, caller: &Caller) -> Option<&'a Account> {
     match caller {
         Caller::Account(credential) => in_force.document.account(&credential.account),
         Caller::Open => None,
@@ -174,7 +174,7 @@
 async fn try_upstreams(
     shared: &Arc<Shared>,
     work: &Arc<Work>,
-    running: Running,
+    running: InFlightGuard,
 ) -> Result<Answer, Refusal> {
     let mut tried = Vec::new();
     let mut charged = None;
@@ -239,7 +239,7 @@
 pub(super) async fn answer(
     head: Head,
     settling: Settling,
-    running: Running,
+    running: InFlightGuard,
     resumer: Option<Resumer>,
 ) -> Result<Answer, Refusal> {
     let framing = framing(&head.headers);
--- a/crates/gateway/src/platform/document.rs
+++ b/crates/gateway/src/platform/document.rs
@@ -3,7 +3,7 @@
 use super::report;
 use crate::{
     decide,
-    in_force::InForce,
+    in_force::ActiveDocument,
     ring::Sender,
     store::{Change, Record, Scope, StoreClient, WatchUpdate},
 };
@@ -99,7 +99,7 @@
     let Ok(revision) = u64::try_from(record.mod_revision) else {
         return;
     };
-    match InForce::parse(revision, record.value.clone().into()) {
+    match ActiveDocument::parse(revision, record.value.clone().into()) {
         Ok(in_force) => report(decide::Event::Document(Arc::new(in_force)), decide).await,
         Err(faults) => {
             for fault in faults {
--- a/crates/gateway/src/relay/body.rs
+++ b/crates/gateway/src/relay/body.rs
@@ -1,7 +1,9 @@
 //! The body of a relayed answer as a byte stream.
 
 use super::{sse::EventStream, Charged, Settling};
-use crate::{decide::AttemptOutcome, dispatch::ExchangeError, in_flight::Running, refusal::Cause};
+use crate::{
+    decide::AttemptOutcome, dispatch::ExchangeError, in_flight::InFlightGuard, refusal::Cause,
+};
 use bytes::{Buf as _, Bytes};
 use carobwheel_core::retry::Failure;
 use std::{
@@ -71,7 +73,7 @@
     heartbeat: Interval,
     resumer: Option<Resumer>,
     settling: Settling,
-    running: Running,
+    running: InFlightGuard,
 }
 
 impl RelayBody {
@@ -81,7 +83,7 @@
         chunks: Chunks,
         framing: Framing,
         settling: Settling,
-        running: Running,
+        running: InFlightGuard,
         resumer: Option<Resumer>,
     ) -> Self {
         Self {
@@ -99,7 +101,7 @@
 
     fn receive(&mut self, chunk: Bytes) -> io::Result<()> {
         self.settling.byte_arrived();
-        self.running.trace().byte_arrived();
+        self.running.trace().record_first_byte();
         self.received_bytes += chunk.len() as u64;
         if self.framing != Framing::Events {
             self.current = chunk;
@@ -156,7 +158,7 @@
     /// event, other bodies an I/O error.
     fn give_up(&mut self, err: &ExchangeError) -> io::Result<()> {
         self.source = Source::Over;
-        self.running.trace().refused(Cause::UpstreamFailed);
+        self.running.trace().record_refusal(Cause::UpstreamFailed);
         log::warn!(received_bytes = self.received_bytes; "answer cut short: {err}");
         if self.framing == Framing::Events {
             self.current = error_event(&err.to_string());
--- a/crates/gateway/src/report/trace.rs
+++ b/crates/gateway/src/report/trace.rs
@@ -74,17 +74,17 @@
     }
 
     /// Notes which histograms the request counts towards. Only the first call counts.
-    pub fn label(&self, label: Label) {
+    pub fn set_label(&self, label: Label) {
         let _ = self.inner.label.set(label);
     }
 
     /// Notes that the request was refused. Only the first call counts.
-    pub fn refused(&self, cause: Cause) {
+    pub fn record_refusal(&self, cause: Cause) {
         let _ = self.inner.cause.set(cause);
     }
 
     /// Notes the first byte of the answer. Only the first call counts.
-    pub fn byte_arrived(&self) {
+    pub fn record_first_byte(&self) {
         if self.inner.first_byte.get().is_none() {
             let _ = self.inner.first_byte.set(self.inner.clock.now());
         }
