--- a/crates/gateway/src/decide/apply.rs
+++ b/crates/gateway/src/decide/apply.rs
@@ -1,4 +1,4 @@
-//! Puts a document in force.
+//! Application of a new configuration document to the decision state.
 
 use super::state::{retry_settings, Configured, State};
 use crate::in_force::ActiveDocument;
@@ -11,15 +11,15 @@
 };
 use std::sync::Arc;
 
-/// One-way delays until they are measured.
-const DELAYS: NetworkDelays = NetworkDelays {
+/// One-way network delays assumed until they are measured.
+const INITIAL_DELAYS: NetworkDelays = NetworkDelays {
     same_data_centre_us: 100,
     same_region_us: 1_000,
     other_region_us: 80_000,
 };
 
 impl State {
-    /// Puts `next` in force if its revision is higher than the one in force.
+    /// Puts `next` in force if its revision is higher than the current one.
     pub(super) fn apply(&mut self, next: Arc<ActiveDocument>, now: Millis) {
         let revision = self.revision();
         if revision.is_some_and(|revision| revision >= next.revision) {
@@ -42,13 +42,13 @@
                 configured.retrier.set_settings(retry_settings(&next));
                 let back = configured.outliers.set_upstreams(groups);
                 configured.in_force = Arc::clone(&next);
-                configured.heed(back, now);
+                configured.apply_ejection_changes(back, now);
             }
             None => {
                 let settings = RouterSettings {
                     region: self.identity.region.clone(),
                     data_centre: self.identity.data_centre.clone(),
-                    delays: DELAYS,
+                    delays: INITIAL_DELAYS,
                 };
                 let mut outliers = OutlierDetector::default();
                 outliers.set_upstreams(groups);
@@ -71,8 +71,12 @@
 }
 
 impl Configured {
-    /// Tells the router which upstreams are ejected and which are back.
-    pub(super) fn heed(&mut self, changes: impl IntoIterator<Item = EjectionChange>, now: Millis) {
+    /// Passes ejections and readmissions of upstreams on to the router.
+    pub(super) fn apply_ejection_changes(
+        &mut self,
+        changes: impl IntoIterator<Item = EjectionChange>,
+        now: Millis,
+    ) {
         for change in changes {
             match change {
                 EjectionChange::Ejected { upstream, .. } => {
@@ -80,7 +84,7 @@
                     self.router.set_ejected(&upstream, true, now);
                 }
                 EjectionChange::Readmitted(upstream) => {
-                    log::info!(upstream = upstream.as_str(); "upstream back");
+                    log::info!(upstream = upstream.as_str(); "upstream readmitted");
                     self.router.set_ejected(&upstream, false, now);
                 }
             }
--- a/crates/gateway/src/decide/charge.rs
+++ b/crates/gateway/src/decide/charge.rs
@@ -1,4 +1,4 @@
-//! Charges requests to their accounts before they are placed.
+//! Charging of requests to their accounts before placement.
 
 use super::{
     event::PlacementRequest,
@@ -20,41 +20,41 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Longest time for which a request waits for tokens of its account, in milliseconds.
-const MAX_WAIT_MS: u64 = 1_000;
-/// Share of the time to the deadline that may go by waiting for tokens.
-const WAIT_DIVISOR: u64 = 4;
-/// Requests that wait for tokens at most.
-const MAX_WAITING: usize = 4_096;
+/// Maximum time that a request waits for tokens of its account, in milliseconds.
+const MAX_TOKEN_WAIT_MS: u64 = 1_000;
+/// Divisor of the time to the deadline that bounds the wait for tokens.
+const DEADLINE_WAIT_DIVISOR: u64 = 4;
+/// Maximum number of requests that wait for tokens.
+const MAX_WAITING_REQUESTS: usize = 4_096;
 
-/// A request that waits for tokens of its account.
-struct Waiting {
+/// Request that waits for tokens of its account.
+struct WaitingRequest {
     request: Box<PlacementRequest>,
     until: Millis,
     retry_at: Millis,
 }
 
-/// Charges of the requests of this instance.
+/// Token charges of this instance's requests.
 pub(super) struct Charging {
     pub(super) limiter: Limiter,
-    cancels: HashMap<ChargeId, CancellationToken>,
-    waiting: Vec<Waiting>,
+    cancellations: HashMap<ChargeId, CancellationToken>,
+    waiting: Vec<WaitingRequest>,
 }
 
 impl Charging {
     pub(super) fn new(me: Peer, region: RegionId) -> Self {
         Self {
             limiter: Limiter::new(me, region),
-            cancels: HashMap::new(),
+            cancellations: HashMap::new(),
             waiting: Vec::new(),
         }
     }
 
-    /// Ends the requests behind charges that no longer cover them.
+    /// Cancels the requests whose charges no longer cover them.
     pub(super) fn cancel(&mut self, charges: impl IntoIterator<Item = ChargeId>) {
         for charge in charges {
-            if let Some(cancel) = self.cancels.remove(&charge) {
-                log::warn!(charge = charge.0; "request ended: its charge no longer covers it");
+            if let Some(cancel) = self.cancellations.remove(&charge) {
+                log::warn!(charge = charge.0; "request cancelled: its charge no longer covers it");
                 cancel.cancel();
             }
         }
@@ -62,13 +62,13 @@
 }
 
 impl State {
-    /// Charges the request, then looks for a place.
+    /// Charges the request, then places it.
     pub(super) fn charge(&mut self, request: Box<PlacementRequest>, now: Millis) {
-        let wait_ms = (request.deadline.since(now) / WAIT_DIVISOR).min(MAX_WAIT_MS);
+        let wait_ms = (request.deadline.since(now) / DEADLINE_WAIT_DIVISOR).min(MAX_TOKEN_WAIT_MS);
         let until = now.plus(wait_ms);
         let mut waiting = self.charging.waiting.iter();
         if waiting.any(|other| account_of(&other.request) == account_of(&request)) {
-            // A small request does not overtake a large one of the same account.
+            // Requests of one account keep their order: a small one does not overtake a large one.
             self.wait_for_tokens(request, until, now);
             return;
         }
@@ -77,7 +77,7 @@
 
     fn try_charge(&mut self, mut request: Box<PlacementRequest>, until: Millis, now: Millis) {
         let Some(account) = account_of(&request) else {
-            self.seek_place(request, now);
+            self.place_or_queue(request, now);
             return;
         };
         let charge_request = ChargeRequest {
@@ -90,11 +90,11 @@
             ChargeOutcome::Admitted { charge } => {
                 request.charge = Some(charge);
                 let cancel = request.cancel.clone();
-                self.charging.cancels.insert(charge, cancel);
-                self.seek_place(request, now);
+                self.charging.cancellations.insert(charge, cancel);
+                self.place_or_queue(request, now);
             }
             ChargeOutcome::Borrow { messages, wait_ms } => {
-                self.send_loans(messages);
+                self.send_loan_messages(messages);
                 self.wait_for_tokens(request, until, now.plus(wait_ms.max(1)));
             }
             ChargeOutcome::Wait { ms } => self.wait_for_tokens(request, until, now.plus(ms.max(1))),
@@ -117,7 +117,7 @@
     }
 
     fn wait_for_tokens(&mut self, request: Box<PlacementRequest>, until: Millis, retry_at: Millis) {
-        if self.charging.waiting.len() >= MAX_WAITING {
+        if self.charging.waiting.len() >= MAX_WAITING_REQUESTS {
             let message = "too many requests wait for tokens of their accounts";
             refuse(
                 request,
@@ -125,63 +125,65 @@
             );
             return;
         }
-        self.charging.waiting.push(Waiting {
+        self.charging.waiting.push(WaitingRequest {
             request,
             until,
             retry_at,
         });
     }
 
-    /// Tries the waiting requests again that are due, or all of them after news of a loan. Those
-    /// of one account keep their order.
+    /// Retries the charge of waiting requests that are due, or of all of them after a loan was
+    /// granted. Requests of one account keep their order.
     fn retry_waiting(&mut self, all: bool, now: Millis) {
         let waiting = mem::take(&mut self.charging.waiting);
-        let mut behind: HashSet<AccountId> = HashSet::new();
+        let mut blocked_accounts: HashSet<AccountId> = HashSet::new();
         for entry in waiting {
             if entry.request.reply.is_closed() {
                 continue;
             }
             let account = account_of(&entry.request).cloned();
-            let is_behind = account.as_ref().is_some_and(|it| behind.contains(it));
-            let is_late = entry.until <= now;
+            let is_blocked = account
+                .as_ref()
+                .is_some_and(|it| blocked_accounts.contains(it));
+            let is_expired = entry.until <= now;
             let is_due = all || entry.retry_at <= now;
             let before = self.charging.waiting.len();
-            if is_due && (!is_behind || is_late) {
+            if is_due && (!is_blocked || is_expired) {
                 self.try_charge(entry.request, entry.until, now);
             } else {
                 self.charging.waiting.push(entry);
             }
             if self.charging.waiting.len() > before {
-                behind.extend(account);
+                blocked_accounts.extend(account);
             }
         }
     }
 
-    /// A request with a charge has ended.
+    /// Settles the charge of a request that has ended.
     pub(super) fn settle_charge(&mut self, charge: ChargeId, output_tokens: u64, now: Millis) {
-        self.charging.cancels.remove(&charge);
+        self.charging.cancellations.remove(&charge);
         self.charging.limiter.settle(charge, output_tokens, now);
     }
 
     pub(super) fn tick_charging(&mut self, now: Millis) {
         let messages = self.charging.limiter.tick(now);
-        self.send_loans(messages);
+        self.send_loan_messages(messages);
         let ended = self.charging.limiter.take_expired_charges();
         self.charging.cancel(ended);
         self.retry_waiting(false, now);
     }
 
-    /// Takes a message about loans from a peer.
-    pub(super) fn on_loans(&mut self, from: &Peer, message: &LoanMessage, now: Millis) {
+    /// Handles a loan message from a peer.
+    pub(super) fn on_loan_message(&mut self, from: &Peer, message: &LoanMessage, now: Millis) {
         let has_grants = !message.grants.is_empty();
         let answers = self.charging.limiter.on_message(from, message, now);
-        self.send_loans(answers);
+        self.send_loan_messages(answers);
         if has_grants {
             self.retry_waiting(true, now);
         }
     }
 
-    fn send_loans(&self, messages: Vec<OutgoingLoanMessage>) {
+    fn send_loan_messages(&self, messages: Vec<OutgoingLoanMessage>) {
         for (to, message) in messages {
             let addr = self
                 .members
@@ -191,13 +193,13 @@
             let Some(addr) = addr else {
                 continue;
             };
-            let signed = (self.me.incarnation, message);
-            match postcard::to_stdvec(&signed) {
+            let envelope = (self.me.incarnation, message);
+            match postcard::to_stdvec(&envelope) {
                 Ok(bytes) => {
                     let message = Message::opaque(LOAN_CHANNEL, bytes);
                     self.outputs.send(to.instance, Some(addr), message);
                 }
-                Err(err) => log::error!("a message about loans cannot be encoded: {err}"),
+                Err(err) => log::error!("cannot encode loan message: {err}"),
             }
         }
     }
--- a/crates/gateway/src/decide/event.rs
+++ b/crates/gateway/src/decide/event.rs
@@ -1,4 +1,4 @@
-//! What other threads tell the deciding thread, and what it answers.
+//! Events that other threads send to the decision thread, and its answers.
 
 use crate::{in_force::ActiveDocument, peers::Inbound, refusal::Refusal};
 use carobwheel_core::{
@@ -19,203 +19,203 @@
 use tokio::sync::oneshot;
 use tokio_util::sync::CancellationToken;
 
-/// What a request asks for.
+/// Model or service that a request is addressed to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Destination {
-    /// A model by name.
+    /// Model addressed by name.
     Model {
-        /// Name of the model.
+        /// Identifier of the model.
         model: ModelId,
-        /// Latency class of the prompt.
+        /// Latency class of the request.
         class: ClassId,
     },
-    /// A plain service.
+    /// Plain service.
     Service {
-        /// Name of the service.
+        /// Identifier of the service.
         service: ServiceId,
-        /// Path prefix of the route, for reports and evidence.
+        /// Path prefix of the route, for metrics and rollout evidence.
         route: String,
     },
 }
 
-/// A request that asks for a place at an upstream.
+/// Request for a placement at an upstream.
 #[derive(Debug)]
 pub struct PlacementRequest {
-    /// Name of the request.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Who the request runs for.
+    /// Caller on whose behalf the request runs.
     pub caller: Caller,
-    /// What it asks for.
+    /// Model or service that it is addressed to.
     pub destination: Destination,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens of output at most.
+    /// Maximum number of output tokens.
     pub max_output_tokens: u64,
     /// Hashes of growing prefixes of the prompt, shortest first.
     pub prefix: Vec<u64>,
-    /// Region that the request has to be served in, if it is bound.
+    /// Region that must serve the request, if it is bound to one.
     pub bound_region: Option<RegionId>,
-    /// The request may be repeated without a further effect.
+    /// Whether repeating the request has no further effect.
     pub idempotent: bool,
-    /// Time by which the answer has to begin.
+    /// Time by which the response has to start.
     pub deadline: Millis,
-    /// Upstreams that were tried before.
+    /// Upstreams that earlier attempts were sent to.
     pub tried: Vec<UpstreamId>,
-    /// The way that the request has taken, this instance included.
+    /// Instances that the request has passed through, including this one.
     pub hops: Hops,
     /// Charge of an earlier attempt of the same request.
     pub charge: Option<ChargeId>,
-    /// Ends the request when its account may not go on with it.
+    /// Cancels the request when its charge no longer covers it.
     pub cancel: CancellationToken,
-    /// Where the decision goes.
+    /// Channel for the decision.
     pub reply: oneshot::Sender<Result<PlacementDecision, Refusal>>,
 }
 
-/// The next step of a request.
+/// Decision on where a request goes next.
 #[derive(Clone, Debug)]
 pub enum PlacementDecision {
-    /// Send it to an upstream.
+    /// Send the request to an upstream.
     Dispatch(Assignment),
-    /// Send it to another instance.
+    /// Forward the request to another instance.
     Forward(NextHop),
 }
 
-/// Another instance that a request goes to.
+/// Instance that a request is forwarded to.
 #[derive(Clone, Debug)]
 pub struct NextHop {
-    /// Name of the instance.
+    /// Identifier of the instance.
     pub instance: InstanceId,
-    /// Its address for instances.
+    /// Address for connections between instances.
     pub addr: SocketAddr,
-    /// The hops to send along.
+    /// Hops to send with the request.
     pub hops: Hops,
 }
 
-/// A place at an upstream.
+/// Upstream assigned to a request.
 #[derive(Clone, Debug)]
 pub struct Assignment {
-    /// Number of the placement, named again when the request settles.
+    /// Identifier of the placement, given again when the request is settled.
     pub ticket: u64,
-    /// Name of the upstream.
+    /// Identifier of the upstream.
     pub upstream: UpstreamId,
     /// Base URL of the upstream.
     pub url: String,
-    /// Version of the model that serves the request.
+    /// Model version that serves the request; none for plain services.
     pub version: Option<VersionId>,
     /// Priority passed on to the engine; 0 is the most urgent.
     pub priority: u8,
-    /// Time from which the request may not be sent any more.
+    /// Time after which the request must not be sent.
     pub send_before: Millis,
-    /// Charge of the request, to be settled when it ends; none on open routes.
+    /// Charge to settle when the request ends; none on open routes.
     pub charge: Option<ChargeId>,
 }
 
-/// How a placed request ended.
+/// Outcome of an attempt at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The answer was whole.
+    /// The complete response was relayed.
     Completed,
     /// The attempt failed.
     Failed(Failure),
-    /// The caller went away or the request was cancelled before its end.
+    /// The caller disconnected or the request was cancelled.
     Cancelled,
 }
 
-/// What a placed request used.
+/// Outcome and token usage of a placed request.
 #[derive(Clone, Copy, Debug)]
 pub struct Settlement {
-    /// Number of the placement.
+    /// Identifier of the placement.
     pub ticket: u64,
-    /// How the request ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// Output tokens that were relayed.
+    /// Number of output tokens relayed.
     pub output_tokens: u64,
 }
 
-/// Asks whether a failed attempt is tried again.
+/// Request for a decision on whether to retry a failed attempt.
 #[derive(Debug)]
 pub struct RetryRequest {
-    /// The request may be repeated without a further effect.
+    /// Whether repeating the request has no further effect.
     pub idempotent: bool,
-    /// How the attempt failed.
+    /// Failure of the attempt.
     pub failure: Failure,
     /// Number of attempts so far.
     pub attempts: u32,
-    /// Time by which the answer has to begin.
+    /// Time by which the response has to start.
     pub deadline: Millis,
-    /// Where the decision goes.
+    /// Channel for the decision.
     pub reply: oneshot::Sender<Decision>,
 }
 
-/// An event for the deciding thread.
+/// Event for the decision thread.
 #[derive(Debug)]
 pub enum Event {
-    /// A request asks for a place.
+    /// A request needs a placement.
     Place(Box<PlacementRequest>),
-    /// The first byte of an answer arrived.
+    /// The first byte of a response arrived.
     FirstByte {
-        /// Number of the placement.
+        /// Identifier of the placement.
         ticket: u64,
     },
-    /// Output tokens have arrived.
+    /// Output tokens arrived.
     Progress {
-        /// Number of the placement.
+        /// Identifier of the placement.
         ticket: u64,
-        /// Output tokens so far.
+        /// Number of output tokens so far.
         output_tokens: u64,
     },
     /// A placed request ended.
     Settle(Settlement),
-    /// An attempt failed before its answer began; may it be tried again?
+    /// An attempt failed before its response started and needs a retry decision.
     Retry(Box<RetryRequest>),
     /// A document arrived from the store or a peer.
     Document(Arc<ActiveDocument>),
-    /// A request with a charge has ended.
+    /// A charged request ended.
     SettleCharge {
-        /// The charge.
+        /// Charge of the request.
         charge: ChargeId,
-        /// Output tokens that were generated.
+        /// Number of output tokens generated.
         output_tokens: u64,
     },
-    /// Something arrived from a peer.
+    /// A message or document arrived from a peer.
     Peer(Box<Inbound>),
-    /// The record of slots of one region was read.
+    /// The ownership record of one region's slots was read.
     Slots(Box<SlotsRead>),
-    /// The records of slots of all regions have been read once.
+    /// The ownership records of all regions have been read once.
     SlotsLoaded,
     /// The live list was read.
     LiveList(Box<LiveListRead>),
     /// The store answered a call about a verdict.
     Verdict {
-        /// The rollout.
+        /// Identifier of the rollout.
         rollout: RolloutId,
-        /// Number of the call.
+        /// Sequence number of the call.
         call: u32,
-        /// The answer.
+        /// Answer of the store.
         answer: VerdictAnswer,
     },
     /// The instance is leaving.
     Leave,
 }
 
-/// A record of slots as read.
+/// Ownership record of one region's slots, as read from the store.
 #[derive(Debug)]
 pub struct SlotsRead {
     /// Region of the slots.
     pub region: RegionId,
     /// Revision of the record; 0 if there is none.
     pub revision: u64,
-    /// The record.
+    /// Ownership record.
     pub record: slot::OwnershipRecord,
-    /// Time at which the read began; 0 if it is not known.
+    /// Start time of the read; 0 if unknown.
     pub began: Millis,
 }
 
-/// The live list as read.
+/// Live list of instances, as read from the platform.
 #[derive(Debug)]
 pub struct LiveListRead {
-    /// The list.
+    /// Instances on the list.
     pub list: InstanceList,
-    /// Time at which the read began.
+    /// Start time of the read.
     pub began: Millis,
 }
--- a/crates/gateway/src/decide/forward.rs
+++ b/crates/gateway/src/decide/forward.rs
@@ -1,4 +1,4 @@
-//! Requests that another instance has to serve.
+//! Forwarding of requests that another instance has to serve.
 
 use super::{
     event::{NextHop, PlacementDecision, PlacementRequest},
@@ -15,7 +15,7 @@
 use rand::seq::IndexedRandom as _;
 
 impl State {
-    /// Sends a request to an instance of the region that it is bound to.
+    /// Forwards a request to an instance of the region that it is bound to.
     pub(super) fn forward_home(&mut self, request: Box<PlacementRequest>) {
         let Some(region) = request.bound_region.clone() else {
             return;
@@ -34,7 +34,7 @@
                     addr: next.peer_addr,
                     hops,
                 });
-                // A caller that went away needs no answer.
+                // Sending fails only if the caller has disconnected.
                 let _ = request.reply.send(Ok(step));
             }
             Err(fault) => {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// An instance of `region`: the one that counts for the account, or any.
+    /// Returns the instance of `region` that owns the account's primary slot, or else a random one.
     fn instance_in(&mut self, region: &RegionId, account: Option<&AccountId>) -> Option<Identity> {
         let alive = self.members.alive_in(region);
         let owner = account.and_then(|account| {
--- a/crates/gateway/src/decide/gossip.rs
+++ b/crates/gateway/src/decide/gossip.rs
@@ -1,4 +1,4 @@
-//! What this instance tells its peers besides heartbeats, and what it hears from them.
+//! State exchanged with peers besides heartbeats: slots, revisions, load, loans and evidence.
 
 use super::{slots::peer_of, state::State};
 use carobwheel_core::{
@@ -12,22 +12,22 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// Channel of messages about loans.
+/// Channel of loan messages.
 pub(super) const LOAN_CHANNEL: u8 = 1;
-/// Channel of evidence about rollouts.
+/// Channel of rollout evidence.
 pub(super) const EVIDENCE_CHANNEL: u8 = 2;
-/// Topic of the settled revision; travels to the whole fleet.
+/// Topic of the settled revision, sent to the whole fleet.
 const SETTLED_TOPIC: u8 = 1;
-/// Topic of the slots that a member owns; travels to the whole fleet.
-const OWNED_TOPIC: u8 = 2;
-/// Topic of the work in flight; stays inside the region.
+/// Topic of the slots that a member owns, sent to the whole fleet.
+const OWNED_SLOTS_TOPIC: u8 = 2;
+/// Topic of the load in flight, sent within the region only.
 const LOAD_TOPIC: u8 = 200;
 const _: () = assert!(LOAD_TOPIC > carobwheel_core::member::MAX_FLEET_TOPIC);
-/// Time after which unchanged work is told again, in milliseconds.
-const LOAD_REPEAT_MS: u64 = 3_000;
-const _: () = assert!(DIGEST_LIFETIME_MS > LOAD_REPEAT_MS);
+/// Interval at which an unchanged load digest is sent again, in milliseconds.
+const LOAD_REFRESH_MS: u64 = 3_000;
+const _: () = assert!(DIGEST_LIFETIME_MS > LOAD_REFRESH_MS);
 
-/// The slots that one member owns: a bit for each shard.
+/// Slots that one member owns, as one bit per shard and role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct OwnedSlots {
     primary: u64,
@@ -55,42 +55,43 @@
 }
 
 impl State {
-    /// Tells the peers what has changed here, and takes in what has changed there.
+    /// Publishes local changes to peers and applies the changes received from them.
     pub(super) fn gossip(&mut self, now: Millis) {
-        self.tell_load(now);
-        self.hear_owners();
-        self.hear_loads(now);
-        self.tell_evidence(now);
+        self.publish_load(now);
+        self.update_owners();
+        self.apply_load_digests(now);
+        self.send_evidence(now);
     }
 
-    /// Tells the fleet which revision the limits here have settled on, if that is news.
-    pub(super) fn tell_settled_revision(&mut self) {
+    /// Publishes the revision that the local limiter has settled on, if it has changed.
+    pub(super) fn publish_settled_revision(&mut self) {
         let revision = self.charging.limiter.settled_revision();
-        if revision != self.told_settled_revision {
-            self.told_settled_revision = revision;
-            self.set_entry(SETTLED_TOPIC, &revision);
+        if revision != self.last_sent_settled_revision {
+            self.last_sent_settled_revision = revision;
+            self.publish_entry(SETTLED_TOPIC, &revision);
         }
     }
 
-    /// Tells the fleet which slots this instance owns.
-    pub(super) fn tell_owned(&mut self, owned: &[OwnedSlot]) {
-        let mut told = OwnedSlots::default();
+    /// Publishes the slots that this instance owns.
+    pub(super) fn publish_owned_slots(&mut self, owned: &[OwnedSlot]) {
+        let mut announced = OwnedSlots::default();
         for slot in owned {
-            told.insert(slot.role, slot.shard);
+            announced.insert(slot.role, slot.shard);
         }
-        self.set_entry(OWNED_TOPIC, &told);
+        self.publish_entry(OWNED_SLOTS_TOPIC, &announced);
     }
 
-    /// Takes in which slots the members own. Their own word counts more than the records of the
-    /// store, which an outage may keep from this instance.
-    pub(super) fn hear_owners(&mut self) {
+    /// Updates the owners of all slots. What members announce themselves takes precedence over the
+    /// records of the store, which this instance may be unable to read during an outage.
+    pub(super) fn update_owners(&mut self) {
         let mut owners = self.slots.recorded_owners();
-        for entry in self.members.entries(OWNED_TOPIC) {
-            let told = postcard::from_bytes::<OwnedSlots>(entry.bytes);
-            let (Ok(told), Some(member)) = (told, self.members.member(entry.origin)) else {
+        for entry in self.members.entries(OWNED_SLOTS_TOPIC) {
+            let announced = postcard::from_bytes::<OwnedSlots>(entry.bytes);
+            let (Ok(announced), Some(member)) = (announced, self.members.member(entry.origin))
+            else {
                 continue;
             };
-            for (role, shard) in told.iter() {
+            for (role, shard) in announced.iter() {
                 let slot = SlotId {
                     region: member.identity.region.clone(),
                     shard,
@@ -105,37 +106,37 @@
         }
     }
 
-    /// Tells the region which work this instance has in flight, if that is news or the peers are
-    /// about to forget it.
-    fn tell_load(&mut self, now: Millis) {
+    /// Publishes the load in flight to the region if it has changed, or before the peers' copy
+    /// expires.
+    fn publish_load(&mut self, now: Millis) {
         let Some(configured) = &self.configured else {
             return;
         };
         let digest = configured.router.digest(self.digest_sequence + 1);
-        let is_same =
-            digest.entries == self.told_load.entries && digest.leaving == self.told_load.leaving;
+        let is_same = digest.entries == self.last_sent_load.entries
+            && digest.leaving == self.last_sent_load.leaving;
         let is_idle = digest.entries.is_empty() && digest.leaving.is_empty();
-        let is_fresh = now.since(self.told_load_at) < LOAD_REPEAT_MS;
+        let is_fresh = now.since(self.load_sent_at) < LOAD_REFRESH_MS;
         if is_same && (is_idle || is_fresh) {
             return;
         }
         self.digest_sequence += 1;
-        self.set_entry(LOAD_TOPIC, &digest);
-        self.told_load = digest;
-        self.told_load_at = now;
+        self.publish_entry(LOAD_TOPIC, &digest);
+        self.last_sent_load = digest;
+        self.load_sent_at = now;
     }
 
-    fn set_entry<T: Serialize>(&mut self, topic: u8, value: &T) {
+    fn publish_entry<T: Serialize>(&mut self, topic: u8, value: &T) {
         let encoded = postcard::to_stdvec(value);
         let Ok(bytes) = encoded else {
             return;
         };
         if let Err(err) = self.members.set_entry(topic, &bytes) {
-            log::warn!(topic = topic; "gossip entry left out: {err}");
+            log::warn!(topic = topic; "cannot publish gossip entry: {err}");
         }
     }
 
-    fn hear_loads(&mut self, now: Millis) {
+    fn apply_load_digests(&mut self, now: Millis) {
         let Some(configured) = &mut self.configured else {
             return;
         };
@@ -149,24 +150,24 @@
         }
     }
 
-    /// The lowest settled revision of all `present` members; none as long as one has said nothing.
+    /// Returns the lowest settled revision of all `present` members; none while one is missing.
     pub(super) fn fleet_settled_revision(&self, present: &[Peer]) -> Option<u64> {
         let mut lowest = self.charging.limiter.settled_revision();
-        let told: HashMap<_, u64> = self
+        let announced: HashMap<_, u64> = self
             .members
             .entries(SETTLED_TOPIC)
             .filter_map(|entry| Some((entry.origin, postcard::from_bytes(entry.bytes).ok()?)))
             .collect();
         for peer in present {
             if *peer != self.me {
-                lowest = lowest.min(*told.get(&peer.instance)?);
+                lowest = lowest.min(*announced.get(&peer.instance)?);
             }
         }
         Some(lowest)
     }
 
-    /// Whether `instance` has told that it has a document in force.
-    pub(super) fn has_settled(&self, instance: &InstanceId) -> bool {
+    /// Whether `instance` has announced that it has a document in force.
+    pub(super) fn has_announced_document(&self, instance: &InstanceId) -> bool {
         *instance == self.identity.id && self.configured.is_some()
             || self
                 .members
@@ -174,21 +175,21 @@
                 .any(|entry| entry.origin == instance)
     }
 
-    /// Takes a message that another module of a peer has sent.
+    /// Handles a message of a module other than membership.
     pub(super) fn on_opaque(&mut self, from: &InstanceId, channel: u8, bytes: &[u8], now: Millis) {
         match channel {
             LOAN_CHANNEL => self.on_loan_bytes(from, bytes, now),
             EVIDENCE_CHANNEL => match postcard::from_bytes::<EvidenceDigest>(bytes) {
                 Ok(digest) => self.on_digest(from, &digest, now),
-                Err(_) => log::warn!(from = from.as_str(); "malformed evidence skipped"),
+                Err(_) => log::warn!(from = from.as_str(); "malformed rollout evidence ignored"),
             },
-            _ => log::debug!(channel = channel; "message of an unknown channel skipped"),
+            _ => log::debug!(channel = channel; "message on unknown channel ignored"),
         }
     }
 
     fn on_loan_bytes(&mut self, from: &InstanceId, bytes: &[u8], now: Millis) {
         let Ok((incarnation, message)) = postcard::from_bytes::<(u64, LoanMessage)>(bytes) else {
-            log::warn!(from = from.as_str(); "malformed message about loans skipped");
+            log::warn!(from = from.as_str(); "malformed loan message ignored");
             return;
         };
         let is_current = self
@@ -200,7 +201,7 @@
                 instance: from.clone(),
                 incarnation,
             };
-            self.on_loans(&from, &message, now);
+            self.on_loan_message(&from, &message, now);
         }
     }
 }
--- a/crates/gateway/src/decide/membership.rs
+++ b/crates/gateway/src/decide/membership.rs
@@ -1,4 +1,4 @@
-//! Which instances there are.
+//! Membership of the fleet and the live list.
 
 use super::{event::LiveListRead, slots::peer_of, state::State};
 use crate::{
@@ -19,12 +19,12 @@
 };
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Instances of a region that watch the document in the store.
-const WATCHERS_IN_REGION: usize = 2;
+/// Number of instances per region that watch the document in the store.
+const WATCHERS_PER_REGION: usize = 2;
 
-/// This instance as its peers see it.
+/// Returns the identity that this instance announces to its peers.
 pub(super) fn own_identity(settings: &Settings, incarnation: u64) -> Identity {
-    let nowhere = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
+    let unspecified = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
     Identity {
         instance: settings.instance.id.clone(),
         incarnation: Incarnation(incarnation),
@@ -33,7 +33,7 @@
         peer_addr: settings
             .peers
             .as_ref()
-            .map_or(nowhere, Peers::dialled_address),
+            .map_or(unspecified, Peers::dialled_address),
         caller_addr: settings.callers.address,
     }
 }
@@ -46,12 +46,12 @@
         self.log_member_events(now);
     }
 
-    /// Takes what arrived from a peer.
+    /// Handles a message or document from a peer.
     pub(super) fn on_inbound(&mut self, inbound: Inbound, now: Millis) {
         match inbound {
             Inbound::Message { from, message } => self.on_message(&from, message, now),
             Inbound::DocumentFailed { from } => {
-                log::debug!(from = from.as_str(); "a peer did not send its document");
+                log::debug!(from = from.as_str(); "fetching the document from a peer failed");
             }
             // Documents are parsed before they reach this thread.
             Inbound::Document { .. } => {}
@@ -62,7 +62,7 @@
         match message {
             Message::Member(packet) => self.on_packet(from, packet, now),
             Message::Opaque(opaque) => self.on_opaque(from, opaque.channel, &opaque.bytes, now),
-            // The thread of the links answers echoes itself.
+            // The link thread answers echoes itself.
             Message::Echo(_) | Message::EchoReply(_) => {}
         }
     }
@@ -72,38 +72,40 @@
             instance: from.clone(),
             incarnation: packet.incarnation.0,
         };
-        self.slots.presence.note_heartbeat(&peer, now);
+        self.slots.liveness_tracker.note_heartbeat(&peer, now);
         let answers = self.members.on_packet(from, packet, now);
         self.outputs.send_packets(answers);
         self.fetch_document(now);
     }
 
-    /// Takes the live list as read from the platform.
+    /// Applies a live list read from the platform.
     pub(super) fn on_live_list(&mut self, read: &LiveListRead, now: Millis) {
-        let lines: Vec<LiveListEntry> = read
+        let entries: Vec<LiveListEntry> = read
             .list
             .instances
             .iter()
-            .map(|instance| self.live_entry(instance))
+            .map(|instance| self.live_list_entry(instance))
             .collect();
-        // An instance that the platform stops is on the list for as long as the platform likes.
-        let staying = lines.iter().filter(|line| !line.is_leaving);
+        // The platform may keep an instance that it stops on the list for any length of time.
+        let staying = entries.iter().filter(|entry| !entry.is_leaving);
         let listed: Vec<Peer> = staying
-            .map(|line| peer_of_identity(&line.identity))
+            .map(|entry| peer_of_identity(&entry.identity))
             .collect();
         let names = listed.iter().map(|peer| peer.instance.clone());
         self.slots.listed = Some(names.collect());
-        self.slots.presence.note_live_list(&listed, read.began, now);
-        let packets = self.members.on_live_list(&lines, now);
+        self.slots
+            .liveness_tracker
+            .note_live_list(&listed, read.began, now);
+        let packets = self.members.on_live_list(&entries, now);
         self.outputs.send_packets(packets);
         let instances = u32::try_from(self.members.snapshot().len()).unwrap_or(u32::MAX);
         self.outputs
             .command(Command::SetInstances(instances.max(1)));
     }
 
-    /// Decides whether this instance watches the document in the store: the first few of the
-    /// region do, by name.
-    pub(super) fn share_watching(&self) {
+    /// Decides whether this instance watches the document in the store, as the first
+    /// [`WATCHERS_PER_REGION`] instances of each region by name do.
+    pub(super) fn assign_document_watch(&self) {
         let mut names: Vec<&InstanceId> = self
             .members
             .alive_in(&self.identity.region)
@@ -113,13 +115,13 @@
         names.sort();
         let is_watcher = names
             .iter()
-            .take(WATCHERS_IN_REGION)
+            .take(WATCHERS_PER_REGION)
             .any(|name| **name == self.identity.id);
         self.outputs.command(Command::WatchDocument(is_watcher));
     }
 
-    // A platform that does not know incarnations means the one that runs now.
-    fn live_entry(&self, instance: &LiveInstance) -> LiveListEntry {
+    // A platform that reports no incarnation means the current one.
+    fn live_list_entry(&self, instance: &LiveInstance) -> LiveListEntry {
         let known = self.members.member(&instance.id);
         let incarnation = instance
             .incarnation
@@ -138,19 +140,19 @@
         }
     }
 
-    /// Asks a peer for a document that is newer than the one in force.
+    /// Fetches a document newer than the one in force from a peer that has one.
     fn fetch_document(&mut self, now: Millis) {
         let Some((from, addr)) = self.members.choose_fetch_peer(now) else {
             return;
         };
         let above_revision = self.revision().unwrap_or(0);
         if let Some(peers) = &self.outputs.peers {
-            // A full queue means that the fetch is advised again later.
+            // After a full queue the membership table proposes the fetch again later.
             let _ = peers.fetch_document(from, addr, above_revision);
         }
     }
 
-    /// Announces that this instance is leaving, and hands its slots over.
+    /// Announces that this instance is leaving and hands over its slots.
     pub(super) fn leave(&mut self, now: Millis) {
         if self.is_leaving {
             return;
@@ -158,7 +160,7 @@
         self.is_leaving = true;
         let packets = self.members.leave(now);
         self.outputs.send_packets(packets);
-        self.hand_over(now);
+        self.hand_over_slots(now);
         self.outputs.command(Command::Leave);
         self.publish_entries();
     }
@@ -169,7 +171,7 @@
             match event {
                 MemberEvent::ToldToLeave => self.leave(now),
                 MemberEvent::Superseded { .. } => {
-                    log::error!("another process has this instance's name: this one leaves");
+                    log::error!("another process runs under this instance's name; leaving");
                     self.leave(now);
                 }
                 _ => {}
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Publishes which instances callers may use: those of the own region first.
+    /// Publishes the instances that callers may use, those of the own region first.
     pub(super) fn publish_entries(&self) {
         let own_region = &self.identity.region;
         let mut members: Vec<_> = self
@@ -185,7 +187,7 @@
             .snapshot()
             .into_iter()
             .filter(|member| member.state == MemberState::Alive && member.is_reachable)
-            .filter(|member| self.has_settled(&member.identity.instance))
+            .filter(|member| self.has_announced_document(&member.identity.instance))
             .collect();
         members.sort_by_key(|member| {
             let identity = &member.identity;
--- a/crates/gateway/src/decide/mod.rs
+++ b/crates/gateway/src/decide/mod.rs
@@ -1,7 +1,7 @@
-//! The thread that owns all decision state.
+//! Decision thread, which owns all decision state.
 //!
-//! Other threads send events through one bounded ring. The thread handles them one after the
-//! other, so that no decision needs a lock and each one sees the whole state.
+//! Other threads send events through one bounded ring. The thread handles them sequentially, so
+//! that no decision needs a lock and each one is made on the complete state.
 
 mod apply;
 mod charge;
@@ -30,11 +30,11 @@
 use std::{thread, time::Duration};
 use tokio_util::sync::CancellationToken;
 
-/// Events that wait for the deciding thread at most.
+/// Maximum number of events queued for the decision thread.
 pub const EVENT_RING_CAPACITY: usize = 16_384;
 const TICK: Duration = Duration::from_millis(10);
 
-/// Starts the deciding thread, which ends when `cancel` is cancelled.
+/// Starts the decision thread, which ends when `cancel` is cancelled.
 ///
 /// # Errors
 ///
@@ -60,5 +60,5 @@
                 events.park(TICK);
             }
         })
-        .context("cannot start the deciding thread")
+        .context("cannot start the decision thread")
 }
--- a/crates/gateway/src/decide/outputs.rs
+++ b/crates/gateway/src/decide/outputs.rs
@@ -1,4 +1,4 @@
-//! Where the deciding thread's decisions go.
+//! Channels and shared state through which the decision thread's results leave it.
 
 use crate::{
     in_force::SharedDocument, intake::Entries, peers, platform, report::StatusBoard, ring::Sender,
@@ -10,26 +10,26 @@
     sync::{atomic::AtomicBool, Arc},
 };
 
-/// The other threads, as far as the deciding thread tells them something.
+/// Channels to other threads and state shared with them.
 pub struct Outputs {
-    /// The document in force.
+    /// Document in force.
     pub current: SharedDocument,
     /// Instances that callers may use.
     pub entries: Entries,
-    /// The status page.
+    /// Data of the status page.
     pub board: StatusBoard,
-    /// The instance can serve requests.
+    /// Whether the instance can serve requests.
     pub is_ready: Arc<AtomicBool>,
-    /// The instance is leaving and owns no slots any more.
+    /// Whether the instance is leaving and owns no more slots.
     pub has_handed_over: Arc<AtomicBool>,
-    /// Links to other instances; none for an instance that stands alone.
+    /// Links to other instances; none for a stand-alone instance.
     pub peers: Option<peers::Handle>,
-    /// The platform thread.
+    /// Ring to the platform thread.
     pub platform: Sender<platform::Command>,
 }
 
 impl Outputs {
-    /// Sends a message to a peer. Like a datagram it may get lost, also when the queue is full.
+    /// Sends a message to a peer without guarantee of delivery; it is dropped if the queue is full.
     pub(super) fn send(&self, to: InstanceId, addr: Option<SocketAddr>, message: Message) {
         if let Some(peers) = &self.peers {
             let _ = peers.send(to, addr, message);
@@ -44,10 +44,10 @@
         }
     }
 
-    /// Gives the platform thread a command; every command is given again later if it gets lost.
+    /// Sends a command to the platform thread. A lost command is sent again later.
     pub(super) fn command(&self, command: platform::Command) {
         if self.platform.try_send(command).is_err() {
-            log::warn!("the platform thread is behind");
+            log::warn!("platform thread's command ring is full; command dropped");
         }
     }
 }
--- a/crates/gateway/src/decide/place.rs
+++ b/crates/gateway/src/decide/place.rs
@@ -1,9 +1,9 @@
-//! Requests that ask for a place: placed at once, queued, or refused.
+//! Placement of requests: each is placed at once, queued or refused.
 
 use super::{
     event::{Assignment, Destination, PlacementDecision, PlacementRequest},
-    rollouts::{Rollouts, Trial},
-    state::{account_of, Configured, Open, State},
+    rollouts::{Rollouts, TrialRequest},
+    state::{account_of, ActivePlacement, Configured, State},
 };
 use crate::{
     in_force::ActiveDocument,
@@ -18,13 +18,13 @@
 };
 use rand::Rng;
 
-/// Priority of calls to plain services.
+/// Priority of requests to plain services.
 const SERVICE_PRIORITY: u8 = 0;
-/// Weight of requests on open routes, which share one queue.
-const OPEN_WEIGHT: u32 = 1;
+/// Queue weight of requests on open routes, which share one queue.
+const OPEN_ROUTE_WEIGHT: u32 = 1;
 
 impl State {
-    /// Answers `ask` now or puts it into its queue.
+    /// Answers a placement request, or lets it wait for tokens or for an upstream.
     pub(super) fn on_placement_request(&mut self, request: Box<PlacementRequest>, now: Millis) {
         let Some(configured) = &mut self.configured else {
             refuse(
@@ -34,7 +34,7 @@
             return;
         };
         if !configured.in_force.keys.is_valid(&request.caller) {
-            refuse(request, withdrawn());
+            refuse(request, key_withdrawn());
             return;
         }
         let bound = request.bound_region.as_ref();
@@ -46,65 +46,65 @@
             configured.retrier.on_request();
         }
         if request.charge.is_some() {
-            self.seek_place(request, now);
+            self.place_or_queue(request, now);
         } else {
             self.charge(request, now);
         }
     }
 
-    /// Places a request that has been charged, or queues it.
-    pub(super) fn seek_place(&mut self, request: Box<PlacementRequest>, now: Millis) {
+    /// Places a charged request at an upstream, or queues it if none has room.
+    pub(super) fn place_or_queue(&mut self, request: Box<PlacementRequest>, now: Millis) {
         let unix_now = self.unix_now();
         let Some(configured) = &self.configured else {
             return;
         };
-        let way = Way {
+        let context = PlacementContext {
             configured,
             rollouts: &self.rollouts,
             unix_now,
             now,
         };
-        let placed = way.place(&request, &mut self.rng);
+        let placed = context.place(&request, &mut self.rng);
         match placed {
-            // A request that finds others waiting takes its turn behind them.
-            Ok(placement) if self.admit.is_empty() => self.start(*request, placement, now),
-            Ok(_) => self.wait(request, 0, now),
-            Err(route::Refusal::Full { wait_ms }) => self.wait(request, wait_ms, now),
-            Err(refusal) => self.turn_away(request, refusal_of(&refusal), now),
+            // Requests that are already queued go first.
+            Ok(placement) if self.queues.is_empty() => self.start(*request, placement, now),
+            Ok(_) => self.enqueue(request, 0, now),
+            Err(route::Refusal::Full { wait_ms }) => self.enqueue(request, wait_ms, now),
+            Err(refusal) => self.reject(request, refusal_of(&refusal), now),
         }
     }
 
-    fn wait(&mut self, request: Box<PlacementRequest>, slot_wait_ms: u64, now: Millis) {
+    fn enqueue(&mut self, request: Box<PlacementRequest>, slot_wait_ms: u64, now: Millis) {
         let Some(configured) = &self.configured else {
             return;
         };
-        let entry = entry(&configured.in_force, request);
-        match self.admit.enqueue(entry, slot_wait_ms, now) {
+        let entry = queue_entry(&configured.in_force, request);
+        match self.queues.enqueue(entry, slot_wait_ms, now) {
             Ok(()) => self.place_waiting(now),
             Err((entry, rejected)) => {
                 let refusal = Refusal::not_run(Cause::Overloaded, rejected.to_string())
                     .retry_after(rejected.retry_after_ms());
-                self.turn_away(entry.item, refusal, now);
+                self.reject(entry.item, refusal, now);
             }
         }
     }
 
-    /// Refuses a request that has been charged and gives its reservation back.
-    fn turn_away(&mut self, request: Box<PlacementRequest>, refusal: Refusal, now: Millis) {
+    /// Refuses a charged request and refunds its reservation.
+    fn reject(&mut self, request: Box<PlacementRequest>, refusal: Refusal, now: Millis) {
         if let Some(charge) = request.charge {
             self.settle_charge(charge, 0, now);
         }
         refuse(request, refusal);
     }
 
-    /// Places waiting requests as far as there is room.
+    /// Places queued requests until no upstream has room.
     pub(super) fn place_waiting(&mut self, now: Millis) {
         let unix_now = self.unix_now();
-        while !self.admit.is_empty() {
+        while !self.queues.is_empty() {
             let Some(configured) = &self.configured else {
                 return;
             };
-            let way = Way {
+            let context = PlacementContext {
                 configured,
                 rollouts: &self.rollouts,
                 unix_now,
@@ -112,29 +112,29 @@
             };
             let rng = &mut self.rng;
             let keys = &configured.in_force.keys;
-            let next = self.admit.dequeue(
+            let next = self.queues.dequeue(
                 |entry| keys.is_valid(&entry.item.caller) && !entry.item.reply.is_closed(),
-                |entry| way.place(&entry.item, rng).ok(),
+                |entry| context.place(&entry.item, rng).ok(),
             );
             match next {
                 Some(Dequeued::Placed(entry, chosen)) => self.start(*entry.item, chosen, now),
-                Some(Dequeued::Withdrawn(entry)) => self.turn_away(entry.item, withdrawn(), now),
+                Some(Dequeued::Withdrawn(entry)) => self.reject(entry.item, key_withdrawn(), now),
                 None => return,
             }
         }
     }
 
-    /// Refuses the requests whose deadline has passed while they waited.
+    /// Refuses queued requests whose deadline has passed.
     pub(super) fn expire_waiting(&mut self, now: Millis) {
-        for entry in self.admit.expire(now) {
+        for entry in self.queues.expire(now) {
             let message = "no upstream had room before the deadline";
             let refusal = Refusal::not_run(Cause::Overloaded, message);
-            self.turn_away(entry.item, refusal, now);
+            self.reject(entry.item, refusal, now);
         }
     }
 
-    fn start(&mut self, request: PlacementRequest, chosen: Chosen, now: Millis) {
-        let Chosen {
+    fn start(&mut self, request: PlacementRequest, chosen: PlacementChoice, now: Millis) {
+        let PlacementChoice {
             placement,
             version,
             mut trial,
@@ -148,7 +148,7 @@
             .iter()
             .find(|upstream| upstream.id == placement.upstream)
             .expect("a placement names an upstream of the document in force");
-        let placed = Assignment {
+        let assignment = Assignment {
             ticket: self.last_ticket + 1,
             upstream: spec.id.clone(),
             url: spec.url.clone(),
@@ -157,12 +157,12 @@
             send_before: now.plus(TOLERATED_PAUSE_MS / 2),
             charge: request.charge,
         };
-        let ticket = placed.ticket;
-        // A caller that went away has dropped the receiving end and uses nothing.
+        let ticket = assignment.ticket;
+        // The receiver is dropped when the caller disconnects; such a request uses no tokens.
         let charge = request.charge;
         if request
             .reply
-            .send(Ok(PlacementDecision::Dispatch(placed)))
+            .send(Ok(PlacementDecision::Dispatch(assignment)))
             .is_err()
         {
             if let Some(charge) = charge {
@@ -174,46 +174,46 @@
         if let Some(trial) = &mut trial {
             self.rollouts.begin(trial, now);
         }
-        let open = Open {
-            flight: configured.router.start(&placement, now),
+        let active = ActivePlacement {
+            attempt: configured.router.start(&placement, now),
             upstream: placement.upstream,
             trial,
         };
-        let former = self.open.insert(ticket, open);
-        assert!(former.is_none(), "each placement has a ticket of its own");
+        let former = self.active.insert(ticket, active);
+        assert!(former.is_none(), "placement tickets are unique");
     }
 }
 
-fn withdrawn() -> Refusal {
+fn key_withdrawn() -> Refusal {
     Refusal::not_run(Cause::InvalidKey, "the key has been withdrawn")
 }
 
-/// Refuses a request. The caller may have gone away, which makes the refusal moot.
+/// Refuses a request. Has no effect if the caller has disconnected.
 pub(super) fn refuse(request: Box<PlacementRequest>, refusal: Refusal) {
     let _ = request.reply.send(Err(refusal));
 }
 
-/// Where a request goes, with the version and what it tries.
-struct Chosen {
+/// Upstream chosen for a request, with the model version and its rollout trial.
+struct PlacementChoice {
     placement: Placement,
     version: Option<VersionId>,
-    trial: Option<Trial>,
+    trial: Option<TrialRequest>,
 }
 
-/// What placement looks at.
-struct Way<'a> {
+/// Inputs of a placement decision.
+struct PlacementContext<'a> {
     configured: &'a Configured,
     rollouts: &'a Rollouts,
     unix_now: UnixMillis,
     now: Millis,
 }
 
-impl Way<'_> {
+impl PlacementContext<'_> {
     fn place(
         &self,
         request: &PlacementRequest,
         rng: &mut impl Rng,
-    ) -> Result<Chosen, route::Refusal> {
+    ) -> Result<PlacementChoice, route::Refusal> {
         let remaining_ms = request.deadline.since(self.now);
         match &request.destination {
             Destination::Model { model, class } => {
@@ -232,22 +232,23 @@
                     model,
                     version: &version,
                 };
-                match self.seek(request, requirement, target, rng) {
-                    Ok(placement) => Ok(Chosen {
+                match self.choose_upstream(request, requirement, target, rng) {
+                    Ok(placement) => Ok(PlacementChoice {
                         placement,
                         version: Some(version),
                         trial,
                     }),
-                    Err(_) if trial.as_ref().is_some_and(Trial::is_of_new_version) => {
-                        self.place_on_old(request, model, target, rng)
+                    Err(_) if trial.as_ref().is_some_and(TrialRequest::is_of_new_version) => {
+                        self.place_on_old_version(request, model, target, rng)
                     }
                     Err(refusal) => Err(refusal),
                 }
             }
             Destination::Service { service, .. } => {
                 let target = route::LatencyTarget::of_service(remaining_ms);
-                let placement = self.seek(request, Requirement::Service(service), target, rng)?;
-                Ok(Chosen {
+                let placement =
+                    self.choose_upstream(request, Requirement::Service(service), target, rng)?;
+                Ok(PlacementChoice {
                     placement,
                     version: None,
                     trial: None,
@@ -256,14 +257,14 @@
         }
     }
 
-    /// Places a request on the old version when the new one has no room for it.
-    fn place_on_old(
+    /// Places a request on the old version if the new version has no room.
+    fn place_on_old_version(
         &self,
         request: &PlacementRequest,
         model: &ModelId,
         target: route::LatencyTarget,
         rng: &mut impl Rng,
-    ) -> Result<Chosen, route::Refusal> {
+    ) -> Result<PlacementChoice, route::Refusal> {
         let version = self
             .rollouts
             .old_version(model)
@@ -272,15 +273,15 @@
             model,
             version: &version,
         };
-        let placement = self.seek(request, requirement, target, rng)?;
-        Ok(Chosen {
+        let placement = self.choose_upstream(request, requirement, target, rng)?;
+        Ok(PlacementChoice {
             placement,
             version: Some(version),
             trial: None,
         })
     }
 
-    fn seek(
+    fn choose_upstream(
         &self,
         request: &PlacementRequest,
         requirement: Requirement<'_>,
@@ -314,7 +315,7 @@
     }
 }
 
-fn entry(
+fn queue_entry(
     in_force: &ActiveDocument,
     request: Box<PlacementRequest>,
 ) -> QueuedRequest<Box<PlacementRequest>> {
@@ -322,7 +323,7 @@
     let weight = account
         .as_ref()
         .and_then(|id| in_force.document.account(id))
-        .map_or(OPEN_WEIGHT, |account| account.queue_weight);
+        .map_or(OPEN_ROUTE_WEIGHT, |account| account.queue_weight);
     QueuedRequest {
         account,
         weight,
--- a/crates/gateway/src/decide/rollouts/gossip.rs
+++ b/crates/gateway/src/decide/rollouts/gossip.rs
@@ -1,8 +1,8 @@
-//! Evidence and suspicions on their way between instances.
+//! Exchange of rollout evidence, suspicions and verdicts between instances.
 
 use super::{
     super::{gossip::EVIDENCE_CHANNEL, state::State},
-    CELLS_IN_NEWS, WIDE_PERIOD_MS,
+    COUNTERS_PER_DIGEST, OTHER_REGION_PERIOD_MS,
 };
 use carobwheel_core::{
     evidence::{EvidenceDigest, Suspicion},
@@ -15,8 +15,8 @@
 use std::collections::BTreeSet;
 
 impl State {
-    /// Tells every member at once that the new version is suspect; the gossip repeats it.
-    pub(super) fn raise(&mut self, suspicion: Suspicion, now: Millis) {
+    /// Sends a suspicion against a new version to all members at once. Gossip repeats it later.
+    pub(super) fn raise_suspicion(&mut self, suspicion: Suspicion, now: Millis) {
         log::warn!("new version suspect: {suspicion:?}");
         self.rollouts.evidence.suspect(suspicion);
         let digest = EvidenceDigest {
@@ -29,28 +29,31 @@
         self.propose_verdicts(now);
     }
 
-    /// Tells one peer of the region, and now and then one of each other region, what is known.
-    pub(in crate::decide) fn tell_evidence(&mut self, now: Millis) {
+    /// Sends evidence to one peer of the own region and, less often, to one of each other region.
+    pub(in crate::decide) fn send_evidence(&mut self, now: Millis) {
         if self.rollouts.running.is_empty() {
             return;
         }
         let members = self.running_members();
         let own_region = self.identity.region.clone();
-        let (home, away): (Vec<_>, Vec<_>) = members
+        let (local, remote): (Vec<_>, Vec<_>) = members
             .into_iter()
             .partition(|member| member.identity.region == own_region);
-        if let Some(peer) = home.choose(&mut self.rng) {
-            let digest = self.rollouts.evidence.digest_for_region(CELLS_IN_NEWS);
+        if let Some(peer) = local.choose(&mut self.rng) {
+            let digest = self
+                .rollouts
+                .evidence
+                .digest_for_region(COUNTERS_PER_DIGEST);
             self.send_digest(peer, &digest);
         }
-        if now.since(self.rollouts.told_wide_at) < WIDE_PERIOD_MS {
+        if now.since(self.rollouts.other_regions_sent_at) < OTHER_REGION_PERIOD_MS {
             return;
         }
-        self.rollouts.told_wide_at = now;
+        self.rollouts.other_regions_sent_at = now;
         let digest = self.rollouts.evidence.digest_for_other_region();
-        let regions: BTreeSet<&RegionId> = away.iter().map(|it| &it.identity.region).collect();
+        let regions: BTreeSet<&RegionId> = remote.iter().map(|it| &it.identity.region).collect();
         for region in regions {
-            let of_region: Vec<_> = away
+            let of_region: Vec<_> = remote
                 .iter()
                 .filter(|member| member.identity.region == *region)
                 .collect();
@@ -78,7 +81,7 @@
         self.outputs.send(identity.instance.clone(), addr, message);
     }
 
-    /// Takes what a peer knows.
+    /// Merges an evidence digest from a peer.
     pub(in crate::decide) fn on_digest(
         &mut self,
         from: &InstanceId,
@@ -98,7 +101,7 @@
             }
         }
         for (id, effects) in adopted {
-            self.take_effects(&id, effects);
+            self.apply_verdict_effects(&id, effects);
         }
         for change in &changes {
             self.assess(change, now);
--- a/crates/gateway/src/decide/rollouts/mod.rs
+++ b/crates/gateway/src/decide/rollouts/mod.rs
@@ -1,10 +1,10 @@
-//! Rollouts: which version a request goes to, what its end says about the version, and verdicts.
+//! Rollouts: the choice of a version per request, evidence from outcomes, and verdicts.
 
 mod gossip;
 mod trial;
 mod verdicts;
 
-pub(super) use trial::Trial;
+pub(super) use trial::TrialRequest;
 
 use super::{
     event::{Destination, PlacementRequest},
@@ -22,29 +22,30 @@
 use rand::Rng as _;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time over which instances spread their first calls about a verdict, in milliseconds.
+/// Time over which instances spread their first store calls for a verdict, in milliseconds.
 const VERDICT_SPREAD_MS: u64 = 2_000;
-/// Time between two messages to another region, in milliseconds.
-const WIDE_PERIOD_MS: u64 = 3_000;
-/// Counters in one message.
-const CELLS_IN_NEWS: usize = 24;
+/// Interval between evidence digests to another region, in milliseconds.
+const OTHER_REGION_PERIOD_MS: u64 = 3_000;
+/// Number of counters in one digest.
+const COUNTERS_PER_DIGEST: usize = 24;
 const PERMILLE: u64 = 1_000;
-/// Number of the call that looks for a verdict when a rollout becomes known.
-const FIRST_LOOK: u32 = 0;
+/// Sequence number of the call that reads a possible verdict when a rollout is first applied.
+const INITIAL_READ_CALL: u32 = 0;
 
-struct Running {
+/// State of one rollout of the document in force.
+struct RunningRollout {
     state: RolloutState,
     writer: VerdictWriter,
-    /// Calls that wait for their time.
-    due: Vec<VerdictEffect>,
+    /// Store calls that are not due yet.
+    pending_calls: Vec<VerdictEffect>,
 }
 
-/// All rollouts of the document in force.
+/// Rollouts of the document in force and the evidence on them.
 pub(super) struct Rollouts {
     evidence: Evidence,
-    running: BTreeMap<RolloutId, Running>,
+    running: BTreeMap<RolloutId, RunningRollout>,
     origin: OriginTag,
-    told_wide_at: Millis,
+    other_regions_sent_at: Millis,
 }
 
 impl Rollouts {
@@ -54,18 +55,18 @@
             evidence: Evidence::new(origin, region.clone()),
             running: BTreeMap::new(),
             origin,
-            told_wide_at: Millis::default(),
+            other_regions_sent_at: Millis::default(),
         }
     }
 
-    /// The version that a request goes to, and what it tries if a rollout decides it.
+    /// Chooses the version for a request; with a trial if a rollout made the choice.
     pub(super) fn version(
         &self,
         document: &Document,
         request: &PlacementRequest,
         unix_now: UnixMillis,
         now: Millis,
-    ) -> Option<(VersionId, Option<Trial>)> {
+    ) -> Option<(VersionId, Option<TrialRequest>)> {
         let Destination::Model { model, class } = &request.destination else {
             return None;
         };
@@ -76,26 +77,26 @@
         let state = &running.state;
         let route = route_tag(model, class);
         let side = state.choose(route, request.id.as_str(), unix_now);
-        // A failed attempt is not repeated on a version that is still being judged.
+        // A retry does not go to a new version whose verdict is still open.
         let is_repeat = !request.tried.is_empty() && state.verdict().is_none();
         if side == Side::New && is_repeat {
             return Some((version_of(state, Side::Old), None));
         }
-        let trial = Trial {
+        let trial = TrialRequest {
             rollout: state.tag(),
             route,
             side,
             ticket: None,
             started_at: now,
-            first_at: None,
+            first_token_at: None,
             is_reported: false,
         };
         Some((version_of(state, side), Some(trial)))
     }
 
-    /// Takes note that a request goes out.
-    pub(super) fn begin(&mut self, trial: &mut Trial, now: Millis) {
-        let Trial {
+    /// Records the start of a request in the evidence.
+    pub(super) fn begin(&mut self, trial: &mut TrialRequest, now: Millis) {
+        let TrialRequest {
             rollout,
             route,
             side,
@@ -105,7 +106,7 @@
         trial.ticket = Some(self.evidence.begin(rollout, route, side, now));
     }
 
-    /// The version to use when the one of a rollout has no room; none once there is a verdict.
+    /// Returns the version to use if the new one has no room; none once there is a verdict.
     pub(super) fn old_version(&self, model: &ModelId) -> Option<VersionId> {
         let state = &self.of_model(model)?.state;
         state
@@ -114,9 +115,9 @@
             .then(|| version_of(state, Side::Old))
     }
 
-    /// State of each rollout, for the status page.
+    /// Returns the state of each rollout for the status page.
     pub(super) fn status(&self, unix_now: UnixMillis) -> BTreeMap<String, String> {
-        let status = |(id, running): (&RolloutId, &Running)| {
+        let status = |(id, running): (&RolloutId, &RunningRollout)| {
             let state = &running.state;
             let text = match (state.verdict(), state.suspicion()) {
                 (Some(Verdict::Done), _) => "done".to_owned(),
@@ -132,12 +133,12 @@
         self.running.iter().map(status).collect()
     }
 
-    fn of_model(&self, model: &ModelId) -> Option<&Running> {
+    fn of_model(&self, model: &ModelId) -> Option<&RunningRollout> {
         let mut running = self.running.values();
         running.find(|running| running.state.rollout().model == *model)
     }
 
-    fn by_tag(&mut self, tag: RolloutTag) -> Option<(&RolloutId, &mut Running)> {
+    fn by_tag(&mut self, tag: RolloutTag) -> Option<(&RolloutId, &mut RunningRollout)> {
         let mut running = self.running.iter_mut();
         running.find(|(_, running)| running.state.tag() == tag)
     }
@@ -155,7 +156,7 @@
 }
 
 impl State {
-    /// Takes over the rollouts of a newer document.
+    /// Applies the rollouts of a newer document.
     pub(super) fn apply_rollouts(&mut self, document: &Document) {
         let named: BTreeSet<&RolloutId> = document.rollouts.iter().map(|it| &it.id).collect();
         let rollouts = &mut self.rollouts;
@@ -165,23 +166,23 @@
                 running.state.replace(rollout.clone());
                 continue;
             }
-            let running = Running {
+            let running = RunningRollout {
                 state: RolloutState::new(rollout.clone(), rollouts.origin),
                 writer: VerdictWriter::new(self.rng.random_range(0..=PERMILLE)),
-                due: Vec::new(),
+                pending_calls: Vec::new(),
             };
             rollouts.running.insert(rollout.id.clone(), running);
-            // A verdict that was written before this instance started counts at once.
+            // A verdict written before this instance started takes effect at once.
             self.outputs.command(Command::ReadVerdict {
                 rollout: rollout.id.clone(),
-                call: FIRST_LOOK,
+                call: INITIAL_READ_CALL,
             });
         }
         let tags = rollouts.running.values().map(|it| it.state.tag()).collect();
         rollouts.evidence.retain(&tags);
     }
 
-    /// Work on rollouts that is due by time alone.
+    /// Runs the periodic work on rollouts.
     pub(super) fn tick_rollouts(&mut self, now: Millis) {
         if self.rollouts.running.is_empty() {
             return;
--- a/crates/gateway/src/decide/rollouts/trial.rs
+++ b/crates/gateway/src/decide/rollouts/trial.rs
@@ -1,4 +1,4 @@
-//! What requests say about the version that they went to.
+//! Evidence from requests on the version that served them.
 
 use super::super::{
     event::{AttemptOutcome, Settlement},
@@ -10,47 +10,52 @@
     time::Millis,
 };
 
-/// A request that says something about a version of a rollout.
+/// Request whose outcome counts as evidence on a version of a rollout.
 #[derive(Clone, Debug)]
-pub(in crate::decide) struct Trial {
+pub(in crate::decide) struct TrialRequest {
     pub(super) rollout: RolloutTag,
     pub(super) route: RouteTag,
     pub(super) side: Side,
-    /// Present from the start of the request on.
+    /// Evidence ticket; set when the request starts.
     pub(super) ticket: Option<RequestTicket>,
     pub(super) started_at: Millis,
-    pub(super) first_at: Option<Millis>,
+    pub(super) first_token_at: Option<Millis>,
     pub(super) is_reported: bool,
 }
 
-impl Trial {
-    /// Notes the first token.
+impl TrialRequest {
+    /// Records the time of the first token.
     pub(in crate::decide) fn first_token(&mut self, now: Millis) {
-        self.first_at.get_or_insert(now);
+        self.first_token_at.get_or_insert(now);
     }
 
-    /// The request goes to the new version.
+    /// Whether the request goes to the new version.
     pub(in crate::decide) fn is_of_new_version(&self) -> bool {
         self.side == Side::New
     }
 
-    /// What the request says so far, after `output_tokens`.
+    /// Returns the latencies measured so far, after `output_tokens`.
     fn sample(&self, output_tokens: u64, now: Millis) -> Sample {
         let gaps = output_tokens.saturating_sub(1);
-        let between = self.first_at.filter(|_| gaps > 0);
+        let between = self.first_token_at.filter(|_| gaps > 0);
         Sample {
             failed: false,
-            first_token_ms: self.first_at.map(|at| at.since(self.started_at)),
+            first_token_ms: self.first_token_at.map(|at| at.since(self.started_at)),
             between_tokens_ms: between.map(|at| now.since(at) / gaps),
         }
     }
 }
 
 impl State {
-    /// Counts what the first tokens of a long answer say about its version.
-    pub(in crate::decide) fn judge_early(&mut self, ticket: u64, output_tokens: u64, now: Millis) {
-        let open = self.open.get_mut(&ticket);
-        let Some(trial) = open.and_then(|open| open.trial.as_mut()) else {
+    /// Records the latencies of a response's first tokens, without waiting for its end.
+    pub(in crate::decide) fn record_early_sample(
+        &mut self,
+        ticket: u64,
+        output_tokens: u64,
+        now: Millis,
+    ) {
+        let active = self.active.get_mut(&ticket);
+        let Some(trial) = active.and_then(|active| active.trial.as_mut()) else {
             return;
         };
         let (Some(ticket), false) = (trial.ticket, trial.is_reported) else {
@@ -61,8 +66,13 @@
         self.rollouts.evidence.end(ticket, sample);
     }
 
-    /// Counts what the end of a request says about the version that it went to.
-    pub(in crate::decide) fn judge(&mut self, trial: &Trial, settlement: &Settlement, now: Millis) {
+    /// Records the outcome of a request as evidence on its version.
+    pub(in crate::decide) fn record_trial_outcome(
+        &mut self,
+        trial: &TrialRequest,
+        settlement: &Settlement,
+        now: Millis,
+    ) {
         let Some(ticket) = trial.ticket else {
             return;
         };
@@ -86,7 +96,7 @@
         self.count_evidence(now);
     }
 
-    /// Assesses the requests whose turn to be counted has come.
+    /// Assesses the requests that are due to be counted.
     pub(super) fn count_evidence(&mut self, now: Millis) {
         for change in self.rollouts.evidence.count(now) {
             self.assess(&change, now);
@@ -99,12 +109,12 @@
             .by_tag(change.rollout)
             .and_then(|(_, running)| running.state.add_evidence(change, now));
         if let Some(suspicion) = raised {
-            self.raise(suspicion, now);
+            self.raise_suspicion(suspicion, now);
         }
     }
 }
 
-/// Whether the version failed; none if the end says nothing about it.
+/// Whether the version failed; none if the outcome is no evidence on the version.
 fn has_failed(outcome: AttemptOutcome) -> Option<bool> {
     match outcome {
         AttemptOutcome::Completed => Some(false),
--- a/crates/gateway/src/decide/rollouts/verdicts.rs
+++ b/crates/gateway/src/decide/rollouts/verdicts.rs
@@ -1,4 +1,4 @@
-//! Verdicts on rollouts: proposed, written once, followed.
+//! Verdicts on rollouts: proposing, writing once and adopting them.
 
 use super::{super::state::State, VERDICT_SPREAD_MS};
 use crate::platform::Command;
@@ -19,11 +19,11 @@
             }
         }
         for (id, effects) in proposed {
-            self.take_effects(&id, effects);
+            self.apply_verdict_effects(&id, effects);
         }
     }
 
-    pub(super) fn take_effects(&mut self, id: &RolloutId, effects: Vec<VerdictEffect>) {
+    pub(super) fn apply_verdict_effects(&mut self, id: &RolloutId, effects: Vec<VerdictEffect>) {
         let Some(running) = self.rollouts.running.get_mut(id) else {
             return;
         };
@@ -38,7 +38,7 @@
                     self.rollouts.evidence.record_verdict(tag, verdict);
                 }
                 VerdictEffect::Create { .. } | VerdictEffect::Read { .. } => {
-                    running.due.push(effect);
+                    running.pending_calls.push(effect);
                 }
             }
         }
@@ -48,7 +48,7 @@
         let mut commands = Vec::new();
         for (id, running) in &mut self.rollouts.running {
             let writer = &running.writer;
-            running.due.retain(|effect| {
+            running.pending_calls.retain(|effect| {
                 let Some((command, not_before)) = call_of(id, *effect, writer) else {
                     return false;
                 };
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Takes the answer of the store to a call about a verdict.
+    /// Handles the store's answer to a verdict call.
     pub(in crate::decide) fn on_verdict(
         &mut self,
         id: &RolloutId,
@@ -76,11 +76,11 @@
             return;
         };
         let effects = running.writer.step(call, answer, now);
-        self.take_effects(id, effects);
+        self.apply_verdict_effects(id, effects);
     }
 }
 
-/// The call behind an effect with its time; none if it is no longer wanted.
+/// Returns the store command for an effect and its earliest time; none if it is obsolete.
 fn call_of(
     id: &RolloutId,
     effect: VerdictEffect,
--- a/crates/gateway/src/decide/settle.rs
+++ b/crates/gateway/src/decide/settle.rs
@@ -1,4 +1,4 @@
-//! The life of placements after their start.
+//! Progress, settlement and retries of placements.
 
 use super::{
     event::{AttemptOutcome, RetryRequest, Settlement},
@@ -10,38 +10,42 @@
 };
 
 impl State {
-    pub(super) fn first_byte(&mut self, ticket: u64, now: Millis) {
-        if let (Some(configured), Some(open)) = (&mut self.configured, self.open.get_mut(&ticket)) {
-            configured.router.first_token(open.flight, now);
-            if let Some(trial) = &mut open.trial {
+    pub(super) fn on_first_byte(&mut self, ticket: u64, now: Millis) {
+        if let (Some(configured), Some(active)) =
+            (&mut self.configured, self.active.get_mut(&ticket))
+        {
+            configured.router.first_token(active.attempt, now);
+            if let Some(trial) = &mut active.trial {
                 trial.first_token(now);
             }
         }
     }
 
-    pub(super) fn progress(&mut self, ticket: u64, output_tokens: u64, now: Millis) {
-        if let (Some(configured), Some(open)) = (&mut self.configured, self.open.get(&ticket)) {
-            configured.router.progress(open.flight, output_tokens, now);
+    pub(super) fn on_progress(&mut self, ticket: u64, output_tokens: u64, now: Millis) {
+        if let (Some(configured), Some(active)) = (&mut self.configured, self.active.get(&ticket)) {
+            configured
+                .router
+                .progress(active.attempt, output_tokens, now);
         }
-        self.judge_early(ticket, output_tokens, now);
+        self.record_early_sample(ticket, output_tokens, now);
     }
 
-    /// Ends a placement and gives its room to those that wait.
+    /// Settles a placement and places queued requests in the room that it frees.
     pub(super) fn settle(&mut self, settlement: &Settlement, now: Millis) {
-        let open = self
-            .open
+        let active = self
+            .active
             .remove(&settlement.ticket)
-            .expect("each placement is settled once");
+            .expect("each placement is settled exactly once");
         let Some(configured) = &mut self.configured else {
             return;
         };
         let router = &mut configured.router;
         match settlement.outcome {
             AttemptOutcome::Completed => {
-                router.progress(open.flight, settlement.output_tokens, now);
-                router.finish(open.flight);
+                router.progress(active.attempt, settlement.output_tokens, now);
+                router.finish(active.attempt);
             }
-            AttemptOutcome::Failed(_) | AttemptOutcome::Cancelled => router.cancel(open.flight),
+            AttemptOutcome::Failed(_) | AttemptOutcome::Cancelled => router.cancel(active.attempt),
         }
         let is_error = match settlement.outcome {
             AttemptOutcome::Completed => Some(false),
@@ -49,11 +53,11 @@
             AttemptOutcome::Cancelled => None,
         };
         if let Some(is_error) = is_error {
-            let change = configured.outliers.record(&open.upstream, is_error, now);
-            configured.heed(change, now);
+            let change = configured.outliers.record(&active.upstream, is_error, now);
+            configured.apply_ejection_changes(change, now);
         }
-        if let Some(trial) = &open.trial {
-            self.judge(trial, settlement, now);
+        if let Some(trial) = &active.trial {
+            self.record_trial_outcome(trial, settlement, now);
         }
         self.place_waiting(now);
     }
@@ -69,7 +73,7 @@
             ),
             None => Decision::GiveUp(GiveUpReason::Budget),
         };
-        // The caller may have gone away.
+        // Sending fails only if the caller has disconnected.
         let _ = request.reply.send(decision);
     }
 }
--- a/crates/gateway/src/decide/slots.rs
+++ b/crates/gateway/src/decide/slots.rs
@@ -1,4 +1,4 @@
-//! Which shards of accounts this instance counts for.
+//! Ownership of account shards by this instance.
 
 use super::{event::SlotsRead, state::State};
 use crate::platform::Command;
@@ -14,32 +14,35 @@
 use rand::Rng as _;
 use std::{collections::BTreeMap, mem, sync::atomic::Ordering};
 
-/// Time between two writes of the record, in milliseconds; jitter of the same length comes on top.
+/// Minimum interval between writes of the ownership record, in milliseconds; jitter of up to the
+/// same length is added.
 const WRITE_PERIOD_MS: u64 = 500;
-/// Time between two reads while the slots wait for their confirmation, in milliseconds.
-const CONFIRM_PERIOD_MS: u64 = 500;
+/// Interval between reads while the slots wait for confirmation by the store, in milliseconds.
+const CONFIRM_READ_PERIOD_MS: u64 = 500;
 
-/// Time without a change of the members after which slots are handed to their preferred owners,
-/// in milliseconds.
+/// Time without a membership change after which slots move to their preferred owners, in
+/// milliseconds.
 const HAND_OVER_DELAY_MS: u64 = 10_000;
 
-/// Time after its start at which an instance with a document is ready in any case, in milliseconds.
-const READY_AT_LATEST_MS: u64 = 20_000;
+/// Time after the start at which an instance with a document becomes ready in any case, in
+/// milliseconds.
+const MAX_READY_DELAY_MS: u64 = 20_000;
 
-/// The slots of this instance and what is known of those of others.
+/// Slots of this instance and the known owners of all others.
 pub(super) struct Slots {
-    pub(super) keeper: OwnershipReconciler,
-    pub(super) presence: LivenessTracker,
-    /// The records of all regions have been read once.
+    pub(super) reconciler: OwnershipReconciler,
+    pub(super) liveness_tracker: LivenessTracker,
+    /// Whether the records of all regions have been read once.
     pub(super) are_loaded: bool,
-    pub(super) are_void: bool,
-    /// Owners of the slots of all regions, as far as they are known.
+    /// Whether a pause has invalidated this instance's slots until the store confirms them.
+    pub(super) are_invalidated: bool,
+    /// Known owners of the slots of all regions.
     pub(super) owners: BTreeMap<SlotId, Peer>,
-    /// The own region's record has to be read again.
+    /// Whether the own region's record has to be read again.
     is_read_due: bool,
-    /// There is a live list to read.
+    /// Whether the platform provides a live list.
     pub(super) has_live_list: bool,
-    /// Instances on the live list as last read.
+    /// Instances on the live list when it was last read, without those that are leaving.
     pub(super) listed: Option<Vec<InstanceId>>,
     records: BTreeMap<RegionId, (u64, OwnershipRecord)>,
     write_at: Millis,
@@ -48,10 +51,10 @@
 impl Slots {
     pub(super) fn new(me: Peer, has_live_list: bool, now: Millis) -> Self {
         Self {
-            keeper: OwnershipReconciler::new(me, now),
-            presence: LivenessTracker::default(),
+            reconciler: OwnershipReconciler::new(me, now),
+            liveness_tracker: LivenessTracker::default(),
             are_loaded: false,
-            are_void: false,
+            are_invalidated: false,
             owners: BTreeMap::new(),
             is_read_due: false,
             has_live_list,
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Owners as the records of the store name them.
+    /// Returns the owners according to the records of the store.
     pub(super) fn recorded_owners(&self) -> BTreeMap<SlotId, Peer> {
         self.records
             .iter()
@@ -71,52 +74,58 @@
 }
 
 impl State {
-    /// Makes the slots void after a pause in which another instance may have taken them.
-    pub(super) fn guard_pause(&mut self, now: Millis) {
-        if !self.slots.keeper.detect_pause(now) {
+    /// Invalidates the slots after a pause during which another instance may have taken them.
+    pub(super) fn check_for_pause(&mut self, now: Millis) {
+        if !self.slots.reconciler.detect_pause(now) {
             return;
         }
-        log::warn!("this process was paused: its slots are void until the store confirms them");
-        self.slots.are_void = true;
+        log::warn!("process was paused; its slots are invalid until the store confirms them");
+        self.slots.are_invalidated = true;
         let uncovered = self.charging.limiter.invalidate_slots();
         self.charging.cancel(uncovered);
         self.outputs.command(Command::ReadSlots);
     }
 
-    /// Hands the slots over as soon as the platform thread can.
-    pub(super) fn hand_over(&mut self, now: Millis) {
+    /// Starts the handover of all slots without waiting for the next write interval.
+    pub(super) fn hand_over_slots(&mut self, now: Millis) {
         self.slots.write_at = now;
         self.tick_slots(now);
     }
 
-    /// The store has answered. A region without a record shows only when its key is read.
+    /// Records that the store has been read, and reads the own region's key, since only that shows
+    /// a region without a record.
     pub(super) fn on_slots_loaded(&mut self) {
         self.slots.are_loaded = true;
         self.outputs.command(Command::ReadSlots);
     }
 
-    /// Takes a record of slots as read from the store.
-    pub(super) fn on_slots(&mut self, read: SlotsRead, now: Millis) {
+    /// Applies an ownership record read from the store.
+    pub(super) fn on_slot_record(&mut self, read: SlotsRead, now: Millis) {
         if read.region == self.identity.region {
-            if !self.knows_listed(&self.members.snapshot()) {
-                // A new owner asks every member what it may still use, so it has to know them.
+            if !self.has_seen_all_listed(&self.members.snapshot()) {
+                // A new owner asks every member which tokens it may still use, so it must have seen
+                // all members.
                 self.slots.is_read_due = true;
                 return;
             }
             self.update_members(now);
-            self.slots.presence.note_record(&read.record, now);
+            self.slots.liveness_tracker.note_record(&read.record, now);
             let record = read.record.clone();
-            match self.slots.keeper.on_read(read.revision, record, read.began) {
+            match self
+                .slots
+                .reconciler
+                .on_read(read.revision, record, read.began)
+            {
                 OwnershipUpdate::Unchanged => {}
                 OwnershipUpdate::Owned(owned) => {
                     self.charging.limiter.set_slots(&owned, now);
-                    self.tell_owned(&owned);
+                    self.publish_owned_slots(&owned);
                 }
                 OwnershipUpdate::Confirmed(owned) => {
-                    log::info!("the store has confirmed the slots");
-                    self.slots.are_void = false;
+                    log::info!("slots confirmed by the store");
+                    self.slots.are_invalidated = false;
                     self.charging.limiter.confirm_slots(&owned, now);
-                    self.tell_owned(&owned);
+                    self.publish_owned_slots(&owned);
                 }
             }
         }
@@ -126,7 +135,7 @@
         }
         let entry = (read.revision, read.record);
         self.slots.records.insert(read.region, entry);
-        self.hear_owners();
+        self.update_owners();
     }
 
     pub(super) fn tick_slots(&mut self, now: Millis) {
@@ -134,7 +143,7 @@
         if now < self.slots.write_at || !self.slots.are_loaded {
             return;
         }
-        if !self.knows_listed(&self.members.snapshot()) {
+        if !self.has_seen_all_listed(&self.members.snapshot()) {
             return;
         }
         if mem::take(&mut self.slots.is_read_due) {
@@ -156,32 +165,32 @@
                 incarnation: identity.incarnation.0,
             })
             .collect();
-        let are_all_reachable = self.are_all_answering(now);
+        let are_all_reachable = self.are_all_members_stable(now);
         let slots = &mut self.slots;
-        let presence = &slots.presence;
+        let tracker = &slots.liveness_tracker;
         let view = PlanContext {
             me: &self.me,
             is_leaving: self.is_leaving,
             are_all_reachable,
             alive: &alive,
-            liveness: &|peer| presence.liveness(peer, now),
+            liveness: &|peer| tracker.liveness(peer, now),
         };
-        match slots.keeper.next_write(&view) {
+        match slots.reconciler.next_write(&view) {
             Some(write) => {
                 self.charging.limiter.suspend(&write.suspended, now);
                 self.outputs.command(Command::WriteSlots(Box::new(write)));
             }
-            None if slots.are_void => {
-                slots.write_at = now.plus(CONFIRM_PERIOD_MS);
+            None if slots.are_invalidated => {
+                slots.write_at = now.plus(CONFIRM_READ_PERIOD_MS);
                 self.outputs.command(Command::ReadSlots);
             }
             None => {}
         }
     }
 
-    /// Whether every member that may still spend tokens answers, and none has come or changed
-    /// lately: a member that dies looks alive until its heartbeats are missed.
-    fn are_all_answering(&self, now: Millis) -> bool {
+    /// Whether every member that may still spend tokens is reachable and none has joined or changed
+    /// lately. A member that has crashed appears alive until its heartbeats are missed.
+    fn are_all_members_stable(&self, now: Millis) -> bool {
         let members = self.members.snapshot();
         members.iter().all(|member| {
             let is_alive = member.state == MemberState::Alive && member.is_reachable;
@@ -190,14 +199,15 @@
         })
     }
 
-    /// Whether nothing is left to hand over before this instance stops.
+    /// Whether this instance has no slots left to hand over before it stops.
     fn has_handed_over(&self) -> bool {
         let is_alone = self.members.alive_in(&self.identity.region).is_empty();
-        let record = self.slots.keeper.record();
+        let record = self.slots.reconciler.record();
         is_alone || record.owned_by(&self.me).is_empty()
     }
 
-    /// Tells the limiter which members may still spend tokens, and what all of them have settled.
+    /// Updates the limiter with the members that may still spend tokens and the revision that all
+    /// of them have settled on.
     fn update_members(&mut self, now: Millis) {
         let members = self.members.snapshot();
         let present: Vec<Peer> = members
@@ -209,23 +219,23 @@
             self.outputs.has_handed_over.store(true, Ordering::Relaxed);
         }
         let settled = self
-            .knows_listed(&members)
+            .has_seen_all_listed(&members)
             .then(|| self.fleet_settled_revision(&present))
             .flatten();
         self.charging.limiter.set_members(&present, now);
         if let Some(revision) = settled {
             self.charging.limiter.set_fleet_revision(revision, now);
         }
-        self.tell_settled_revision();
+        self.publish_settled_revision();
         let is_settled = settled.is_some_and(|settled| settled > 0);
         let can_borrow = self.charging.limiter.has_joined(now);
-        let can_charge = can_borrow || (is_settled && self.owns_region());
-        self.judge_readiness(can_charge, now);
+        let can_charge = can_borrow || (is_settled && self.owns_all_slots());
+        self.update_readiness(can_charge, now);
     }
 
-    /// Whether every instance that the live list names has been heard of. A newcomer that has
-    /// heard of nobody would take itself for the whole fleet.
-    fn knows_listed(&self, members: &[MemberView]) -> bool {
+    /// Whether every instance on the live list is in the membership table. Otherwise a new instance
+    /// would assume that it is the whole fleet.
+    fn has_seen_all_listed(&self, members: &[MemberView]) -> bool {
         let Some(listed) = &self.slots.listed else {
             return !self.slots.has_live_list;
         };
@@ -233,22 +243,23 @@
         listed.iter().all(is_known)
     }
 
-    /// Whether this instance owns every slot of its region, so that it need not borrow there.
-    fn owns_region(&self) -> bool {
-        let owned = self.slots.keeper.record().owned_by(&self.me);
+    /// Whether this instance owns every slot of its region and so need not borrow there.
+    fn owns_all_slots(&self) -> bool {
+        let owned = self.slots.reconciler.record().owned_by(&self.me);
         owned.len() == Role::ALL.len() * usize::from(SHARDS)
     }
 
-    /// An instance is ready once it can charge requests, at the latest after a while: a member
-    /// that never tells its revision may not keep others from serving.
-    fn judge_readiness(&mut self, can_charge: bool, now: Millis) {
+    /// Marks the instance ready once it can charge requests, but no later than
+    /// [`MAX_READY_DELAY_MS`] after the start, so that a member that never publishes its revision
+    /// cannot keep others from serving.
+    fn update_readiness(&mut self, can_charge: bool, now: Millis) {
         let Some(in_force) = self.revision() else {
             return;
         };
         let knows_owners = !self.slots.owners.is_empty();
-        let is_late = now.0 > READY_AT_LATEST_MS;
+        let is_overdue = now.0 > MAX_READY_DELAY_MS;
         let can_charge = can_charge && knows_owners;
-        if (can_charge || is_late) && !self.outputs.is_ready.swap(true, Ordering::Relaxed) {
+        if (can_charge || is_overdue) && !self.outputs.is_ready.swap(true, Ordering::Relaxed) {
             log::info!(revision = in_force, can_charge; "ready");
         }
     }
@@ -258,13 +269,13 @@
         is_silent
             && self
                 .slots
-                .presence
+                .liveness_tracker
                 .liveness(&peer_of(member), now)
                 .is_gone()
     }
 }
 
-/// The run of an instance behind a member.
+/// Returns the instance and incarnation of a member.
 pub(super) fn peer_of(member: &MemberView) -> Peer {
     Peer {
         instance: member.identity.instance.clone(),
--- a/crates/gateway/src/decide/state.rs
+++ b/crates/gateway/src/decide/state.rs
@@ -1,11 +1,11 @@
-//! All decision state of one instance.
+//! Decision state of one instance.
 
 use super::{
     charge::Charging,
     event::{Event, PlacementRequest},
     membership,
     outputs::Outputs,
-    rollouts::{Rollouts, Trial},
+    rollouts::{Rollouts, TrialRequest},
     slots::Slots,
 };
 use crate::{
@@ -26,20 +26,20 @@
 use std::{collections::HashMap, sync::Arc};
 
 const MEMBER_TICK_MS: u64 = 50;
-/// Every member is looked at each time, which costs in a large fleet.
+/// Longer than [`MEMBER_TICK_MS`], since each run visits every member of the fleet.
 const SLOTS_TICK_MS: u64 = 250;
 const EXPIRY_PERIOD_MS: u64 = 250;
 const GOSSIP_PERIOD_MS: u64 = 1_000;
 
-/// A placement that has not been settled.
-pub(super) struct Open {
-    pub(super) flight: AttemptId,
+/// Placement that has not been settled.
+pub(super) struct ActivePlacement {
+    pub(super) attempt: AttemptId,
     pub(super) upstream: UpstreamId,
-    /// What the request says about a version, if a rollout decided it.
-    pub(super) trial: Option<Trial>,
+    /// Part of the request in a rollout, if the rollout chose its version.
+    pub(super) trial: Option<TrialRequest>,
 }
 
-/// What depends on a document being in force.
+/// Components that exist only while a document is in force.
 pub(super) struct Configured {
     pub(super) in_force: Arc<ActiveDocument>,
     pub(super) router: Router,
@@ -47,7 +47,7 @@
     pub(super) outliers: OutlierDetector,
 }
 
-/// The state behind every decision.
+/// State that all decisions are based on.
 pub(super) struct State {
     pub(super) identity: Identity,
     pub(super) me: Peer,
@@ -57,29 +57,29 @@
     pub(super) slots: Slots,
     pub(super) charging: Charging,
     pub(super) rollouts: Rollouts,
-    pub(super) admit: AdmissionQueues<Box<PlacementRequest>>,
-    pub(super) open: HashMap<u64, Open>,
+    pub(super) queues: AdmissionQueues<Box<PlacementRequest>>,
+    pub(super) active: HashMap<u64, ActivePlacement>,
     pub(super) last_ticket: u64,
     pub(super) digest_sequence: u64,
-    pub(super) told_load: LoadDigest,
-    pub(super) told_load_at: Millis,
-    pub(super) told_settled_revision: u64,
+    pub(super) last_sent_load: LoadDigest,
+    pub(super) load_sent_at: Millis,
+    pub(super) last_sent_settled_revision: u64,
     pub(super) is_leaving: bool,
     pub(super) rng: StdRng,
     clock: Clock,
-    due: Due,
+    last_runs: LastRuns,
 }
 
-/// When each periodic duty was last done.
+/// Time of the last run of each periodic task.
 #[derive(Default)]
-struct Due {
+struct LastRuns {
     members: Millis,
     slots: Millis,
     expiry: Millis,
     gossip: Millis,
 }
 
-/// Whether a duty with this period is due, and if so notes that it is done.
+/// Whether a task with this period is due; if so, sets `last` to `now`.
 fn is_due(last: &mut Millis, period_ms: u64, now: Millis) -> bool {
     let is_due = now.since(*last) >= period_ms;
     if is_due {
@@ -112,17 +112,17 @@
             me,
             outputs,
             configured: None,
-            admit: AdmissionQueues::new(AdmissionSettings::default()),
-            open: HashMap::new(),
+            queues: AdmissionQueues::new(AdmissionSettings::default()),
+            active: HashMap::new(),
             last_ticket: 0,
             digest_sequence: 0,
-            told_load: LoadDigest::default(),
-            told_load_at: Millis::default(),
-            told_settled_revision: 0,
+            last_sent_load: LoadDigest::default(),
+            load_sent_at: Millis::default(),
+            last_sent_settled_revision: 0,
             is_leaving: false,
             rng,
             clock,
-            due: Due::default(),
+            last_runs: LastRuns::default(),
         }
     }
 
@@ -130,11 +130,11 @@
         let now = self.clock.now();
         match event {
             Event::Place(request) => self.on_placement_request(request, now),
-            Event::FirstByte { ticket } => self.first_byte(ticket, now),
+            Event::FirstByte { ticket } => self.on_first_byte(ticket, now),
             Event::Progress {
                 ticket,
                 output_tokens,
-            } => self.progress(ticket, output_tokens, now),
+            } => self.on_progress(ticket, output_tokens, now),
             Event::Settle(settlement) => self.settle(&settlement, now),
             Event::SettleCharge {
                 charge,
@@ -143,7 +143,7 @@
             Event::Retry(request) => self.on_retry_request(*request, now),
             Event::Document(next) => self.apply(next, now),
             Event::Peer(inbound) => self.on_inbound(*inbound, now),
-            Event::Slots(read) => self.on_slots(*read, now),
+            Event::Slots(read) => self.on_slot_record(*read, now),
             Event::SlotsLoaded => self.on_slots_loaded(),
             Event::LiveList(read) => self.on_live_list(&read, now),
             Event::Verdict {
@@ -155,53 +155,53 @@
         }
     }
 
-    /// Civil time, for the steps of rollouts.
+    /// Returns the wall-clock time, which the steps of rollouts refer to.
     pub(super) fn unix_now(&self) -> UnixMillis {
         self.clock.unix_now()
     }
 
-    /// Work that is due by time alone.
+    /// Runs the periodic tasks that are due.
     pub(super) fn tick(&mut self) {
         let now = self.clock.now();
-        // The guard against long pauses has to see every tick, before anything is decided.
-        self.guard_pause(now);
-        if is_due(&mut self.due.members, MEMBER_TICK_MS, now) {
+        // Pause detection has to run on every tick, before any decision is made.
+        self.check_for_pause(now);
+        if is_due(&mut self.last_runs.members, MEMBER_TICK_MS, now) {
             self.tick_members(now);
             self.tick_charging(now);
             self.tick_rollouts(now);
         }
-        if is_due(&mut self.due.slots, SLOTS_TICK_MS, now) {
+        if is_due(&mut self.last_runs.slots, SLOTS_TICK_MS, now) {
             self.tick_slots(now);
         }
-        if is_due(&mut self.due.gossip, GOSSIP_PERIOD_MS, now) {
+        if is_due(&mut self.last_runs.gossip, GOSSIP_PERIOD_MS, now) {
             self.gossip(now);
             self.publish_entries();
-            self.share_watching();
+            self.assign_document_watch();
             self.publish_status(now);
         }
-        if is_due(&mut self.due.expiry, EXPIRY_PERIOD_MS, now) {
+        if is_due(&mut self.last_runs.expiry, EXPIRY_PERIOD_MS, now) {
             self.expire_waiting(now);
-            self.bring_back(now);
+            self.readmit_upstreams(now);
             self.place_waiting(now);
         }
     }
 
-    fn bring_back(&mut self, now: Millis) {
+    fn readmit_upstreams(&mut self, now: Millis) {
         let Some(configured) = &mut self.configured else {
             return;
         };
         let back = configured.outliers.expire(now);
-        configured.heed(back, now);
+        configured.apply_ejection_changes(back, now);
         configured.router.expire(now);
     }
 }
 
-/// Retry settings of a document.
+/// Returns the retry settings of a document.
 pub(super) fn retry_settings(in_force: &ActiveDocument) -> RetrySettings {
     RetrySettings::with_budget_pct(in_force.document.policy.retry_budget_pct)
 }
 
-/// Account that a request runs for.
+/// Returns the client account of a request; none on open routes.
 pub(super) fn account_of(request: &PlacementRequest) -> Option<&AccountId> {
     match &request.caller {
         Caller::Account(credential) => Some(&credential.account),
--- a/crates/gateway/src/decide/status.rs
+++ b/crates/gateway/src/decide/status.rs
@@ -1,4 +1,4 @@
-//! What the deciding thread shows on the status page.
+//! Decision thread's part of the status page.
 
 use super::{slots::peer_of, state::State};
 use crate::report::{Decisions, MemberStatus, UpstreamStatus};
@@ -6,7 +6,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 impl State {
-    /// Publishes the state for the status page.
+    /// Publishes the decision state on the status page.
     pub(super) fn publish_status(&self, now: Millis) {
         let totals = self.charging.limiter.totals();
         let configured = self.configured.as_ref();
@@ -14,8 +14,8 @@
             revision: self.revision(),
             members: self.member_status(),
             upstreams: self.upstream_status(now),
-            waiting: self.admit.len(),
-            placed: self.open.len(),
+            waiting: self.queues.len(),
+            placed: self.active.len(),
             charges: totals.charges,
             loans_taken: totals.loans_taken,
             loans_given: totals.loans_given,
--- a/crates/gateway/src/relay/settle.rs
+++ b/crates/gateway/src/relay/settle.rs
@@ -143,12 +143,12 @@
     }
 
     /// Settles the placement. Later calls have no effect.
-    pub fn settle(&mut self, ending: AttemptOutcome) {
+    pub fn settle(&mut self, outcome: AttemptOutcome) {
         if self.is_settled {
             return;
         }
         self.is_settled = true;
-        if ending != AttemptOutcome::Completed {
+        if outcome != AttemptOutcome::Completed {
             self.cancel.cancel();
         }
         if let Some(charged) = &mut self.charged {
@@ -157,7 +157,7 @@
         if let (Some(ticket), Some(decide)) = (self.ticket, &self.decide) {
             let settlement = Settlement {
                 ticket,
-                outcome: ending,
+                outcome,
                 output_tokens: self.output_tokens,
             };
             send(decide, Event::Settle(settlement));
