--- a/crates/gateway/src/decide/apply.rs
+++ b/crates/gateway/src/decide/apply.rs
@@ -40,9 +40,9 @@
             Some(configured) => {
                 configured.router.apply_document(&next.document, now);
                 configured.retrier.set_settings(retry_settings(&next));
-                let back = configured.outliers.set_upstreams(groups);
+                let readmitted = configured.outliers.set_upstreams(groups);
                 configured.in_force = Arc::clone(&next);
-                configured.apply_ejection_changes(back, now);
+                configured.apply_ejection_changes(readmitted, now);
             }
             None => {
                 let settings = RouterSettings {
--- a/crates/gateway/src/decide/event.rs
+++ b/crates/gateway/src/decide/event.rs
@@ -57,7 +57,7 @@
     pub bound_region: Option<RegionId>,
     /// Whether repeating the request has no further effect.
     pub idempotent: bool,
-    /// Time by which the response has to start.
+    /// Deadline for the start of the response.
     pub deadline: Millis,
     /// Upstreams that earlier attempts were sent to.
     pub tried: Vec<UpstreamId>,
@@ -104,7 +104,7 @@
     pub version: Option<VersionId>,
     /// Priority passed on to the engine; 0 is the most urgent.
     pub priority: u8,
-    /// Time after which the request must not be sent.
+    /// Deadline for sending the request.
     pub send_before: Millis,
     /// Charge to settle when the request ends; none on open routes.
     pub charge: Option<ChargeId>,
@@ -141,7 +141,7 @@
     pub failure: Failure,
     /// Number of attempts so far.
     pub attempts: u32,
-    /// Time by which the response has to start.
+    /// Deadline for the start of the response.
     pub deadline: Millis,
     /// Channel for the decision.
     pub reply: oneshot::Sender<Decision>,
--- a/crates/gateway/src/decide/forward.rs
+++ b/crates/gateway/src/decide/forward.rs
@@ -16,7 +16,7 @@
 
 impl State {
     /// Forwards a request to an instance of the region that it is bound to.
-    pub(super) fn forward_home(&mut self, request: Box<PlacementRequest>) {
+    pub(super) fn forward_to_bound_region(&mut self, request: Box<PlacementRequest>) {
         let Some(region) = request.bound_region.clone() else {
             return;
         };
--- a/crates/gateway/src/decide/gossip.rs
+++ b/crates/gateway/src/decide/gossip.rs
@@ -81,8 +81,8 @@
         self.publish_entry(OWNED_SLOTS_TOPIC, &announced);
     }
 
-    /// Updates the owners of all slots. What members announce themselves takes precedence over the
-    /// records of the store, which this instance may be unable to read during an outage.
+    /// Updates the owners of all slots. Slots that members announce themselves take precedence over
+    /// the store's records, which this instance may be unable to read during an outage.
     pub(super) fn update_owners(&mut self) {
         let mut owners = self.slots.recorded_owners();
         for entry in self.members.entries(OWNED_SLOTS_TOPIC) {
--- a/crates/gateway/src/decide/place.rs
+++ b/crates/gateway/src/decide/place.rs
@@ -39,7 +39,7 @@
         }
         let bound = request.bound_region.as_ref();
         if bound.is_some_and(|region| *region != self.identity.region) {
-            self.forward_home(request);
+            self.forward_to_bound_region(request);
             return;
         }
         if request.tried.is_empty() {
--- a/crates/gateway/src/decide/slots.rs
+++ b/crates/gateway/src/decide/slots.rs
@@ -20,12 +20,11 @@
 /// Interval between reads while the slots wait for confirmation by the store, in milliseconds.
 const CONFIRM_READ_PERIOD_MS: u64 = 500;
 
-/// Time without a membership change after which slots move to their preferred owners, in
+/// Delay after the last membership change before slots move to their preferred owners, in
 /// milliseconds.
 const HAND_OVER_DELAY_MS: u64 = 10_000;
 
-/// Time after the start at which an instance with a document becomes ready in any case, in
-/// milliseconds.
+/// Maximum delay from the start until an instance with a document becomes ready, in milliseconds.
 const MAX_READY_DELAY_MS: u64 = 20_000;
 
 /// Slots of this instance and the known owners of all others.
@@ -189,7 +188,7 @@
     }
 
     /// Whether every member that may still spend tokens is reachable and none has joined or changed
-    /// lately. A member that has crashed appears alive until its heartbeats are missed.
+    /// recently. A member that has crashed appears alive until its heartbeats are missed.
     fn are_all_members_stable(&self, now: Millis) -> bool {
         let members = self.members.snapshot();
         members.iter().all(|member| {
--- a/crates/gateway/src/decide/state.rs
+++ b/crates/gateway/src/decide/state.rs
@@ -190,8 +190,8 @@
         let Some(configured) = &mut self.configured else {
             return;
         };
-        let back = configured.outliers.expire(now);
-        configured.apply_ejection_changes(back, now);
+        let readmitted = configured.outliers.expire(now);
+        configured.apply_ejection_changes(readmitted, now);
         configured.router.expire(now);
     }
 }
--- a/crates/gateway/src/decide/status.rs
+++ b/crates/gateway/src/decide/status.rs
@@ -1,7 +1,7 @@
 //! Decision thread's part of the status page.
 
 use super::{slots::peer_of, state::State};
-use crate::report::{Decisions, MemberStatus, UpstreamStatus};
+use crate::report::{DecisionStatus, MemberStatus, UpstreamStatus};
 use carobwheel_core::{document::Upstream, member::MemberView, time::Millis};
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -10,7 +10,7 @@
     pub(super) fn publish_status(&self, now: Millis) {
         let totals = self.charging.limiter.totals();
         let configured = self.configured.as_ref();
-        self.outputs.board.decisions.store(Arc::new(Decisions {
+        self.outputs.board.decisions.store(Arc::new(DecisionStatus {
             revision: self.revision(),
             members: self.member_status(),
             upstreams: self.upstream_status(now),
--- a/crates/gateway/src/in_flight/mod.rs
+++ b/crates/gateway/src/in_flight/mod.rs
@@ -1,4 +1,4 @@
-//! Requests in flight on this instance, counted until their answers have ended.
+//! Count of the requests in flight on this instance, until their responses have ended.
 
 use crate::report::Trace;
 use std::sync::{
@@ -6,7 +6,7 @@
     Arc,
 };
 
-/// Counts the requests in flight.
+/// Counter of requests in flight, with an upper bound.
 #[derive(Debug)]
 pub struct InFlight {
     count: AtomicUsize,
@@ -14,7 +14,7 @@
 }
 
 impl InFlight {
-    /// A counter that admits `max` requests at the same time.
+    /// Creates a counter that admits at most `max` concurrent requests.
     pub fn new(max: usize) -> Self {
         Self {
             count: AtomicUsize::new(0),
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Requests in flight now.
+    /// Returns the number of requests in flight.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::Acquire)
     }
 
-    /// Counts one more request, or `None` if there is no room.
+    /// Counts a request until the returned guard is dropped; `None` if the bound is reached.
     pub fn begin(self: &Arc<Self>, trace: Trace) -> Option<InFlightGuard> {
         let before = self.count.fetch_add(1, Ordering::AcqRel);
         let running = InFlightGuard {
@@ -38,14 +38,14 @@
     }
 }
 
-/// One request in flight, until it is dropped.
+/// Guard of one request in flight, which counts until it is dropped.
 pub struct InFlightGuard {
     in_flight: Arc<InFlight>,
     trace: Trace,
 }
 
 impl InFlightGuard {
-    /// The trace of the request.
+    /// Returns the trace of the request.
     pub fn trace(&self) -> &Trace {
         &self.trace
     }
@@ -54,6 +54,6 @@
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let before = self.in_flight.count.fetch_sub(1, Ordering::AcqRel);
-        assert!(before > 0, "each request in flight ends once");
+        assert!(before > 0, "each request in flight is counted down once");
     }
 }
--- a/crates/gateway/src/in_force/mod.rs
+++ b/crates/gateway/src/in_force/mod.rs
@@ -1,6 +1,6 @@
-//! The configuration document in force on this instance.
+//! Configuration document in force on this instance.
 //!
-//! The deciding thread replaces it; every other thread reads the newest one without waiting.
+//! The decision thread replaces it; other threads read the newest one without blocking.
 
 use arc_swap::ArcSwapOption;
 use bytes::Bytes;
@@ -10,21 +10,21 @@
 };
 use std::sync::Arc;
 
-/// A document with its revision and what is derived from it.
+/// Document with its revision and derived data.
 #[derive(Debug)]
 pub struct ActiveDocument {
     /// Revision in the store.
     pub revision: u64,
-    /// The document.
+    /// Parsed document.
     pub document: Document,
-    /// Callers' keys of the document.
+    /// Table of the callers' keys.
     pub keys: KeyTable,
-    /// The document as published, for peers that fetch it.
+    /// Document as published, served to peers that fetch it.
     pub bytes: Bytes,
 }
 
 impl ActiveDocument {
-    /// Reads and validates the document that was published at `revision`.
+    /// Parses and validates the document that was published at `revision`.
     ///
     /// # Errors
     ///
@@ -40,29 +40,29 @@
     }
 }
 
-/// The shared place of the document in force; empty until the first one arrives.
+/// Document in force, shared between threads; empty until the first one arrives.
 #[derive(Clone, Debug, Default)]
 pub struct SharedDocument {
-    slot: Arc<ArcSwapOption<ActiveDocument>>,
+    cell: Arc<ArcSwapOption<ActiveDocument>>,
 }
 
 impl SharedDocument {
-    /// The document in force.
+    /// Returns the document in force.
     pub fn load(&self) -> Option<Arc<ActiveDocument>> {
-        self.slot.load_full()
+        self.cell.load_full()
     }
 
     /// Puts `next` in force.
     ///
     /// # Panics
     ///
-    /// If the revision would not rise: a document never reverts.
+    /// If `next` does not have a higher revision: a document is never replaced by an older one.
     pub(crate) fn replace(&self, next: Arc<ActiveDocument>) {
-        let former = self.slot.load();
+        let former = self.cell.load();
         let is_newer = former
             .as_ref()
             .is_none_or(|former| former.revision < next.revision);
-        assert!(is_newer, "the revision in force only rises");
-        self.slot.store(Some(next));
+        assert!(is_newer, "the revision in force only increases");
+        self.cell.store(Some(next));
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
-//! The carobwheel daemon as a library.
+//! Library of the carobwheel daemon.
 //!
-//! The folders follow a request's way: `intake`, `decide`, `dispatch`, `relay`, with `peers`,
-//! `platform` and `report` beside them; `daemon` joins the threads.
+//! A request passes through the modules `intake`, `decide`, `dispatch` and `relay`; `peers`,
+//! `platform` and `report` run beside them, and `daemon` starts and joins the threads.
 
 pub mod daemon;
 pub mod decide;
--- a/crates/gateway/src/report/metrics.rs
+++ b/crates/gateway/src/report/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in the statsd format over UDP.
+//! Metrics in statsd format over UDP.
 
 use super::trace::Observation;
 use crate::settings::Metrics;
@@ -8,7 +8,7 @@
 
 const NO_VALUE: &str = "none";
 
-/// A client that sends to the collector which `settings` name.
+/// Creates a client for the collector named in `settings`.
 ///
 /// # Errors
 ///
@@ -25,7 +25,7 @@
     Ok(StatsdClient::builder(&settings.prefix, sink).build())
 }
 
-/// Sends what one request has shown. Metrics that cannot be sent are lost.
+/// Sends the metrics of one request. Metrics that cannot be sent are dropped.
 pub(super) fn send(client: &StatsdClient, observation: &Observation) {
     if let Some(cause) = observation.cause {
         let counter = client.count_with_tags("requests_refused", 1);
--- a/crates/gateway/src/report/mod.rs
+++ b/crates/gateway/src/report/mod.rs
@@ -1,7 +1,7 @@
 //! Metrics, histograms, logs and the status page.
 //!
-//! One thread takes what requests report about themselves, keeps histograms for each client
-//! account and class, and sends metrics.
+//! One thread receives an observation from each request, keeps histograms per client account and
+//! class, and sends metrics.
 
 mod logs;
 mod metrics;
@@ -12,7 +12,7 @@
 
 pub use logs::start as start_logs;
 pub use operators::start as start_operators;
-pub use status::{Decisions, MemberStatus, Requests, StatusBoard, UpstreamStatus};
+pub use status::{DecisionStatus, MemberStatus, RequestStatus, StatusBoard, UpstreamStatus};
 pub use tally::{LabelStatus, Quantiles};
 pub use trace::{Label, Observation, Trace};
 
@@ -29,7 +29,7 @@
 use tally::Tally;
 use tokio_util::sync::CancellationToken;
 
-/// Observations that wait for the reporting thread at most.
+/// Maximum number of observations queued for the reporting thread.
 pub const OBSERVATION_RING_CAPACITY: usize = 16_384;
 const PUBLISH_PERIOD: Duration = Duration::from_secs(1);
 
@@ -50,7 +50,7 @@
         .spawn(move || {
             receiver.attach();
             let mut tally = Tally::default();
-            let mut published = Instant::now();
+            let mut published_at = Instant::now();
             while !cancel.is_cancelled() {
                 while let Some(observation) = receiver.try_recv() {
                     tally.add(&observation);
@@ -58,14 +58,14 @@
                         metrics::send(client, &observation);
                     }
                 }
-                if published.elapsed() >= PUBLISH_PERIOD {
-                    published = Instant::now();
-                    board.requests.store(Arc::new(Requests {
+                if published_at.elapsed() >= PUBLISH_PERIOD {
+                    published_at = Instant::now();
+                    board.requests.store(Arc::new(RequestStatus {
                         labels: tally.labels(),
-                        refusals: tally.causes(),
+                        refusals: tally.refusals_by_cause(),
                     }));
                 }
-                // Observations may wait: nobody needs them sooner.
+                // Polls instead of waking on each observation, since statistics are not urgent.
                 thread::sleep(PUBLISH_PERIOD / 10);
             }
         })
--- a/crates/gateway/src/report/operators.rs
+++ b/crates/gateway/src/report/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' address: `GET /status`.
+//! HTTP server on the operators' address, with `GET /status`.
 
 use super::StatusBoard;
 use crate::{
@@ -9,15 +9,15 @@
 use rocket::{get, http::ContentType, response::content::RawJson, routes, State};
 use std::{net::SocketAddr, sync::Arc};
 
-const THREADS: usize = 1;
+const SERVER_THREADS: usize = 1;
 
-struct Page {
+struct StatusPage {
     identity: Identity,
     board: StatusBoard,
     in_flight: Arc<InFlight>,
 }
 
-/// Starts the server for operators.
+/// Starts the HTTP server for operators.
 ///
 /// # Errors
 ///
@@ -28,19 +28,19 @@
     board: StatusBoard,
     in_flight: Arc<InFlight>,
 ) -> anyhow::Result<Server> {
-    let page = Page {
+    let page = StatusPage {
         identity: settings.instance.clone(),
         board,
         in_flight,
     };
-    let rocket = rocket::custom(intake::config(address, THREADS))
+    let rocket = rocket::custom(intake::config(address, SERVER_THREADS))
         .manage(page)
         .mount("/", routes![status]);
-    intake::launch("operators", rocket, address, THREADS)
+    intake::launch("operators", rocket, address, SERVER_THREADS)
 }
 
 #[get("/status")]
-fn status(page: &State<Page>) -> (ContentType, RawJson<String>) {
+fn status(page: &State<StatusPage>) -> (ContentType, RawJson<String>) {
     let status = serde_json::json!({
         "instance": page.identity,
         "requests_in_flight": page.in_flight.count(),
--- a/crates/gateway/src/report/status.rs
+++ b/crates/gateway/src/report/status.rs
@@ -1,4 +1,4 @@
-//! What the status page shows.
+//! Data shown on the status page.
 
 use super::tally::LabelStatus;
 use arc_swap::ArcSwap;
@@ -6,12 +6,12 @@
 use serde::Serialize;
 use std::{collections::BTreeMap, sync::Arc};
 
-/// One member of the fleet as this instance sees it.
+/// Member of the fleet, as seen by this instance.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemberStatus {
-    /// Name of the member.
+    /// Identifier of the member.
     pub instance: InstanceId,
-    /// Number that separates a restarted instance from its past.
+    /// Number that distinguishes successive runs of the same instance.
     pub incarnation: u64,
     /// Region of the member.
     pub region: RegionId,
@@ -19,66 +19,66 @@
     pub data_centre: DataCentreId,
     /// `Alive`, `Suspect`, `Leaving` or `Gone`.
     pub state: String,
-    /// News from the member's region arrives.
+    /// Whether messages from the member's region arrive.
     pub is_reachable: bool,
-    /// Revision of the document in force there.
+    /// Revision of the document in force on the member.
     pub revision: u64,
-    /// Slots that the member owns.
+    /// Number of slots that the member owns.
     pub slots: usize,
 }
 
-/// One upstream as this instance sees it.
+/// Upstream, as seen by this instance.
 #[derive(Clone, Debug, Serialize)]
 pub struct UpstreamStatus {
-    /// Name of the upstream.
+    /// Identifier of the upstream.
     pub upstream: String,
-    /// Requests in flight there, of this instance and its peers in the region.
+    /// Number of requests in flight there from this instance and its peers in the region.
     pub requests: u64,
-    /// The upstream gets no new work because it is leaving.
+    /// Whether the upstream gets no new requests because it is leaving.
     pub is_leaving: bool,
-    /// The upstream gets no new work because it fails.
+    /// Whether the upstream gets no new requests because it was ejected for failing.
     pub is_ejected: bool,
 }
 
-/// The deciding thread's part of the status.
+/// Status published by the decision thread.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Decisions {
+pub struct DecisionStatus {
     /// Revision of the document in force; none before the first one.
     pub revision: Option<u64>,
     /// Members of the fleet, this instance included.
     pub members: Vec<MemberStatus>,
-    /// Upstreams.
+    /// Upstreams of the document in force.
     pub upstreams: Vec<UpstreamStatus>,
-    /// Requests that wait for room at an upstream.
+    /// Number of requests queued for an upstream.
     pub waiting: usize,
-    /// Placements that have not been settled.
+    /// Number of placements that have not been settled.
     pub placed: usize,
-    /// Charges that have not been settled.
+    /// Number of charges that have not been settled.
     pub charges: usize,
-    /// Loans taken from other owners.
+    /// Number of loans taken from other owners.
     pub loans_taken: usize,
-    /// Loans given to other instances.
+    /// Number of loans given to other instances.
     pub loans_given: usize,
-    /// Retries since the start.
+    /// Number of retries since the start.
     pub retries: u64,
     /// State of each rollout.
     pub rollouts: BTreeMap<String, String>,
 }
 
-/// The reporting thread's part of the status.
+/// Status published by the reporting thread.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Requests {
-    /// Requests by account and class.
+pub struct RequestStatus {
+    /// Request statistics by account and class.
     pub labels: Vec<LabelStatus>,
-    /// Refusals by cause.
+    /// Number of refusals by cause.
     pub refusals: BTreeMap<&'static str, u64>,
 }
 
-/// The shared place of both parts; each is replaced by its thread about once a second.
+/// Status shared with the operators' server. Each thread replaces its part about once a second.
 #[derive(Clone, Debug, Default)]
 pub struct StatusBoard {
-    /// The deciding thread's part.
-    pub decisions: Arc<ArcSwap<Decisions>>,
-    /// The reporting thread's part.
-    pub requests: Arc<ArcSwap<Requests>>,
+    /// Status published by the decision thread.
+    pub decisions: Arc<ArcSwap<DecisionStatus>>,
+    /// Status published by the reporting thread.
+    pub requests: Arc<ArcSwap<RequestStatus>>,
 }
--- a/crates/gateway/src/report/tally.rs
+++ b/crates/gateway/src/report/tally.rs
@@ -1,4 +1,4 @@
-//! Counts and histograms of an instance since its start.
+//! Request counts and latency histograms of an instance since its start.
 
 use super::trace::{Label, Observation};
 use carobwheel_core::id::{AccountId, ClassId};
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Labels with histograms of their own at most; requests of further ones count together.
+/// Maximum number of labels with their own histograms. Further labels are aggregated by class.
 const MAX_LABELS: usize = 512;
 const SIGNIFICANT_DIGITS: u8 = 2;
 
@@ -21,31 +21,31 @@
     pub p99_ms: u64,
 }
 
-/// What the status page says of one account and class.
+/// Request statistics of one account and class, for the status page.
 #[derive(Clone, Debug, Serialize)]
 pub struct LabelStatus {
-    /// Client account; none on open routes or for several accounts together.
+    /// Client account; none on open routes or for aggregated accounts.
     pub account: Option<AccountId>,
     /// Latency class; none for plain routes.
     pub class: Option<ClassId>,
-    /// Requests answered.
+    /// Number of requests answered.
     pub answered: u64,
-    /// Requests refused.
+    /// Number of requests refused.
     pub refused: u64,
-    /// Time from intake to the first byte of the answer.
+    /// Time from intake to the first byte of the response.
     pub first_byte: Quantiles,
-    /// Time from intake to the end of the answer.
+    /// Time from intake to the end of the response.
     pub total: Quantiles,
 }
 
-struct Counts {
+struct LabelCounts {
     answered: u64,
     refused: u64,
     first_byte_ms: Histogram<u32>,
     total_ms: Histogram<u32>,
 }
 
-impl Default for Counts {
+impl Default for LabelCounts {
     fn default() -> Self {
         Self {
             answered: 0,
@@ -56,13 +56,13 @@
     }
 }
 
-// Starts small and grows with the longest duration seen.
+// The histogram resizes itself to the longest duration recorded.
 fn histogram() -> Histogram<u32> {
     Histogram::new(SIGNIFICANT_DIGITS).expect("two digits are a valid precision")
 }
 
 fn record(histogram: &mut Histogram<u32>, duration_ms: u64) {
-    // A histogram that cannot grow further leaves the value out.
+    // A value beyond the largest possible range is dropped.
     let _ = histogram.record(duration_ms);
 }
 
@@ -74,18 +74,18 @@
     }
 }
 
-/// Counts and histograms of an instance since its start.
+/// Request counts and latency histograms of an instance since its start.
 #[derive(Default)]
 pub(super) struct Tally {
-    labels: BTreeMap<Label, Counts>,
-    causes: BTreeMap<&'static str, u64>,
+    labels: BTreeMap<Label, LabelCounts>,
+    refusals_by_cause: BTreeMap<&'static str, u64>,
 }
 
 impl Tally {
-    /// Counts one request.
+    /// Adds one request.
     pub(super) fn add(&mut self, observation: &Observation) {
         if let Some(cause) = observation.cause {
-            *self.causes.entry(cause.code()).or_default() += 1;
+            *self.refusals_by_cause.entry(cause.code()).or_default() += 1;
         }
         let Some(label) = &observation.label else {
             return;
@@ -109,9 +109,9 @@
         record(&mut counts.total_ms, observation.total_ms);
     }
 
-    /// The histograms for the status page.
+    /// Returns the statistics of each label for the status page.
     pub(super) fn labels(&self) -> Vec<LabelStatus> {
-        let status = |(label, counts): (&Label, &Counts)| LabelStatus {
+        let status = |(label, counts): (&Label, &LabelCounts)| LabelStatus {
             account: label.account.clone(),
             class: label.class.clone(),
             answered: counts.answered,
@@ -122,8 +122,8 @@
         self.labels.iter().map(status).collect()
     }
 
-    /// Refusals by cause.
-    pub(super) fn causes(&self) -> BTreeMap<&'static str, u64> {
-        self.causes.clone()
+    /// Returns the number of refusals by cause.
+    pub(super) fn refusals_by_cause(&self) -> BTreeMap<&'static str, u64> {
+        self.refusals_by_cause.clone()
     }
 }
--- a/crates/gateway/src/report/trace.rs
+++ b/crates/gateway/src/report/trace.rs
@@ -1,4 +1,4 @@
-//! What one request reports about itself when it ends.
+//! Observation of a single request, reported when it ends.
 
 use crate::{refusal::Cause, ring::Sender};
 use carobwheel_core::{
@@ -7,7 +7,7 @@
 };
 use std::sync::{Arc, OnceLock};
 
-/// The histograms that a request counts towards.
+/// Key of the histograms that a request counts towards.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Label {
     /// Client account; none on open routes.
@@ -16,74 +16,74 @@
     pub class: Option<ClassId>,
 }
 
-/// What a request reports when it has ended.
+/// Measurements of a request that has ended.
 #[derive(Clone, Debug)]
 pub struct Observation {
-    /// Histograms that the request counts towards; none if it was refused before it was read.
+    /// Histograms that the request counts towards; none if it was refused before it was classified.
     pub label: Option<Label>,
-    /// Why the request was refused, if it was.
+    /// Cause of the refusal, if the request was refused.
     pub cause: Option<Cause>,
-    /// Time from intake to the first byte of the answer, in milliseconds.
+    /// Time from intake to the first byte of the response, in milliseconds.
     pub first_byte_ms: u64,
-    /// Time from intake to the end of the answer, in milliseconds.
+    /// Time from intake to the end of the response, in milliseconds.
     pub total_ms: u64,
 }
 
 struct Inner {
     clock: Clock,
-    began: Millis,
+    started_at: Millis,
     label: OnceLock<Label>,
     cause: OnceLock<Cause>,
     first_byte: OnceLock<Millis>,
-    report: Sender<Observation>,
+    observations: Sender<Observation>,
 }
 
 impl Drop for Inner {
     fn drop(&mut self) {
-        let ended = self.clock.now();
-        let first_byte = self.first_byte.get().copied().unwrap_or(ended);
-        // A full ring costs an observation, never a request.
-        let _ = self.report.try_send(Observation {
+        let ended_at = self.clock.now();
+        let first_byte = self.first_byte.get().copied().unwrap_or(ended_at);
+        // With a full ring the observation is dropped; the request is not affected.
+        let _ = self.observations.try_send(Observation {
             label: self.label.take(),
             cause: self.cause.get().copied(),
-            first_byte_ms: first_byte.since(self.began),
-            total_ms: ended.since(self.began),
+            first_byte_ms: first_byte.since(self.started_at),
+            total_ms: ended_at.since(self.started_at),
         });
     }
 }
 
-/// The trace of one request. The observation is sent when the last clone is dropped.
+/// Trace of one request. Sends its observation when the last clone is dropped.
 #[derive(Clone)]
 pub struct Trace {
     inner: Arc<Inner>,
 }
 
 impl Trace {
-    /// A trace that begins now.
-    pub fn begin(clock: Clock, report: Sender<Observation>) -> Self {
+    /// Starts a trace at the current time.
+    pub fn begin(clock: Clock, observations: Sender<Observation>) -> Self {
         Self {
             inner: Arc::new(Inner {
                 clock,
-                began: clock.now(),
+                started_at: clock.now(),
                 label: OnceLock::new(),
                 cause: OnceLock::new(),
                 first_byte: OnceLock::new(),
-                report,
+                observations,
             }),
         }
     }
 
-    /// Notes which histograms the request counts towards. Only the first call counts.
+    /// Sets the histograms that the request counts towards. Later calls have no effect.
     pub fn set_label(&self, label: Label) {
         let _ = self.inner.label.set(label);
     }
 
-    /// Notes that the request was refused. Only the first call counts.
+    /// Records that the request was refused. Later calls have no effect.
     pub fn record_refusal(&self, cause: Cause) {
         let _ = self.inner.cause.set(cause);
     }
 
-    /// Notes the first byte of the answer. Only the first call counts.
+    /// Records the time of the response's first byte. Later calls have no effect.
     pub fn record_first_byte(&self) {
         if self.inner.first_byte.get().is_none() {
             let _ = self.inner.first_byte.set(self.inner.clock.now());
--- a/crates/gateway/src/ring/mod.rs
+++ b/crates/gateway/src/ring/mod.rs
@@ -1,8 +1,8 @@
-//! Bounded rings between threads.
+//! Bounded ring buffers between threads.
 //!
-//! A ring has many senders and one receiver. Sending never waits: a full ring gives the value
-//! back, and the caller of [`Sender::try_send`] decides what that means. How the receiving thread
-//! is woken is a closure, so that a plain thread and an event loop can both receive.
+//! A ring has multiple senders and one receiver. Sending does not wait for room: a full ring
+//! returns the value, and the caller of [`Sender::try_send`] decides how to proceed. The receiver
+//! is woken by a closure, so that it can be a plain thread or an event loop.
 
 use std::{
     sync::{Arc, Mutex, OnceLock, PoisonError},
@@ -11,16 +11,16 @@
 };
 use tokio::sync::Notify;
 
-type Wake = Arc<dyn Fn() + Send + Sync>;
+type WakeFn = Arc<dyn Fn() + Send + Sync>;
 
-/// A value that did not fit.
+/// Value that was not sent because the ring is full or its receiver is gone.
 #[derive(Debug)]
 pub struct Full<T>(pub T);
 
-/// The sending side of a ring.
+/// Sending half of a ring.
 pub struct Sender<T> {
     producer: Arc<Mutex<rtrb::Producer<T>>>,
-    wake: Wake,
+    wake: WakeFn,
 }
 
 impl<T> Clone for Sender<T> {
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     ///
-    /// Gives the value back when the ring is full or its receiver is gone.
+    /// Returns the value if the ring is full or its receiver is gone.
     pub fn try_send(&self, value: T) -> Result<(), Full<T>> {
         let mut producer = self.producer.lock().unwrap_or_else(PoisonError::into_inner);
         if producer.is_abandoned() {
@@ -58,20 +58,20 @@
     }
 }
 
-/// The receiving side of a ring, for a plain thread.
+/// Receiving half of a ring, for a plain thread.
 pub struct Receiver<T> {
     consumer: rtrb::Consumer<T>,
     thread: Arc<OnceLock<Thread>>,
 }
 
 impl<T> Receiver<T> {
-    /// Makes the current thread the one that senders wake.
+    /// Registers the current thread as the one that senders wake.
     pub fn attach(&self) {
-        // A second call from the same thread changes nothing.
+        // Calling this again from the same thread has no effect.
         let _ = self.thread.set(thread::current());
     }
 
-    /// The oldest value, if there is one.
+    /// Removes and returns the oldest value, if there is one.
     pub fn try_recv(&mut self) -> Option<T> {
         self.consumer.pop().ok()
     }
@@ -84,14 +84,14 @@
     }
 }
 
-/// The receiving side of a ring, for an event loop.
+/// Receiving half of a ring, for an event loop.
 pub struct AsyncReceiver<T> {
     consumer: rtrb::Consumer<T>,
     notify: Arc<Notify>,
 }
 
 impl<T> AsyncReceiver<T> {
-    /// Waits for the oldest value.
+    /// Waits for a value and returns the oldest one.
     pub async fn recv(&mut self) -> T {
         loop {
             if let Ok(value) = self.consumer.pop() {
@@ -102,7 +102,7 @@
     }
 }
 
-/// A ring of `capacity` values whose receiver is a thread, see [`Receiver::attach`].
+/// Creates a ring of `capacity` values whose receiver is a thread; see [`Receiver::attach`].
 pub fn ring<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
     let (producer, consumer) = rtrb::RingBuffer::new(capacity);
     let thread = Arc::new(OnceLock::<Thread>::new());
@@ -120,7 +120,7 @@
     (sender, Receiver { consumer, thread })
 }
 
-/// A ring of `capacity` values whose receiver is a task of an event loop.
+/// Creates a ring of `capacity` values whose receiver is a task of an event loop.
 pub fn async_ring<T>(capacity: usize) -> (Sender<T>, AsyncReceiver<T>) {
     let (producer, consumer) = rtrb::RingBuffer::new(capacity);
     let notify = Arc::new(Notify::new());
