--- a/crates/gateway/tests/promise_limits.rs
+++ b/crates/gateway/tests/promise_limits.rs
@@ -1,4 +1,4 @@
-//! The promise about rates and bursts, kept by real processes.
+//! Test of account rates and bursts across a fleet of real processes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,7 +17,7 @@
 /// Bytes of a prompt that count as one token.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Sends requests to all instances at once, several times as many as the account may make.
+/// Sends several times as many requests as the account may make, to all instances at once.
 #[tokio::test]
 async fn no_client_account_exceeds_its_rate_and_burst_across_all_instances_together() {
     const CALLERS: usize = 24;
@@ -44,7 +44,7 @@
     })
     .to_string();
     let start = Instant::now();
-    let ask = |caller_number: usize| {
+    let send_requests = |caller_number: usize| {
         let url = &fleet.instances[caller_number % fleet.instances.len()].url;
         let (caller, body) = (Caller::of(ACCOUNT), body.clone());
         async move {
@@ -56,7 +56,7 @@
             }
         }
     };
-    join_all((0..CALLERS).map(ask)).await;
+    join_all((0..CALLERS).map(send_requests)).await;
     let elapsed_ms = u64::try_from(start.elapsed().as_millis()).unwrap();
     let allowed_tokens = BURST_TOKENS + RATE_TOKENS_PER_S * elapsed_ms / 1_000;
     let started: u64 = fleet
@@ -64,7 +64,7 @@
         .values()
         .map(|engine| engine.counts().started)
         .sum();
-    // The words `user` and the prompt.
+    // The role `user` and the prompt text.
     let prompt_tokens = (4 + 200) / BYTES_PER_TOKEN;
     let used_tokens = started * (prompt_tokens + OUTPUT_TOKENS);
     assert!(
--- a/crates/gateway/tests/promise_outage.rs
+++ b/crates/gateway/tests/promise_outage.rs
@@ -1,4 +1,4 @@
-//! Promises kept by real processes while the store is out of reach or processes pause and die.
+//! Tests with real processes while the store is unreachable or instances pause, stop and restart.
 
 #![allow(clippy::unwrap_used)]
 
@@ -13,7 +13,7 @@
 
 const TOKENS: u64 = 16;
 
-/// The document reaches a region without a link to the store by way of the other regions.
+/// A region partitioned from the store receives the document through the other regions.
 #[tokio::test]
 async fn a_withdrawn_key_stops_working_in_a_region_that_is_cut_off_from_the_store() {
     let mut fleet = Fleet::start(FleetOptions::default()).await;
@@ -66,12 +66,12 @@
     assert_eq!(fleet.runs("a-1"), 1);
 }
 
-/// A region whose instances have never reached the store borrows from the others.
+/// A region whose instances have never reached the store borrows tokens from the others.
 #[tokio::test]
 async fn an_instance_that_is_ready_serves_though_its_region_never_reached_the_store() {
     let mut fleet = Fleet::start(FleetOptions::default()).await;
-    let place = fleet.instances.iter().position(|it| it.region == "south");
-    fleet.remove_instance(place.unwrap());
+    let index = fleet.instances.iter().position(|it| it.region == "south");
+    fleet.remove_instance(index.unwrap());
     let north = &fleet.instance("north").url;
     let caller = Caller::of("insurers");
     let reply = caller.chat(north, "to north", false).await.unwrap();
@@ -83,13 +83,13 @@
     assert_eq!(reply.status, 200, "{reply:?}");
 }
 
-/// An instance that is replaced during an outage takes the document from the others.
+/// An instance that is replaced during an outage fetches the document from its peers.
 #[tokio::test]
 async fn a_replaced_instance_gets_the_document_while_the_store_is_down() {
     let mut fleet = Fleet::start(FleetOptions::default()).await;
     fleet.store.set_availability(Availability::Refusing);
-    let place = fleet.instances.iter().position(|it| it.region == "central");
-    fleet.remove_instance(place.unwrap());
+    let index = fleet.instances.iter().position(|it| it.region == "central");
+    fleet.remove_instance(index.unwrap());
     fleet.start_instance("central", "central-0").await;
     let url = &fleet.instance("central").url;
     let reply = Caller::of("north-office")
@@ -99,14 +99,13 @@
     assert_ne!(reply.status, 401, "the account is known: {reply:?}");
 }
 
-/// Some instances are paused and go on, and one is replaced, while an account sends more than it
-/// may.
+/// Instances are paused and resumed, and one is replaced, while an account exceeds its rate.
 #[tokio::test]
 async fn no_client_account_exceeds_its_rate_while_instances_pause_and_are_replaced() {
     const BURST_TOKENS: u64 = 6_000;
     const RATE_TOKENS_PER_S: u64 = 300;
     const OUTPUT_TOKENS: u64 = 50;
-    /// The words `user` and the prompt, at four bytes a token.
+    /// The role `user` and the prompt text, at four bytes a token.
     const PROMPT_TOKENS: u64 = (4 + 200) / 4;
     const CALLERS: usize = 18;
     const REQUESTS: usize = 12;
@@ -134,25 +133,25 @@
     })
     .to_string();
     let start = Instant::now();
-    let ask = |number: usize| {
+    let send_requests = |number: usize| {
         let url = format!("{}/v1/chat/completions", urls[number % urls.len()]);
         let (caller, body) = (Caller::of("insurers"), body.clone());
         async move {
             for _ in 0..REQUESTS {
-                // An instance that is gone answers nothing.
+                // Requests to the removed instance fail.
                 let _ = support::send(caller.request("POST", &url).body(body.clone())).await;
             }
         }
     };
-    let asked = tokio::spawn(join_all((0..CALLERS).map(ask)));
-    for place in [0, 3] {
-        fleet.instances[place].pause();
+    let senders = tokio::spawn(join_all((0..CALLERS).map(send_requests)));
+    for index in [0, 3] {
+        fleet.instances[index].pause();
         tokio::time::sleep(PAUSE).await;
-        fleet.instances[place].resume();
+        fleet.instances[index].resume();
     }
     fleet.remove_instance(5);
     fleet.start_instance("south", "south-1").await;
-    asked.await.unwrap();
+    senders.await.unwrap();
     let elapsed_ms = u64::try_from(start.elapsed().as_millis()).unwrap();
     let allowed_tokens = BURST_TOKENS + RATE_TOKENS_PER_S * elapsed_ms / 1_000;
     let started: u64 = fleet
--- a/crates/gateway/tests/promise_partition.rs
+++ b/crates/gateway/tests/promise_partition.rs
@@ -1,4 +1,4 @@
-//! Regions 80 ms apart that lose each other and come back.
+//! Tests of partitions between regions with a one-way delay of 80 ms.
 
 #![allow(clippy::unwrap_used)]
 
@@ -23,8 +23,8 @@
     .await
 }
 
-/// Waits until a bound request is served through an instance of another region.
-async fn forwards_work(fleet: &Fleet) {
+/// Waits until a request bound to one region is served through an instance of another.
+async fn wait_for_forwarding(fleet: &Fleet) {
     let caller = Caller::of("south-office");
     let north = &fleet.instance("north").url;
     eventually("a forwarded request is served", PATIENCE, || async {
@@ -36,10 +36,10 @@
 }
 
 #[tokio::test]
-async fn regions_that_lose_each_other_keep_serving_and_come_together_again() {
+async fn partitioned_regions_keep_serving_and_reconnect_afterwards() {
     let fleet = fleet().await;
-    forwards_work(&fleet).await;
-    let served_at_home = fleet.engines["south"].counts().requests;
+    wait_for_forwarding(&fleet).await;
+    let served_locally = fleet.engines["south"].counts().requests;
     for link in fleet.links.values() {
         link.set_both(Way::partitioned());
     }
@@ -52,11 +52,11 @@
             assert_eq!(reply.streamed_text(), Some(expected), "{reply:?}");
         }
     }
-    assert!(fleet.engines["south"].counts().requests > served_at_home);
+    assert!(fleet.engines["south"].counts().requests > served_locally);
     let caller = Caller::of("south-office");
     let north = &fleet.instance("north").url;
     let reply = eventually(
-        "the home region is known to be out of reach",
+        "the home region is reported as unreachable",
         PATIENCE,
         || async {
             let reply = caller.chat(north, "cut off", false).await.unwrap();
@@ -71,16 +71,16 @@
     for link in fleet.links.values() {
         link.set_both(Way::delayed(DELAY_MS));
     }
-    forwards_work(&fleet).await;
+    wait_for_forwarding(&fleet).await;
 }
 
-/// Middleboxes lose track of every flow; new ones work.
+/// Existing connections go silent, as after a middlebox has lost its flow state; new ones work.
 #[tokio::test]
 async fn links_that_go_silent_for_good_are_replaced() {
     let fleet = fleet().await;
-    forwards_work(&fleet).await;
+    wait_for_forwarding(&fleet).await;
     for link in fleet.links.values() {
         link.freeze_existing();
     }
-    forwards_work(&fleet).await;
+    wait_for_forwarding(&fleet).await;
 }
--- a/crates/gateway/tests/promise_rollout.rs
+++ b/crates/gateway/tests/promise_rollout.rs
@@ -1,4 +1,4 @@
-//! Rollouts of versions, judged by real processes.
+//! Tests of rollouts with a fleet of real processes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,11 +17,11 @@
 use support::{eventually, Caller, Fleet, FleetOptions, PATIENCE, REGIONS};
 
 const ALL_PPM: u32 = 1_000_000;
-/// Share of the requests after a fault shows that a bad version may get.
-const BAD_SHARE_MAX: f64 = 0.01;
+/// Maximum share of the requests that a bad version may get after its fault begins.
+const MAX_BAD_SHARE: f64 = 0.01;
 
-/// Starts an engine with the new version in each region and publishes a rollout to half of the
-/// traffic at once.
+/// Starts an engine with the new version in each region and publishes a rollout that sends half of
+/// the traffic to it at once.
 fn begin_rollout(fleet: &mut Fleet, deadline_in_ms: u64) -> Vec<Engine> {
     let engines: Vec<Engine> = REGIONS
         .iter()
@@ -58,11 +58,11 @@
     Some(stored["value"]["verdict"].as_str().unwrap().to_owned())
 }
 
-fn seen(engines: &[Engine]) -> u64 {
+fn requests_seen(engines: &[Engine]) -> u64 {
     engines.iter().map(|engine| engine.counts().requests).sum()
 }
 
-async fn ask(fleet: &Fleet, caller: &Caller, requests: usize) {
+async fn send_requests(fleet: &Fleet, caller: &Caller, requests: usize) {
     for number in 0..requests {
         let instance = &fleet.instances[number % fleet.instances.len()];
         let prompt = format!("question {number}");
@@ -71,7 +71,7 @@
     }
 }
 
-/// The store is down from before the fault shows until after the version was stopped.
+/// The store is down from before the fault begins until after the version has been stopped.
 #[tokio::test]
 async fn a_bad_version_gets_a_small_share_of_traffic_and_none_soon_after_its_fault_shows() {
     const REQUESTS: usize = 3_000;
@@ -79,25 +79,29 @@
     let caller = Caller::of("insurers");
     let engines = begin_rollout(&mut fleet, 600_000);
     eventually("the new version gets requests", PATIENCE, || async {
-        ask(&fleet, &caller, 6).await;
-        (seen(&engines) > 0).then_some(())
+        send_requests(&fleet, &caller, 6).await;
+        (requests_seen(&engines) > 0).then_some(())
     })
     .await;
-    ask(&fleet, &caller, 60).await;
+    send_requests(&fleet, &caller, 60).await;
     fleet.store.set_availability(Availability::Refusing);
     for engine in &engines {
         engine.add_fault(FaultRule::random(Fault::Status(500), ALL_PPM));
     }
-    let before = seen(&engines);
-    ask(&fleet, &caller, REQUESTS).await;
-    let bad = seen(&engines) - before;
+    let before = requests_seen(&engines);
+    send_requests(&fleet, &caller, REQUESTS).await;
+    let bad = requests_seen(&engines) - before;
     assert!(
-        (bad as f64) <= BAD_SHARE_MAX * REQUESTS as f64,
+        (bad as f64) <= MAX_BAD_SHARE * REQUESTS as f64,
         "the bad version got {bad} of {REQUESTS} requests after its fault showed"
     );
-    let stopped = seen(&engines);
-    ask(&fleet, &caller, 300).await;
-    assert_eq!(seen(&engines), stopped, "a stopped version gets no request");
+    let stopped = requests_seen(&engines);
+    send_requests(&fleet, &caller, 300).await;
+    assert_eq!(
+        requests_seen(&engines),
+        stopped,
+        "a stopped version gets no request"
+    );
     assert_eq!(verdict(&fleet), None, "the store was down");
     fleet.store.set_availability(Availability::Up);
     let verdict = eventually("a verdict", PATIENCE, || async { verdict(&fleet) }).await;
@@ -110,15 +114,15 @@
     let caller = Caller::of("insurers");
     let engines = begin_rollout(&mut fleet, 2_000);
     let verdict = eventually("a verdict", PATIENCE, || async {
-        ask(&fleet, &caller, MIN_TOTAL_REQUESTS as usize).await;
+        send_requests(&fleet, &caller, MIN_TOTAL_REQUESTS as usize).await;
         verdict(&fleet)
     })
     .await;
     assert_eq!(verdict, "done");
     eventually("all traffic moves", PATIENCE, || async {
-        let before = seen(&engines);
-        ask(&fleet, &caller, 60).await;
-        (seen(&engines) - before == 60).then_some(())
+        let before = requests_seen(&engines);
+        send_requests(&fleet, &caller, 60).await;
+        (requests_seen(&engines) - before == 60).then_some(())
     })
     .await;
 }
--- a/crates/gateway/tests/soak.rs
+++ b/crates/gateway/tests/soak.rs
@@ -1,7 +1,7 @@
-//! A soak of real processes: random load and random faults, with an account of every request.
+//! Soak test of real processes: random load and random faults, with every request reconciled.
 //!
-//! `CAROBWHEEL_SEED` chooses the load and the faults; `CAROBWHEEL_SOAK_S` makes the run last that
-//! many seconds in place of a fixed number of requests.
+//! `CAROBWHEEL_SEED` seeds the load and the faults. `CAROBWHEEL_SOAK_S` sets the duration of the
+//! run in seconds, in place of a fixed number of requests.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/gateway/tests/soak_findings.rs
+++ b/crates/gateway/tests/soak_findings.rs
@@ -1,4 +1,4 @@
-//! Faults of the daemon that the soak has found, each in its smallest form.
+//! Minimal regression tests for daemon faults found by the soak test.
 
 #![allow(clippy::unwrap_used)]
 
@@ -7,21 +7,21 @@
 use support::{eventually, Caller, Fleet, FleetOptions, SECONDS};
 use test_case::test_case;
 
-/// How an instance goes.
+/// Way in which an instance is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Going {
+enum Removal {
     Killed,
     Stopped,
 }
 
-/// The other instance of the region has a part of every account's rate, and the store is up.
-#[test_case(Going::Killed, "insurers"; "killed free")]
-#[test_case(Going::Killed, "central-office"; "killed bound")]
-#[test_case(Going::Stopped, "insurers"; "stopped free")]
-#[test_case(Going::Stopped, "central-office"; "stopped bound")]
+/// The region's other instance holds a part of every account's bucket, and the store is up.
+#[test_case(Removal::Killed, "insurers"; "killed free")]
+#[test_case(Removal::Killed, "central-office"; "killed bound")]
+#[test_case(Removal::Stopped, "insurers"; "stopped free")]
+#[test_case(Removal::Stopped, "central-office"; "stopped bound")]
 #[tokio::test]
 async fn an_account_within_its_rate_is_served_seconds_after_an_instance_is_replaced(
-    going: Going,
+    removal: Removal,
     account: &str,
 ) {
     const QUESTIONS: usize = 20;
@@ -38,17 +38,17 @@
         })
         .await;
     }
-    let place = fleet
+    let index = fleet
         .instances
         .iter()
         .position(|it| it.id == "central-1")
         .unwrap();
-    if going == Going::Stopped {
+    if removal == Removal::Stopped {
         fleet.live_list.set_leaving("central-1");
-        fleet.instances[place].terminate();
-        fleet.instances[place].exit_status().await;
+        fleet.instances[index].terminate();
+        fleet.instances[index].exit_status().await;
     }
-    fleet.remove_instance(place);
+    fleet.remove_instance(index);
     fleet.start_instance("central", "central-2").await;
     for instance in fleet.instances.iter().filter(|it| it.region == "central") {
         eventually("all questions are answered", SECONDS, || async {
--- a/crates/gateway/tests/soak_support/faults.rs
+++ b/crates/gateway/tests/soak_support/faults.rs
@@ -1,10 +1,10 @@
-//! Random faults while the load runs.
+//! Injection of random faults during the load.
 
 use super::{
-    load::{Board, Target},
+    load::{LoadState, Target},
+    monitor::Monitor,
     plan::Plan,
-    stage::{Stage, LIMITED, RATES_TOKENS_PER_S, WITHDRAWN},
-    watch::Watch,
+    testbed::{Testbed, LIMITED_ACCOUNTS, RATES_TOKENS_PER_S, WITHDRAWN_ACCOUNT},
 };
 use crate::support::{Instance, REGIONS, SECONDS};
 use carobwheel_standin::{engine::Fault, proxy::Way, service::ServiceFault, store::Availability};
@@ -17,21 +17,21 @@
     time::{Duration, Instant},
 };
 
-/// Time between two looks at the stage.
-const TICK: Duration = Duration::from_millis(20);
-/// How long an instance is paused, in milliseconds.
+/// Interval between polls of the testbed.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Duration of an instance's pause, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 300..2_000;
-/// Delays of a slow store, in milliseconds.
+/// Delay of reads and of writes at a slow store, in milliseconds.
 const SLOW_READ_MS: u64 = 150;
 const SLOW_WRITE_MS: u64 = 400;
-/// Share of the store's answers that are lost, out of 1,000,000.
+/// Share of the store's responses that are lost, in parts per million.
 const LOST_ANSWERS_PPM: u32 = 300_000;
-/// Slowdown of a slow engine, in percent.
+/// Slowdown of a slow engine, in percent; 100 is normal speed.
 const SLOWDOWN_PCT: u64 = 800;
 
-/// What may go wrong in a step.
+/// Fault that a step may inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Step {
+pub(crate) enum FaultStep {
     KeyWithdrawn,
     UpstreamLeaving,
     StoreDown,
@@ -50,58 +50,58 @@
     RatesChanged,
 }
 
-const STEPS: [Step; 16] = [
-    Step::KeyWithdrawn,
-    Step::UpstreamLeaving,
-    Step::StoreDown,
-    Step::StoreSlow,
-    Step::StoreLosesAnswers,
-    Step::StoreWatchSilent,
-    Step::StoreConnectionsFrozen,
-    Step::RegionCutFromStore,
-    Step::InstanceKilled,
-    Step::InstancePaused,
-    Step::InstanceStopped,
-    Step::EngineFaults,
-    Step::EngineDown,
-    Step::EngineSlow,
-    Step::ServiceFaults,
-    Step::RatesChanged,
+const ALL_STEPS: [FaultStep; 16] = [
+    FaultStep::KeyWithdrawn,
+    FaultStep::UpstreamLeaving,
+    FaultStep::StoreDown,
+    FaultStep::StoreSlow,
+    FaultStep::StoreLosesAnswers,
+    FaultStep::StoreWatchSilent,
+    FaultStep::StoreConnectionsFrozen,
+    FaultStep::RegionCutFromStore,
+    FaultStep::InstanceKilled,
+    FaultStep::InstancePaused,
+    FaultStep::InstanceStopped,
+    FaultStep::EngineFaults,
+    FaultStep::EngineDown,
+    FaultStep::EngineSlow,
+    FaultStep::ServiceFaults,
+    FaultStep::RatesChanged,
 ];
 
-/// An upstream that the document marks as leaving.
-struct Leaving {
+/// Upstream that the document marks as leaving.
+struct LeavingUpstream {
     region: &'static str,
     published_at: Instant,
 }
 
-/// Brings about the faults.
-pub(crate) struct Driver {
+/// Injects the faults of a run.
+pub(crate) struct FaultInjector {
     rng: StdRng,
     start: Instant,
-    deck: Vec<Step>,
+    remaining_steps: Vec<FaultStep>,
     started_instances: usize,
     paused: Vec<(String, Instant)>,
-    leaving: Option<Leaving>,
-    /// Until then a publication has to get through, so the whole store stays up.
+    leaving: Option<LeavingUpstream>,
+    /// Time until which the store as a whole stays up, so that a publication gets through.
     store_up_until: Instant,
     pub(crate) stopping: Vec<Instance>,
-    /// Planned stops that have ended, with the exit code of each.
+    /// Instances whose planned stop has ended, with their exit codes.
     pub(crate) stopped: Vec<(String, Option<i32>)>,
     pub(crate) killed_at: BTreeMap<String, Instant>,
     pub(crate) withdrawn_at: Option<Instant>,
-    /// Requests that engines and services answer with an error status without running them.
+    /// Number of requests that engines and services answer with an error status without running.
     pub(crate) injected_statuses: u64,
-    /// The steps taken, with their times.
-    pub(crate) steps: Vec<(Instant, Step)>,
+    /// Steps taken, with their times.
+    pub(crate) steps: Vec<(Instant, FaultStep)>,
 }
 
-impl Driver {
+impl FaultInjector {
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             rng: StdRng::seed_from_u64(seed),
             start: Instant::now(),
-            deck: Vec::new(),
+            remaining_steps: Vec::new(),
             started_instances: 0,
             paused: Vec::new(),
             leaving: None,
@@ -115,8 +115,8 @@
         }
     }
 
-    /// The last step before `at`.
-    pub(crate) fn step_at(&self, at: Instant) -> Option<Step> {
+    /// Returns the last step taken up to `at`.
+    pub(crate) fn step_at(&self, at: Instant) -> Option<FaultStep> {
         let before = self
             .steps
             .iter()
@@ -124,154 +124,163 @@
         before.last().map(|(_, step)| *step)
     }
 
-    /// Brings about faults until the run is at its end, and then takes all back.
+    /// Injects faults until the run ends, then clears all of them.
     pub(crate) async fn run(
         &mut self,
         plan: Plan,
         start: Instant,
-        stage: &mut Stage,
-        board: &Arc<Board>,
-        watch: &mut Watch,
+        testbed: &mut Testbed,
+        load_state: &Arc<LoadState>,
+        monitor: &mut Monitor,
     ) {
         let mut step = 0;
-        while let Some(is_due) = plan.is_step_due(step, start, board.answered()) {
-            watch.look(stage);
-            self.resume_paused(stage, false);
-            self.note_stopped(stage);
+        while let Some(is_due) = plan.is_step_due(step, start, load_state.answered()) {
+            monitor.poll(testbed);
+            self.resume_paused(testbed, false);
+            self.collect_stopped(testbed);
             if is_due {
                 step += 1;
-                self.take_step(stage, board, watch).await;
+                self.take_step(testbed, load_state, monitor).await;
             }
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        self.heal(stage);
-        self.resume_paused(stage, true);
+        self.clear_faults(testbed);
+        self.resume_paused(testbed, true);
     }
 
-    async fn take_step(&mut self, stage: &mut Stage, board: &Arc<Board>, watch: &mut Watch) {
+    async fn take_step(
+        &mut self,
+        testbed: &mut Testbed,
+        load_state: &Arc<LoadState>,
+        monitor: &mut Monitor,
+    ) {
         if self.rng.random() {
-            self.heal(stage);
+            self.clear_faults(testbed);
         }
-        let step = self.draw();
+        let step = self.next_step();
         println!("{:>7} ms: {step:?}", self.start.elapsed().as_millis());
         self.steps.push((Instant::now(), step));
         match step {
-            Step::KeyWithdrawn => self.withdraw(stage),
-            Step::UpstreamLeaving => self.change_leaving(stage, watch),
-            Step::RatesChanged => self.change_rates(stage, watch),
-            Step::InstanceKilled | Step::InstancePaused | Step::InstanceStopped => {
-                self.disturb_instance(step, stage, board).await;
+            FaultStep::KeyWithdrawn => self.withdraw_key(testbed),
+            FaultStep::UpstreamLeaving => self.change_leaving_upstream(testbed, monitor),
+            FaultStep::RatesChanged => self.change_rates(testbed, monitor),
+            FaultStep::InstanceKilled | FaultStep::InstancePaused | FaultStep::InstanceStopped => {
+                self.inject_instance_fault(step, testbed, load_state).await;
             }
-            Step::EngineFaults | Step::EngineDown | Step::EngineSlow | Step::ServiceFaults => {
-                self.disturb_upstream(step, stage);
+            FaultStep::EngineFaults
+            | FaultStep::EngineDown
+            | FaultStep::EngineSlow
+            | FaultStep::ServiceFaults => {
+                self.inject_upstream_fault(step, testbed);
             }
-            _ => self.disturb_store(step, stage),
+            _ => self.inject_store_fault(step, testbed),
         }
     }
 
-    /// Every fault comes before any comes again. The two whose effect takes longest to check come
-    /// first.
-    fn draw(&mut self) -> Step {
-        if self.deck.is_empty() {
-            self.deck = STEPS.to_vec();
-            self.deck.shuffle(&mut self.rng);
+    /// Draws the next step. Every fault occurs once before any is repeated. The two whose effects
+    /// take longest to check come first.
+    fn next_step(&mut self) -> FaultStep {
+        if self.remaining_steps.is_empty() {
+            self.remaining_steps = ALL_STEPS.to_vec();
+            self.remaining_steps.shuffle(&mut self.rng);
             if self.steps.is_empty() {
-                self.deck
-                    .sort_by_key(|step| matches!(step, Step::KeyWithdrawn | Step::UpstreamLeaving));
+                self.remaining_steps.sort_by_key(|step| {
+                    matches!(step, FaultStep::KeyWithdrawn | FaultStep::UpstreamLeaving)
+                });
             }
         }
-        self.deck.pop().unwrap()
+        self.remaining_steps.pop().unwrap()
     }
 
     fn region(&mut self) -> &'static str {
         REGIONS[self.rng.random_range(0..REGIONS.len())]
     }
 
-    /// Takes back what does not end by itself.
-    fn heal(&self, stage: &Stage) {
-        heal_store(stage);
-        for engine in stage.fleet.engines.values() {
+    /// Clears the faults that do not end by themselves.
+    fn clear_faults(&self, testbed: &Testbed) {
+        clear_store_faults(testbed);
+        for engine in testbed.fleet.engines.values() {
             engine.set_refusing(false);
             engine.set_slowdown_pct(100);
         }
     }
 
-    fn publish(&mut self, stage: &Stage) -> Instant {
-        heal_store(stage);
+    fn publish(&mut self, testbed: &Testbed) -> Instant {
+        clear_store_faults(testbed);
         let now = Instant::now();
-        stage.fleet.publish();
+        testbed.fleet.publish();
         self.store_up_until = now + SECONDS;
         now
     }
 
-    fn withdraw(&mut self, stage: &mut Stage) {
+    fn withdraw_key(&mut self, testbed: &mut Testbed) {
         if self.withdrawn_at.is_none() {
-            stage.fleet.document.entry("accounts", WITHDRAWN)["keys"] = json!([]);
-            self.withdrawn_at = Some(self.publish(stage));
+            testbed.fleet.document.entry("accounts", WITHDRAWN_ACCOUNT)["keys"] = json!([]);
+            self.withdrawn_at = Some(self.publish(testbed));
         }
     }
 
-    /// Marks an upstream as leaving; the one before, if any, comes back.
-    fn change_leaving(&mut self, stage: &mut Stage, watch: &mut Watch) {
+    /// Marks an upstream as leaving and the previous one, if any, as staying again.
+    fn change_leaving_upstream(&mut self, testbed: &mut Testbed, monitor: &mut Monitor) {
         if let Some(leaving) = &self.leaving {
             if leaving.published_at.elapsed() < SECONDS {
                 return;
             }
-            watch.end_leaving(stage);
+            monitor.end_leaving(testbed);
             let id = format!("{}-engine", leaving.region);
-            stage.fleet.document.entry("upstreams", &id)["leaving"] = json!(false);
+            testbed.fleet.document.entry("upstreams", &id)["leaving"] = json!(false);
         }
         let region = self.region();
         let id = format!("{region}-engine");
-        stage.fleet.document.entry("upstreams", &id)["leaving"] = json!(true);
-        let published_at = self.publish(stage);
-        watch.begin_leaving(region, published_at);
-        self.leaving = Some(Leaving {
+        testbed.fleet.document.entry("upstreams", &id)["leaving"] = json!(true);
+        let published_at = self.publish(testbed);
+        monitor.begin_leaving(region, published_at);
+        self.leaving = Some(LeavingUpstream {
             region,
             published_at,
         });
     }
 
-    fn change_rates(&mut self, stage: &mut Stage, watch: &mut Watch) {
-        let place = self.rng.random_range(0..RATES_TOKENS_PER_S.len());
-        let rate_tokens_per_s = RATES_TOKENS_PER_S[place];
-        for limited in &LIMITED {
-            let entry = stage.fleet.document.entry("accounts", limited.account);
+    fn change_rates(&mut self, testbed: &mut Testbed, monitor: &mut Monitor) {
+        let index = self.rng.random_range(0..RATES_TOKENS_PER_S.len());
+        let rate_tokens_per_s = RATES_TOKENS_PER_S[index];
+        for limited in &LIMITED_ACCOUNTS {
+            let entry = testbed.fleet.document.entry("accounts", limited.account);
             entry["rate_tokens_per_s"] = json!(rate_tokens_per_s);
         }
-        let published_at = self.publish(stage);
-        watch.change_rate(published_at, rate_tokens_per_s);
+        let published_at = self.publish(testbed);
+        monitor.change_rate(published_at, rate_tokens_per_s);
     }
 
-    fn disturb_store(&mut self, step: Step, stage: &Stage) {
+    fn inject_store_fault(&mut self, step: FaultStep, testbed: &Testbed) {
         let region = self.region();
-        let (store, proxies) = (&stage.fleet.store, &stage.fleet.store_proxies);
+        let (store, proxies) = (&testbed.fleet.store, &testbed.fleet.store_proxies);
         let must_be_up = Instant::now() < self.store_up_until;
         match step {
-            Step::StoreDown if must_be_up => proxies[region].set_both(Way::partitioned()),
-            Step::StoreDown => {
+            FaultStep::StoreDown if must_be_up => proxies[region].set_both(Way::partitioned()),
+            FaultStep::StoreDown => {
                 use Availability::{Hanging, Refusing, Unavailable};
                 let kinds = [Hanging, Refusing, Unavailable];
                 store.set_availability(kinds[self.rng.random_range(0..kinds.len())]);
             }
-            Step::StoreSlow => store.set_delay(SLOW_READ_MS, SLOW_WRITE_MS),
-            Step::StoreLosesAnswers => store.set_lost_answers_ppm(LOST_ANSWERS_PPM),
-            Step::StoreWatchSilent => store.set_watch_silent(true),
-            Step::StoreConnectionsFrozen => proxies[region].freeze_existing(),
+            FaultStep::StoreSlow => store.set_delay(SLOW_READ_MS, SLOW_WRITE_MS),
+            FaultStep::StoreLosesAnswers => store.set_lost_answers_ppm(LOST_ANSWERS_PPM),
+            FaultStep::StoreWatchSilent => store.set_watch_silent(true),
+            FaultStep::StoreConnectionsFrozen => proxies[region].freeze_existing(),
             _ => {
-                heal_proxies(stage);
+                end_partitions(testbed);
                 proxies[region].set_both(Way::partitioned());
             }
         }
     }
 
-    fn disturb_upstream(&mut self, step: Step, stage: &Stage) {
+    fn inject_upstream_fault(&mut self, step: FaultStep, testbed: &Testbed) {
         let region = self.region();
-        let engine = &stage.fleet.engines[region];
+        let engine = &testbed.fleet.engines[region];
         match step {
-            Step::EngineFaults => self.add_engine_faults(stage),
-            Step::EngineDown => {
-                stage
+            FaultStep::EngineFaults => self.add_engine_faults(testbed),
+            FaultStep::EngineDown => {
+                testbed
                     .fleet
                     .engines
                     .values()
@@ -279,11 +288,11 @@
                 engine.set_refusing(true);
                 engine.cut();
             }
-            Step::EngineSlow => engine.set_slowdown_pct(SLOWDOWN_PCT),
+            FaultStep::EngineSlow => engine.set_slowdown_pct(SLOWDOWN_PCT),
             _ => {
                 use ServiceFault::{DieAfterRunning, DieBeforeRunning, DieInAnswer, Status};
                 let mut faults = [DieAfterRunning, DieBeforeRunning, Status(503), DieInAnswer];
-                for service in stage.fleet.services.values() {
+                for service in testbed.fleet.services.values() {
                     faults.shuffle(&mut self.rng);
                     service.fail_next(&faults);
                     self.injected_statuses += 1;
@@ -292,9 +301,9 @@
         }
     }
 
-    fn add_engine_faults(&mut self, stage: &Stage) {
-        let usual = stage.fleet.engines.values();
-        for engine in usual.chain(stage.limited_engines.iter().flatten()) {
+    fn add_engine_faults(&mut self, testbed: &Testbed) {
+        let shared_engines = testbed.fleet.engines.values();
+        for engine in shared_engines.chain(testbed.limited_engines.iter().flatten()) {
             let mut faults = [
                 Fault::DieBeforeFirstByte,
                 Fault::DieAfterBytes(self.rng.random_range(1..4_000)),
@@ -313,47 +322,52 @@
         }
     }
 
-    async fn disturb_instance(&mut self, step: Step, stage: &mut Stage, board: &Arc<Board>) {
-        let place = self.rng.random_range(0..stage.fleet.instances.len());
-        let instance = &stage.fleet.instances[place];
+    async fn inject_instance_fault(
+        &mut self,
+        step: FaultStep,
+        testbed: &mut Testbed,
+        load_state: &Arc<LoadState>,
+    ) {
+        let index = self.rng.random_range(0..testbed.fleet.instances.len());
+        let instance = &testbed.fleet.instances[index];
         let (id, region) = (instance.id.clone(), instance.region);
         if self.paused.iter().any(|(paused, _)| *paused == id) {
             return;
         }
         match step {
-            Step::InstancePaused => {
+            FaultStep::InstancePaused => {
                 let pause = Duration::from_millis(self.rng.random_range(PAUSE_MS));
                 self.paused.push((id, Instant::now() + pause));
                 instance.pause();
                 return;
             }
-            Step::InstanceKilled => {
+            FaultStep::InstanceKilled => {
                 self.killed_at.insert(id.clone(), Instant::now());
-                stage.fleet.remove_instance(place);
+                testbed.fleet.remove_instance(index);
             }
             _ => {
-                stage.fleet.live_list.set_leaving(&id);
+                testbed.fleet.live_list.set_leaving(&id);
                 instance.terminate();
-                let stopping = stage.fleet.instances.remove(place);
+                let stopping = testbed.fleet.instances.remove(index);
                 self.stopping.push(stopping);
             }
         }
-        set_targets(stage, board);
+        set_targets(testbed, load_state);
         self.started_instances += 1;
         let new_id = format!("{region}-r{}", self.started_instances);
-        // A process that is started needs those that are paused to go on sooner or later.
-        self.resume_paused(stage, true);
-        stage.fleet.start_instance(region, &new_id).await;
-        set_targets(stage, board);
+        // A starting process needs its paused peers to resume eventually.
+        self.resume_paused(testbed, true);
+        testbed.fleet.start_instance(region, &new_id).await;
+        set_targets(testbed, load_state);
     }
 
-    /// Takes instances whose planned stop has ended off the live list.
-    fn note_stopped(&mut self, stage: &Stage) {
+    /// Removes instances whose planned stop has ended from the live list.
+    fn collect_stopped(&mut self, testbed: &Testbed) {
         for mut instance in std::mem::take(&mut self.stopping) {
             let ended = instance.exit_status().now_or_never();
             match ended {
                 Some(status) => {
-                    stage.fleet.live_list.remove(&instance.id);
+                    testbed.fleet.live_list.remove(&instance.id);
                     self.stopped.push((instance.id.clone(), status.code()));
                 }
                 None => self.stopping.push(instance),
@@ -362,18 +376,18 @@
     }
 
     /// Waits for the end of all planned stops.
-    pub(crate) async fn await_stops(&mut self, stage: &Stage) {
+    pub(crate) async fn await_stops(&mut self, testbed: &Testbed) {
         for instance in &mut self.stopping {
             instance.exit_status().await;
         }
-        self.note_stopped(stage);
+        self.collect_stopped(testbed);
     }
 
-    fn resume_paused(&mut self, stage: &Stage, are_all: bool) {
+    fn resume_paused(&mut self, testbed: &Testbed, resume_all: bool) {
         let now = Instant::now();
         self.paused.retain(|(id, until)| {
-            let is_over = are_all || now >= *until;
-            let found = stage.fleet.instances.iter().find(|it| it.id == *id);
+            let is_over = resume_all || now >= *until;
+            let found = testbed.fleet.instances.iter().find(|it| it.id == *id);
             if let (true, Some(instance)) = (is_over, found) {
                 instance.resume();
             }
@@ -382,28 +396,28 @@
     }
 }
 
-fn heal_store(stage: &Stage) {
-    let store = &stage.fleet.store;
+fn clear_store_faults(testbed: &Testbed) {
+    let store = &testbed.fleet.store;
     store.set_availability(Availability::Up);
     store.set_delay(0, 0);
     store.set_lost_answers_ppm(0);
     store.set_watch_silent(false);
-    heal_proxies(stage);
+    end_partitions(testbed);
 }
 
-/// Ends partitions; connections that are frozen stay so.
-fn heal_proxies(stage: &Stage) {
-    for proxy in stage.fleet.store_proxies.values() {
+/// Ends all partitions; frozen connections stay frozen.
+fn end_partitions(testbed: &Testbed) {
+    for proxy in testbed.fleet.store_proxies.values() {
         proxy.heal();
     }
 }
 
-/// Tells the callers which instances there are.
-pub(crate) fn set_targets(stage: &Stage, board: &Board) {
-    let targets = stage.fleet.instances.iter().map(|instance| Target {
+/// Updates the instances that callers send requests to.
+pub(crate) fn set_targets(testbed: &Testbed, load_state: &LoadState) {
+    let targets = testbed.fleet.instances.iter().map(|instance| Target {
         id: instance.id.clone(),
         region: instance.region,
         url: instance.url.clone(),
     });
-    *board.targets.lock().unwrap() = targets.collect();
+    *load_state.targets.lock().unwrap() = targets.collect();
 }
--- a/crates/gateway/tests/soak_support/mod.rs
+++ b/crates/gateway/tests/soak_support/mod.rs
@@ -1,79 +1,84 @@
-//! A random load with random faults, and the account of every request.
+//! Random load with random faults, and the reconciliation of every request.
 
 #![allow(clippy::unwrap_used)]
 
 mod faults;
 mod load;
+mod monitor;
 mod plan;
 mod reconcile;
 mod record;
-mod stage;
-mod watch;
+mod testbed;
 
 use crate::support::{eventually, PATIENCE, SECONDS};
-use faults::{set_targets, Driver};
-use load::{http_client, Board, Request};
+use faults::{set_targets, FaultInjector};
+use load::{http_client, LoadState, Request};
+use monitor::Monitor;
 use plan::Plan;
-use record::{Kind, Outcome, Record};
-use stage::{Stage, LIMITED, WITHDRAWN};
+use record::{Outcome, RequestKind, RequestRecord};
 use std::{
     collections::BTreeMap,
     path::PathBuf,
     sync::Arc,
     time::{Duration, Instant},
 };
-use watch::Watch;
+use testbed::{Testbed, LIMITED_ACCOUNTS, WITHDRAWN_ACCOUNT};
 
-/// Runs the soak. It fails while the fleet is up if a promise was broken, so that the logs are kept.
+/// Runs the soak test. Fails while the fleet is still up if a guarantee was violated, so that the
+/// logs are kept.
 pub(crate) async fn run() {
     let plan = Plan::from_environment();
-    let mut stage = Stage::start().await;
-    let board = Arc::new(Board::default());
-    set_targets(&stage, &board);
-    let (mut driver, mut watch) = (Driver::new(plan.seed), Watch::new(Instant::now()));
-    watch.sample(&stage);
+    let mut testbed = Testbed::start().await;
+    let load_state = Arc::new(LoadState::default());
+    set_targets(&testbed, &load_state);
+    let (mut injector, mut monitor) = (FaultInjector::new(plan.seed), Monitor::new(Instant::now()));
+    monitor.sample(&testbed);
     let start = Instant::now();
-    let load = load::start(plan, start, &board);
-    driver
-        .run(plan, start, &mut stage, &board, &mut watch)
+    let load = load::start(plan, start, &load_state);
+    injector
+        .run(plan, start, &mut testbed, &load_state, &mut monitor)
         .await;
     while !load.is_finished() {
-        watch.look(&stage);
+        monitor.poll(&testbed);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     load.await.unwrap();
     println!("load over after {} ms", start.elapsed().as_millis());
-    let mut faults = Vec::new();
-    driver.await_stops(&stage).await;
-    check_withdrawn(&driver, &board).await;
-    watch.look(&stage);
-    faults.extend(check_serving(plan, &board).await);
-    watch.sample(&stage);
-    watch.end_leaving(&stage);
-    for (id, code) in &driver.stopped {
+    let mut violations = Vec::new();
+    injector.await_stops(&testbed).await;
+    check_withdrawn(&injector, &load_state).await;
+    monitor.poll(&testbed);
+    violations.extend(check_serving(plan, &load_state).await);
+    monitor.sample(&testbed);
+    monitor.end_leaving(&testbed);
+    for (id, code) in &injector.stopped {
         if *code != Some(0) {
-            faults.push(format!("planned stop of {id} ended with {code:?}"));
+            violations.push(format!("planned stop of {id} ended with {code:?}"));
         }
     }
-    let rates = watch.check_rates();
-    faults.append(&mut watch.faults);
-    let records = board.records.lock().unwrap().clone();
-    faults.extend(reconcile::reconcile(&stage, &driver, &records));
-    faults.extend(panics_in_logs());
-    report(plan, start, &records, &driver);
-    report_wrongful_refusals(&records, &driver);
+    let rates = monitor.check_rates();
+    violations.append(&mut monitor.violations);
+    let records = load_state.records.lock().unwrap().clone();
+    violations.extend(reconcile::reconcile(&testbed, &injector, &records));
+    violations.extend(panics_in_logs());
+    report(plan, start, &records, &injector);
+    report_wrongful_refusals(&records, &injector);
     println!("tokens used of allowed: {rates:?}");
-    println!("checks of leaving upstreams: {}", watch.leaving_checks);
-    for fault in &faults {
-        println!("BROKEN: {fault}");
+    println!("checks of leaving upstreams: {}", monitor.leaving_checks);
+    for violation in &violations {
+        println!("BROKEN: {violation}");
     }
-    assert!(faults.is_empty(), "{} promises broken", faults.len());
+    assert!(
+        violations.is_empty(),
+        "{} promises broken",
+        violations.len()
+    );
 }
 
-/// Seconds after its withdrawal a key is refused everywhere. These requests are accounted for like
-/// the others.
-async fn check_withdrawn(driver: &Driver, board: &Arc<Board>) {
-    let Some(withdrawn_at) = driver.withdrawn_at else {
+/// Sends requests with the withdrawn key once every instance has to refuse it. They are reconciled
+/// like all others.
+async fn check_withdrawn(injector: &FaultInjector, load_state: &Arc<LoadState>) {
+    let Some(withdrawn_at) = injector.withdrawn_at else {
         return;
     };
     eventually("the time to withdraw a key is over", PATIENCE, || async {
@@ -81,21 +86,22 @@
     })
     .await;
     let http = http_client();
-    for target in board.targets() {
-        let mark = format!("withdrawn-{}", target.id);
-        let record = Request::question(WITHDRAWN, &mark)
+    for target in load_state.targets() {
+        let marker = format!("withdrawn-{}", target.id);
+        let record = Request::question(WITHDRAWN_ACCOUNT, &marker)
             .send(&http, &target)
             .await;
-        board.records.lock().unwrap().push(record);
+        load_state.records.lock().unwrap().push(record);
     }
 }
 
-/// Once all faults are over every instance answers on the open route, which needs no account. A run
-/// bounded by time waits until an account without a low rate is served by each of them, too.
-async fn check_serving(plan: Plan, board: &Arc<Board>) -> Vec<String> {
+/// Checks that every instance serves again after all faults have ended, on the open route, which
+/// needs no account. A run bounded by time also waits until each of them serves an account without
+/// a low rate.
+async fn check_serving(plan: Plan, load_state: &Arc<LoadState>) -> Vec<String> {
     let http = http_client();
-    let mut faults = Vec::new();
-    for target in board.targets() {
+    let mut violations = Vec::new();
+    for target in load_state.targets() {
         let (http, target) = (&http, &target);
         eventually("an instance serves again", PATIENCE, || async move {
             let open = http.get(format!("{}/open/hours", target.url)).send().await;
@@ -108,24 +114,24 @@
         }
         let start = Instant::now();
         loop {
-            let mark = format!("last-{}-{}", target.id, start.elapsed().as_millis());
-            let request = Request::question("insurers", &mark);
+            let marker = format!("last-{}-{}", target.id, start.elapsed().as_millis());
+            let request = Request::question("insurers", &marker);
             let record = request.send(http, target).await;
-            board.records.lock().unwrap().push(record.clone());
-            if record.outcome == Outcome::Whole {
+            load_state.records.lock().unwrap().push(record.clone());
+            if record.outcome == Outcome::Completed {
                 break;
             }
             if start.elapsed() > PATIENCE {
-                faults.push(format!("not served again in {PATIENCE:?}: {record:?}"));
+                violations.push(format!("not served again in {PATIENCE:?}: {record:?}"));
                 break;
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
-    faults
+    violations
 }
 
-/// Lines of the processes' logs that tell of a panic. Every process has a log of its own.
+/// Returns the lines that report a panic in the processes' logs. Every process has its own log.
 fn panics_in_logs() -> Vec<String> {
     let prefix = format!("fleet-{}-", std::process::id());
     let folders = std::fs::read_dir(PathBuf::from(env!("CARGO_TARGET_TMPDIR"))).unwrap();
@@ -153,8 +159,8 @@
     panics
 }
 
-fn report(plan: Plan, start: Instant, records: &[Record], driver: &Driver) {
-    let mut outcomes: BTreeMap<(Kind, String), usize> = BTreeMap::new();
+fn report(plan: Plan, start: Instant, records: &[RequestRecord], injector: &FaultInjector) {
+    let mut outcomes: BTreeMap<(RequestKind, String), usize> = BTreeMap::new();
     for record in records {
         let outcome = match &record.outcome {
             Outcome::Wrong(_) => "Wrong".to_owned(),
@@ -167,25 +173,27 @@
         plan.seed,
         start.elapsed().as_secs_f64(),
         records.len(),
-        driver.steps.len()
+        injector.steps.len()
     );
     for ((kind, outcome), count) in outcomes {
         println!("{count:>7} {kind:?} {outcome}");
     }
 }
 
-/// Prints the requests that were refused as over the rate although their account has a rate that
-/// the load cannot reach, by the last fault step before each.
-fn report_wrongful_refusals(records: &[Record], driver: &Driver) {
+/// Prints how many requests were refused as over the rate although the load cannot reach their
+/// account's rate, grouped by the last fault step before each.
+fn report_wrongful_refusals(records: &[RequestRecord], injector: &FaultInjector) {
     let refused = records.iter().filter(|record| {
-        let is_limited = LIMITED.iter().any(|it| it.account == record.account);
+        let is_limited = LIMITED_ACCOUNTS
+            .iter()
+            .any(|it| it.account == record.account);
         record.outcome == Outcome::NotRun(429) && !is_limited
     });
     let mut groups: BTreeMap<_, usize> = BTreeMap::new();
     for record in refused {
-        let step = driver.step_at(record.started_at);
-        let place = (step, &record.instance, &record.account);
-        *groups.entry(place).or_default() += 1;
+        let step = injector.step_at(record.started_at);
+        let group = (step, &record.instance, &record.account);
+        *groups.entry(group).or_default() += 1;
     }
     println!("refused within the rate: {groups:?}");
 }
--- a/crates/gateway/tests/soak_support/monitor.rs
+++ b/crates/gateway/tests/soak_support/monitor.rs
@@ -1,68 +1,68 @@
-//! What the stand-ins count while the run goes on.
+//! Counters of the stand-ins, sampled during the run.
 
-use super::stage::{Stage, BURST_TOKENS, LIMITED, RATES_TOKENS_PER_S};
+use super::testbed::{Testbed, BURST_TOKENS, LIMITED_ACCOUNTS, RATES_TOKENS_PER_S};
 use crate::support::SECONDS;
 use std::time::{Duration, Instant};
 
-/// Time after which a leaving upstream gets no new work.
-const LEAVING_TIME: Duration = Duration::from_secs(5);
-/// Time between two samples of the tokens used.
-const SAMPLE_TIME: Duration = Duration::from_millis(500);
+/// Time after which a leaving upstream must get no new requests.
+const LEAVING_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval between samples of the tokens used.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A count of tokens at a time between `from` and `to`.
+/// Count of the tokens used, taken at some time between `from` and `to`.
 struct Sample {
     from: Instant,
     to: Instant,
     used_tokens: Vec<u64>,
 }
 
-/// An upstream on its way out, and its requests at the end of the time allowed.
-struct Leaving {
+/// Leaving upstream, with its request count at the end of [`LEAVING_TIMEOUT`].
+struct LeavingCheck {
     region: &'static str,
     published_at: Instant,
     requests: Option<u64>,
 }
 
-/// The counts gathered so far.
-pub(crate) struct Watch {
+/// Counters collected so far and the violations found in them.
+pub(crate) struct Monitor {
     samples: Vec<Sample>,
     rates: Vec<(Instant, u64)>,
-    leaving: Option<Leaving>,
-    /// Times that new work to a leaving upstream was looked for.
+    leaving: Option<LeavingCheck>,
+    /// Number of checks for new requests at a leaving upstream.
     pub(crate) leaving_checks: usize,
-    /// What broke a promise.
-    pub(crate) faults: Vec<String>,
+    /// Descriptions of the guarantees that were violated.
+    pub(crate) violations: Vec<String>,
 }
 
-impl Watch {
+impl Monitor {
     pub(crate) fn new(start: Instant) -> Self {
         Self {
             samples: Vec::new(),
             rates: vec![(start, RATES_TOKENS_PER_S[0])],
             leaving: None,
             leaving_checks: 0,
-            faults: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    /// Samples the counts when it is time.
-    pub(crate) fn look(&mut self, stage: &Stage) {
+    /// Samples the counters that are due.
+    pub(crate) fn poll(&mut self, testbed: &Testbed) {
         let last = self.samples.last();
-        if last.is_none_or(|sample| sample.to.elapsed() >= SAMPLE_TIME) {
-            self.sample(stage);
+        if last.is_none_or(|sample| sample.to.elapsed() >= SAMPLE_INTERVAL) {
+            self.sample(testbed);
         }
         if let Some(leaving) = &mut self.leaving {
-            let is_over = leaving.published_at.elapsed() >= LEAVING_TIME;
+            let is_over = leaving.published_at.elapsed() >= LEAVING_TIMEOUT;
             if leaving.requests.is_none() && is_over {
-                leaving.requests = Some(stage.fleet.engines[leaving.region].counts().requests);
+                leaving.requests = Some(testbed.fleet.engines[leaving.region].counts().requests);
             }
         }
     }
 
-    pub(crate) fn sample(&mut self, stage: &Stage) {
+    pub(crate) fn sample(&mut self, testbed: &Testbed) {
         let from = Instant::now();
-        let engines = stage.limited_engines.iter();
-        let used_tokens = engines.map(|engines| Stage::used_tokens(engines));
+        let engines = testbed.limited_engines.iter();
+        let used_tokens = engines.map(|engines| Testbed::used_tokens(engines));
         self.samples.push(Sample {
             from,
             used_tokens: used_tokens.collect(),
@@ -75,15 +75,15 @@
     }
 
     pub(crate) fn begin_leaving(&mut self, region: &'static str, published_at: Instant) {
-        self.leaving = Some(Leaving {
+        self.leaving = Some(LeavingCheck {
             region,
             published_at,
             requests: None,
         });
     }
 
-    /// Looks for new work to the leaving upstream before it comes back.
-    pub(crate) fn end_leaving(&mut self, stage: &Stage) {
+    /// Checks that the leaving upstream got no new requests, before it is marked as staying again.
+    pub(crate) fn end_leaving(&mut self, testbed: &Testbed) {
         let Some(leaving) = self.leaving.take() else {
             return;
         };
@@ -91,27 +91,28 @@
             return;
         };
         self.leaving_checks += 1;
-        let after = stage.fleet.engines[leaving.region].counts().requests;
+        let after = testbed.fleet.engines[leaving.region].counts().requests;
         if after != before {
             let region = leaving.region;
             let new = after - before;
-            let fault = format!("{new} new requests to the leaving engine of {region}");
-            self.faults.push(fault);
+            let violation = format!("{new} new requests to the leaving engine of {region}");
+            self.violations.push(violation);
         }
     }
 
-    /// Compares the use of each account with a low rate in every window between two samples with
-    /// its burst and rate; returns the largest use of the whole run with what was allowed.
+    /// Compares the tokens used by each account with a low rate, in every window between two
+    /// samples, with its burst and rate. Returns the largest use of the whole run and the
+    /// tokens allowed.
     pub(crate) fn check_rates(&mut self) -> Vec<(u64, u64)> {
-        let mut whole = Vec::new();
-        for (place, limited) in LIMITED.iter().enumerate() {
+        let mut totals = Vec::new();
+        for (index, limited) in LIMITED_ACCOUNTS.iter().enumerate() {
             for (number, first) in self.samples.iter().enumerate() {
                 for last in &self.samples[number + 1..] {
-                    let used_tokens = last.used_tokens[place] - first.used_tokens[place];
+                    let used_tokens = last.used_tokens[index] - first.used_tokens[index];
                     let allowed_tokens = BURST_TOKENS + self.accrued_tokens(first.from, last.to);
                     if used_tokens > allowed_tokens {
                         let window_ms = (last.to - first.from).as_millis();
-                        self.faults.push(format!(
+                        self.violations.push(format!(
                             "{} used {used_tokens} of {allowed_tokens} tokens in {window_ms} ms",
                             limited.account
                         ));
@@ -119,15 +120,15 @@
                 }
             }
             let (first, last) = (self.samples.first().unwrap(), self.samples.last().unwrap());
-            let used_tokens = last.used_tokens[place] - first.used_tokens[place];
+            let used_tokens = last.used_tokens[index] - first.used_tokens[index];
             let allowed_tokens = BURST_TOKENS + self.accrued_tokens(first.from, last.to);
-            whole.push((used_tokens, allowed_tokens));
+            totals.push((used_tokens, allowed_tokens));
         }
-        whole
+        totals
     }
 
-    /// Tokens that accrue from `from` to `to`; a higher rate counts until seconds after it was
-    /// taken back.
+    /// Returns the tokens that accrue from `from` to `to`. A higher rate counts until [`SECONDS`]
+    /// after it was lowered, when every instance must have applied the change.
     fn accrued_tokens(&self, from: Instant, to: Instant) -> u64 {
         let mut ms_tokens = 0;
         for (number, (since, rate)) in self.rates.iter().enumerate() {
--- a/crates/gateway/tests/soak_support/plan.rs
+++ b/crates/gateway/tests/soak_support/plan.rs
@@ -1,23 +1,23 @@
-//! How long a run lasts and what it is made of.
+//! Duration of a run and the number of its requests and fault steps.
 
 use std::time::{Duration, Instant};
 
-/// Callers that send one request after the other.
+/// Number of workers, each of which sends its requests sequentially.
 pub(crate) const WORKERS: usize = 12;
-/// Requests of each worker when the run is not bounded by time.
-const REQUESTS_OF_WORKER: usize = 42;
-/// Fault steps when the run is not bounded by time.
-const STEPS: usize = 16;
-/// Seed when none is given.
+/// Number of requests per worker in a run that is not bounded by time.
+const REQUESTS_PER_WORKER: usize = 42;
+/// Number of fault steps in a run that is not bounded by time.
+const FAULT_STEPS: usize = 16;
+/// Seed used when none is given.
 const DEFAULT_SEED: u64 = 7;
-/// Time between two fault steps of a run bounded by time.
-const STEP_TIME: Duration = Duration::from_millis(900);
+/// Interval between fault steps of a run bounded by time.
+const STEP_INTERVAL: Duration = Duration::from_millis(900);
 
-/// The bounds of a run.
+/// Seed and bounds of a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Plan {
     pub(crate) seed: u64,
-    /// End of a run bounded by time.
+    /// Duration of a run bounded by time.
     pub(crate) duration: Option<Duration>,
 }
 
@@ -34,22 +34,22 @@
         }
     }
 
-    /// A worker that has sent `sent` requests goes on.
+    /// Whether a worker that has sent `sent` requests continues.
     pub(crate) fn has_more_requests(&self, start: Instant, sent: usize) -> bool {
         match self.duration {
             Some(duration) => start.elapsed() < duration,
-            None => sent < REQUESTS_OF_WORKER,
+            None => sent < REQUESTS_PER_WORKER,
         }
     }
 
-    /// Step `step` is due after `answered` requests; none once the run is at its end.
+    /// Whether step `step` is due after `answered` requests; none once the run has ended.
     pub(crate) fn is_step_due(&self, step: usize, start: Instant, answered: usize) -> Option<bool> {
         let Some(duration) = self.duration else {
-            let due_at = (step + 1) * WORKERS * REQUESTS_OF_WORKER / (STEPS + 1);
-            return (step < STEPS).then_some(answered >= due_at);
+            let due_at = (step + 1) * WORKERS * REQUESTS_PER_WORKER / (FAULT_STEPS + 1);
+            return (step < FAULT_STEPS).then_some(answered >= due_at);
         };
         let step_number = u32::try_from(step).unwrap_or(u32::MAX);
-        let is_due = start.elapsed() >= STEP_TIME.saturating_mul(step_number.saturating_add(1));
+        let is_due = start.elapsed() >= STEP_INTERVAL.saturating_mul(step_number.saturating_add(1));
         (start.elapsed() < duration).then_some(is_due)
     }
 }
--- a/crates/gateway/tests/soak_support/record.rs
+++ b/crates/gateway/tests/soak_support/record.rs
@@ -1,45 +1,45 @@
-//! What a caller sent and what it was told.
+//! Records of callers' requests and their outcomes.
 
 use std::time::Instant;
 
-/// What kind of request it was.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Kind {
-    WholeChat,
+pub(crate) enum RequestKind {
+    NonStreamedChat,
     StreamedChat,
     KeyedAction,
     KeylessAction,
     Plain,
 }
 
-/// What the caller knows at the end.
+/// Outcome of a request from the caller's point of view.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Outcome {
-    /// The whole answer to its own request.
-    Whole,
-    /// A refusal saying that the request did not run.
+    /// The complete response to this request.
+    Completed,
+    /// A refusal stating that the request did not run, with its status.
     NotRun(u16),
-    /// A refusal or a broken answer: it may have run, or has run.
+    /// A refusal or a broken response: the request has run or may have run.
     Ambiguous(u16),
-    /// No connection, so nothing was sent.
+    /// No connection was established, so nothing was sent.
     Unsent,
-    /// The connection broke before the head of an answer.
-    Cut,
-    /// Nothing within the caller's patience.
-    Lost,
-    /// A success that is not the answer to this request, or one that says nothing.
+    /// The connection broke before the response headers.
+    ConnectionBroken,
+    /// No complete response within the caller's timeout.
+    TimedOut,
+    /// A success with an unexpected response, or a response that does not state its outcome.
     Wrong(String),
 }
 
-/// One request of one caller.
+/// Record of one request of one caller.
 #[derive(Clone, Debug)]
-pub(crate) struct Record {
-    pub(crate) kind: Kind,
+pub(crate) struct RequestRecord {
+    pub(crate) kind: RequestKind,
     pub(crate) account: String,
-    /// Instance that was asked.
+    /// Instance that the request was sent to.
     pub(crate) instance: String,
-    /// Text that no other action or question contains; repeats of an action share it.
-    pub(crate) mark: String,
+    /// Text unique to the request; repetitions of an action share it.
+    pub(crate) marker: String,
     pub(crate) started_at: Instant,
     pub(crate) ended_at: Instant,
     pub(crate) outcome: Outcome,
--- a/crates/gateway/tests/soak_support/testbed.rs
+++ b/crates/gateway/tests/soak_support/testbed.rs
@@ -1,4 +1,4 @@
-//! The fleet of a run, with accounts and engines of its own beside the usual ones.
+//! Fleet of a run, with accounts and engines in addition to the default ones.
 
 use crate::support::{account, Fleet, FleetOptions, REGIONS};
 use carobwheel_standin::{
@@ -7,61 +7,61 @@
 };
 use serde_json::json;
 
-/// Tokens of every answer.
-pub(crate) const TOKENS: u64 = 24;
-/// Bytes of every prompt.
+/// Output tokens of every response.
+pub(crate) const ANSWER_TOKENS: u64 = 24;
+/// Size of every prompt in bytes.
 pub(crate) const PROMPT_BYTES: usize = 196;
-/// Prompt tokens of every request: the word `user` and the prompt, at four bytes a token.
+/// Prompt tokens of every request: the role `user` and the prompt, at four bytes a token.
 pub(crate) const PROMPT_TOKENS: u64 = (4 + PROMPT_BYTES as u64) / 4;
 /// Account whose key is withdrawn during the run.
-pub(crate) const WITHDRAWN: &str = "executors";
+pub(crate) const WITHDRAWN_ACCOUNT: &str = "executors";
 /// Burst of the accounts with a low rate, in tokens.
 pub(crate) const BURST_TOKENS: u64 = 1_500;
-/// Rates that an account with a low rate has in turn, in tokens a second.
+/// Rates that are set in turn for an account with a low rate, in tokens per second.
 pub(crate) const RATES_TOKENS_PER_S: [u64; 2] = [60, 25];
-/// Time after which a change shows in the live list, in milliseconds.
+/// Delay until a change appears in the live list, in milliseconds.
 const LIVE_LIST_LAG_MS: u64 = 1_500;
-/// Time of an action, in milliseconds.
+/// Duration of an action at a service, in milliseconds.
 const ACTION_MS: u64 = 5;
 
-/// An account with a low rate and the model that it alone uses, so that its engines count its
-/// tokens.
-pub(crate) struct Limited {
+/// Account with a low rate and a model that no other account uses, so that the engines of that
+/// model count its tokens.
+pub(crate) struct LimitedAccount {
     pub(crate) account: &'static str,
     pub(crate) model: &'static str,
     pub(crate) bound_region: Option<&'static str>,
 }
 
-/// The accounts with a low rate.
-pub(crate) const LIMITED: [Limited; 2] = [
-    Limited {
+/// Accounts with a low rate.
+pub(crate) const LIMITED_ACCOUNTS: [LimitedAccount; 2] = [
+    LimitedAccount {
         account: "brokers",
         model: "assayer",
         bound_region: None,
     },
-    Limited {
+    LimitedAccount {
         account: "south-customs",
         model: "surveyor",
         bound_region: Some("south"),
     },
 ];
 
-/// Everything that runs.
-pub(crate) struct Stage {
+/// Fleet and engines of a run.
+pub(crate) struct Testbed {
     pub(crate) fleet: Fleet,
-    /// Engines of the accounts with a low rate, in the order of `LIMITED` and `REGIONS`.
+    /// Engines of the accounts with a low rate, in the order of `LIMITED_ACCOUNTS` and `REGIONS`.
     pub(crate) limited_engines: Vec<Vec<Engine>>,
 }
 
 fn engine_options() -> EngineOptions {
     EngineOptions {
-        answer_tokens: TOKENS,
+        answer_tokens: ANSWER_TOKENS,
         token_ms: 1,
         ..EngineOptions::default()
     }
 }
 
-impl Stage {
+impl Testbed {
     pub(crate) async fn start() -> Self {
         let service = ServiceOptions {
             latency_ms: ACTION_MS,
@@ -72,16 +72,19 @@
             engine: engine_options(),
             service,
             document: |document| {
-                document.list("accounts").push(account(WITHDRAWN, None));
-                document.entry("models", "appraiser")["default_max_output_tokens"] = json!(TOKENS);
+                document
+                    .list("accounts")
+                    .push(account(WITHDRAWN_ACCOUNT, None));
+                document.entry("models", "appraiser")["default_max_output_tokens"] =
+                    json!(ANSWER_TOKENS);
             },
             ..FleetOptions::default()
         })
         .await;
         fleet.live_list.set_lag_ms(LIVE_LIST_LAG_MS);
-        let limited_engines = LIMITED
+        let limited_engines = LIMITED_ACCOUNTS
             .iter()
-            .map(|limited| add_limited(&mut fleet, limited))
+            .map(|limited| add_limited_account(&mut fleet, limited))
             .collect();
         fleet.publish();
         Self {
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Tokens read and generated for the account at `place` of `LIMITED`.
+    /// Returns the number of prompt and output tokens that `engines` have processed.
     pub(crate) fn used_tokens(engines: &[Engine]) -> u64 {
         engines
             .iter()
@@ -102,7 +105,7 @@
     }
 }
 
-fn add_limited(fleet: &mut Fleet, limited: &Limited) -> Vec<Engine> {
+fn add_limited_account(fleet: &mut Fleet, limited: &LimitedAccount) -> Vec<Engine> {
     let mut entry = account(limited.account, limited.bound_region);
     entry["rate_tokens_per_s"] = json!(RATES_TOKENS_PER_S[0]);
     entry["burst_tokens"] = json!(BURST_TOKENS);
