--- a/crates/gateway/src/daemon/mod.rs
+++ b/crates/gateway/src/daemon/mod.rs
@@ -3,10 +3,10 @@
 mod links;
 
 use crate::{
-    decide::{self, Outlets},
+    decide::{self, Outputs},
     dispatch,
     in_flight::InFlight,
-    in_force::Current,
+    in_force::SharedDocument,
     intake::{
         self,
         forwarded::{self, MAX_QUEUED_FORWARDS},
@@ -62,12 +62,12 @@
     let cancel = CancellationToken::new();
     // Stops the threads already started if a later one cannot be started.
     let guard = cancel.clone().drop_guard();
-    let current = Current::default();
+    let current = SharedDocument::default();
     let entries = SharedEntryPoints::default();
     let is_ready = Arc::new(AtomicBool::new(false));
     let has_handed_over = Arc::new(AtomicBool::new(false));
     let store = platform::store_client(settings, incarnation)?;
-    let (decide, events) = ring::ring(decide::RING_EVENTS);
+    let (decide, events) = ring::ring(decide::EVENT_RING_CAPACITY);
     let (commands, platform_commands) = ring::async_ring(platform::COMMAND_RING_CAPACITY);
     let (forwarded, forwards) = ring::async_ring(MAX_QUEUED_FORWARDS);
     let mut threads = Vec::new();
@@ -88,7 +88,7 @@
     let metrics = settings.metrics.as_ref();
     let (report, report_thread) = report::start(metrics, board.clone(), cancel.child_token())?;
     threads.push(report_thread);
-    let outlets = Outlets {
+    let outputs = Outputs {
         current: current.clone(),
         entries: entries.clone(),
         board: board.clone(),
@@ -103,7 +103,7 @@
         incarnation,
         clock,
         events,
-        outlets,
+        outputs,
         token,
     )?);
     let (dispatch, dispatch_thread) = dispatch::start(clock, cancel.child_token())?;
--- a/crates/gateway/src/decide/forward.rs
+++ b/crates/gateway/src/decide/forward.rs
@@ -1,8 +1,8 @@
-//! Requests that another instance has to serve.
+//! Forwarding of requests that another instance has to serve.
 
 use super::{
-    ask::refuse,
-    event::{Ask, ForwardTo, Step},
+    event::{NextHop, PlacementDecision, PlacementRequest},
+    place::refuse,
     state::{account_of, State},
 };
 use crate::refusal::{Cause, Refusal};
@@ -15,35 +15,38 @@
 use rand::seq::IndexedRandom as _;
 
 impl State {
-    /// Sends a request to an instance of the region that it is bound to.
-    pub(super) fn forward_home(&mut self, ask: Box<Ask>) {
-        let Some(region) = ask.bound_region.clone() else {
+    /// Forwards a request to an instance of the region that it is bound to.
+    pub(super) fn forward_to_bound_region(&mut self, request: Box<PlacementRequest>) {
+        let Some(region) = request.bound_region.clone() else {
             return;
         };
-        let account = account_of(&ask);
+        let account = account_of(&request);
         let Some(next) = self.instance_in(&region, account) else {
             let message = format!("no instance of region `{region}` can be reached");
             let refusal = Refusal::not_run(Cause::WrongRegion, message).retry_after(1_000);
-            refuse(ask, refusal);
+            refuse(request, refusal);
             return;
         };
-        match ask.hops.forward(Hop::AcrossRegions, &next.instance) {
+        match request.hops.forward(Hop::AcrossRegions, &next.instance) {
             Ok(hops) => {
-                let step = Step::Forward(ForwardTo {
+                let step = PlacementDecision::Forward(NextHop {
                     instance: next.instance,
                     addr: next.peer_addr,
                     hops,
                 });
-                // A caller that went away needs no answer.
-                let _ = ask.reply.send(Ok(step));
+                // Sending fails only if the caller has disconnected.
+                let _ = request.reply.send(Ok(step));
             }
             Err(fault) => {
-                refuse(ask, Refusal::not_run(Cause::WrongRegion, fault.to_string()));
+                refuse(
+                    request,
+                    Refusal::not_run(Cause::WrongRegion, fault.to_string()),
+                );
             }
         }
     }
 
-    /// An instance of `region`: the one that counts for the account, or any.
+    /// Returns the instance of `region` that owns the account's primary slot, or else a random one.
     fn instance_in(&mut self, region: &RegionId, account: Option<&AccountId>) -> Option<Identity> {
         let alive = self.members.alive_in(region);
         let owner = account.and_then(|account| {
--- a/crates/gateway/src/intake/action/mod.rs
+++ b/crates/gateway/src/intake/action/mod.rs
@@ -14,7 +14,7 @@
     forward, IntakeState,
 };
 use crate::{
-    in_flight::Running,
+    in_flight::InFlightGuard,
     refusal::{execution_of_status, Cause, Execution, Refusal},
 };
 use carobwheel_core::{
@@ -37,7 +37,7 @@
 pub(super) async fn run(
     shared: &Arc<IntakeState>,
     classified: ClassifiedRequest,
-    running: Running,
+    running: InFlightGuard,
 ) -> Result<Answer, Refusal> {
     let spec = action_spec(&classified)?;
     // Placed before it is claimed, so that a refused request causes no store traffic.
@@ -101,7 +101,7 @@
     reply: Option<AnswerSender>,
     pending_answer: Option<Answer>,
     lease: Option<LeaseId>,
-    _running: Running,
+    _running: InFlightGuard,
 }
 
 impl Driver {
--- a/crates/gateway/src/intake/action/upstream.rs
+++ b/crates/gateway/src/intake/action/upstream.rs
@@ -6,7 +6,7 @@
     pipeline, IntakeState,
 };
 use crate::{
-    decide::Ending,
+    decide::AttemptOutcome,
     dispatch::{AnswerHead, ExchangeError},
     refusal::{execution_of_status, Refusal},
     relay::{ChargeGuard, Framing, PlacementGuard},
@@ -77,7 +77,7 @@
         let received = match exchange {
             Ok(head) if is_refusal(&head) => {
                 self.charge_guard = placement_guard.take_charge();
-                placement_guard.settle(Ending::Failed(Failure::RefusedNotRun));
+                placement_guard.settle(AttemptOutcome::Failed(Failure::RefusedNotRun));
                 self.tried.push(placement.placed.upstream);
                 return (vec![UpstreamEvent::Refused], None);
             }
@@ -86,13 +86,13 @@
         };
         match received {
             Ok((outcome, answer)) => {
-                placement_guard.settle(Ending::Whole);
+                placement_guard.settle(AttemptOutcome::Completed);
                 let events = vec![UpstreamEvent::Head, UpstreamEvent::Done(outcome)];
                 (events, Some(answer))
             }
             Err(err) => {
                 self.charge_guard = placement_guard.take_charge();
-                placement_guard.settle(Ending::Failed(err.failure()));
+                placement_guard.settle(AttemptOutcome::Failed(err.failure()));
                 self.tried.push(placement.placed.upstream);
                 let may_have_sent_bytes = err.failure() != Failure::ConnectFailed;
                 let failed = UpstreamEvent::Failed {
@@ -120,7 +120,7 @@
 ) -> Result<(Outcome, Answer), ExchangeError> {
     let mut body = BytesMut::new();
     while let Some(chunk) = head.chunks.recv().await {
-        placement_guard.byte_arrived();
+        placement_guard.record_first_byte();
         body.extend_from_slice(&chunk?);
         if body.len() > MAX_ANSWER_BYTES {
             return Err(ExchangeError::Broken("the answer is too long".to_owned()));
--- a/crates/gateway/src/intake/attempt.rs
+++ b/crates/gateway/src/intake/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::{classify, upstream_headers, IntakeState};
 use crate::{
-    decide::{Ask, Event, ForwardTo, Placed, RetryQuestion, Step},
+    decide::{Assignment, Event, NextHop, PlacementDecision, PlacementRequest, RetryRequest},
     dispatch::{AnswerHead, ExchangeError, UpstreamCall},
     refusal::{Cause, Refusal},
     relay::{ChargeGuard, PlacementGuard},
@@ -46,7 +46,7 @@
 
 /// Placement of a request at an upstream, released when it is dropped.
 pub(super) struct Placement {
-    pub(super) placed: Placed,
+    pub(super) placed: Assignment,
     pub(super) placement_guard: PlacementGuard,
     /// Cancels the exchange of this placement.
     pub(super) cancel: CancellationToken,
@@ -57,7 +57,7 @@
     /// An upstream.
     Upstream(Placement),
     /// Another instance, to which the request is forwarded.
-    Instance(ForwardTo),
+    Instance(NextHop),
 }
 
 /// Requests a placement at an upstream that is not in `tried`. `charge_guard` holds the charge of
@@ -76,8 +76,8 @@
     )
     .await?;
     let placed = match step {
-        Step::Dispatch(placed) => placed,
-        Step::Forward(to) => return Ok(Destination::Instance(to)),
+        PlacementDecision::Dispatch(placed) => placed,
+        PlacementDecision::Forward(to) => return Ok(Destination::Instance(to)),
     };
     let charge_guard = charge_guard.or_else(|| {
         let charge = placed.charge?;
@@ -97,11 +97,11 @@
     classified: &ClassifiedRequest,
     tried: &[UpstreamId],
     charge: Option<ChargeId>,
-) -> Result<Step, Refusal> {
+) -> Result<PlacementDecision, Refusal> {
     let (reply, decision) = oneshot::channel();
     let classification = &classified.classification;
-    let ask = Ask {
-        request: classified.request_id.clone(),
+    let request = PlacementRequest {
+        id: classified.request_id.clone(),
         caller: classified.caller.clone(),
         target: classification.target.clone(),
         prompt_tokens: classification.prompt_tokens,
@@ -118,7 +118,7 @@
     };
     shared
         .decide
-        .try_send(Event::Ask(Box::new(ask)))
+        .try_send(Event::Place(Box::new(request)))
         .map_err(|_| overloaded("this instance is overloaded"))?;
     time::timeout(remaining_time(shared, classified), decision)
         .await
@@ -172,7 +172,7 @@
     attempts: usize,
 ) -> Option<u64> {
     let (reply, decision) = oneshot::channel();
-    let question = RetryQuestion {
+    let request = RetryRequest {
         idempotent: classified.classification.idempotent,
         failure,
         attempts: u32::try_from(attempts).unwrap_or(u32::MAX),
@@ -181,7 +181,7 @@
     };
     shared
         .decide
-        .try_send(Event::MayRetry(Box::new(question)))
+        .try_send(Event::Retry(Box::new(request)))
         .ok()?;
     match decision.await.ok()? {
         Decision::Retry { after_ms } => Some(after_ms),
--- a/crates/gateway/src/intake/buffer.rs
+++ b/crates/gateway/src/intake/buffer.rs
@@ -3,9 +3,9 @@
 
 use super::answer::AnswerBody;
 use crate::{
-    decide::Ending,
+    decide::AttemptOutcome,
     dispatch::ExchangeError,
-    in_flight::Running,
+    in_flight::InFlightGuard,
     refusal::{Cause, Refusal},
     relay::{Framing, PlacementGuard, RelayBody},
 };
@@ -31,7 +31,7 @@
     mut chunks: mpsc::Receiver<Result<Bytes, ExchangeError>>,
     framing: Framing,
     mut placement_guard: PlacementGuard,
-    running: Running,
+    running: InFlightGuard,
 ) -> Result<AnswerBody, Refusal> {
     if let Framing::Length(length_bytes) = framing {
         if length_bytes > MAX_BUFFERED_BYTES {
@@ -43,8 +43,8 @@
     while let Some(chunk) = chunks.recv().await {
         match chunk {
             Ok(chunk) => {
-                placement_guard.byte_arrived();
-                running.trace().byte_arrived();
+                placement_guard.record_first_byte();
+                running.trace().record_first_byte();
                 body.extend_from_slice(&chunk);
             }
             Err(err) => return Err(incomplete(placement_guard, err.failure(), &err.to_string())),
@@ -59,12 +59,12 @@
         return Err(incomplete(placement_guard, Failure::ConnectionLost, detail));
     }
     placement_guard.set_output_tokens(output_tokens(&body));
-    placement_guard.settle(Ending::Whole);
+    placement_guard.settle(AttemptOutcome::Completed);
     Ok(AnswerBody::Buffered(body.freeze()))
 }
 
 fn incomplete(mut placement_guard: PlacementGuard, failure: Failure, detail: &str) -> Refusal {
-    placement_guard.settle(Ending::Failed(failure));
+    placement_guard.settle(AttemptOutcome::Failed(failure));
     Refusal::may_have_run(Cause::UpstreamFailed, detail)
 }
 
--- a/crates/gateway/src/intake/classify.rs
+++ b/crates/gateway/src/intake/classify.rs
@@ -2,7 +2,7 @@
 
 use super::head::BodyLength;
 use crate::{
-    decide::Target,
+    decide::PlacementTarget,
     refusal::{Cause, Refusal},
 };
 use carobwheel_core::{
@@ -33,7 +33,7 @@
 /// Target, limits and maximum cost of a request.
 #[derive(Clone, Debug)]
 pub(super) struct Classification {
-    pub(super) target: Target,
+    pub(super) target: PlacementTarget,
     pub(super) prompt_tokens: u64,
     pub(super) max_output_tokens: u64,
     pub(super) prefix: Vec<u64>,
@@ -130,7 +130,7 @@
         )
     })?;
     Ok(Classification {
-        target: Target::Model {
+        target: PlacementTarget::Model {
             model: model.id.clone(),
             class: class.id.clone(),
         },
@@ -184,7 +184,7 @@
         (None, region) => region,
     };
     Ok(Classification {
-        target: Target::Service {
+        target: PlacementTarget::Service {
             service: route.service.clone(),
             route: route.path.clone(),
         },
--- a/crates/gateway/src/intake/forward.rs
+++ b/crates/gateway/src/intake/forward.rs
@@ -2,9 +2,9 @@
 
 use super::{answer::Answer, attempt::ClassifiedRequest, pipeline, IntakeState};
 use crate::{
-    decide::ForwardTo,
+    decide::NextHop,
     dispatch::{AnswerHead, ExchangeError},
-    in_flight::Running,
+    in_flight::InFlightGuard,
     peers::{BodyChunk, ForwardAnswer, ForwardError},
     refusal::{Cause, Execution, Refusal},
     relay::PlacementGuard,
@@ -89,8 +89,8 @@
 pub(super) async fn send(
     shared: &IntakeState,
     classified: &ClassifiedRequest,
-    to: ForwardTo,
-    running: Running,
+    to: NextHop,
+    running: InFlightGuard,
 ) -> Result<Answer, Refusal> {
     let Some(peers) = &shared.peers else {
         return Err(region_unreachable("this instance stands alone"));
@@ -161,7 +161,7 @@
     let _ = parts.send(BodyChunk::End).await;
 }
 
-async fn relay_answer(answer: ForwardAnswer, running: Running) -> Result<Answer, Refusal> {
+async fn relay_answer(answer: ForwardAnswer, running: InFlightGuard) -> Result<Answer, Refusal> {
     let Ok(head) = postcard::from_bytes::<ForwardedAnswerHead>(&answer.head) else {
         let message = "the other instance sent a malformed answer";
         return Err(Refusal::may_have_run(Cause::UpstreamFailed, message));
--- a/crates/gateway/src/intake/forwarded.rs
+++ b/crates/gateway/src/intake/forwarded.rs
@@ -11,7 +11,7 @@
     pipeline, IntakeState,
 };
 use crate::{
-    in_flight::Running,
+    in_flight::InFlightGuard,
     peers::{BodyChunk, IncomingForward, ReplyBody},
     refusal::{Cause, Refusal},
     relay::RelayBody,
@@ -82,7 +82,7 @@
         () = cancelled.cancelled() => return,
     };
     let answer = answer.unwrap_or_else(|refusal| {
-        trace.refused(refusal.cause);
+        trace.record_refusal(refusal.cause);
         Answer::refusal(&refusal)
     });
     let Ok(head) = postcard::to_stdvec(&head_of(&answer)) else {
@@ -107,7 +107,7 @@
     shared: &Arc<IntakeState>,
     head: &[u8],
     parts: mpsc::Receiver<BodyChunk>,
-    running: Running,
+    running: InFlightGuard,
 ) -> Result<Answer, Refusal> {
     let head: ForwardedHead = postcard::from_bytes(head).map_err(|_| malformed())?;
     let hops = head
--- a/crates/gateway/src/intake/mod.rs
+++ b/crates/gateway/src/intake/mod.rs
@@ -23,7 +23,7 @@
 pub use entry_points::{EntryPoint, EntryPointList, SharedEntryPoints, ENTRY_POINTS_LIFETIME_S};
 
 use crate::{
-    decide, dispatch, in_flight::InFlight, in_force::Current, peers, report, ring::Sender,
+    decide, dispatch, in_flight::InFlight, in_force::SharedDocument, peers, report, ring::Sender,
     settings::Settings,
 };
 use anyhow::Context as _;
@@ -62,7 +62,7 @@
     /// Clock of the process.
     pub clock: Clock,
     /// The document in force.
-    pub current: Current,
+    pub current: SharedDocument,
     /// Ring to the decision thread.
     pub decide: Sender<decide::Event>,
     /// Ring to the dispatch thread.
--- a/crates/gateway/src/intake/pipeline.rs
+++ b/crates/gateway/src/intake/pipeline.rs
@@ -12,10 +12,10 @@
     resume, upstream_headers, IntakeState,
 };
 use crate::{
-    decide::{Ending, Target},
+    decide::{AttemptOutcome, PlacementTarget},
     dispatch::{AnswerHead, ExchangeError},
-    in_flight::Running,
-    in_force::InForce,
+    in_flight::InFlightGuard,
+    in_force::ActiveDocument,
     refusal::{execution_of_status, Cause, Refusal},
     relay::{Framing, PlacementGuard, RelayBody, Resumer},
     report::Label,
@@ -44,7 +44,7 @@
 ];
 
 /// Returns the document in force.
-pub(super) fn in_force(shared: &IntakeState) -> Result<Arc<InForce>, Refusal> {
+pub(super) fn in_force(shared: &IntakeState) -> Result<Arc<ActiveDocument>, Refusal> {
     shared
         .current
         .load()
@@ -53,7 +53,7 @@
 
 /// Identifies the caller that presents `key`; `is_open` allows a caller without a key.
 pub(super) fn identify(
-    in_force: &InForce,
+    in_force: &ActiveDocument,
     key: Option<&str>,
     is_open: bool,
 ) -> Result<Caller, Refusal> {
@@ -73,7 +73,7 @@
     request: &Request<'_>,
     head: RequestHead,
     data: Data<'_>,
-    running: Running,
+    running: InFlightGuard,
 ) -> Result<Answer, Refusal> {
     let classified = read_and_classify(shared, request_id, request, head, data).await?;
     serve(shared, classified, running).await
@@ -83,9 +83,9 @@
 pub(super) async fn serve(
     shared: &Arc<IntakeState>,
     classified: ClassifiedRequest,
-    running: Running,
+    running: InFlightGuard,
 ) -> Result<Answer, Refusal> {
-    running.trace().label(label(&classified));
+    running.trace().set_label(label(&classified));
     if classified.classification.idempotent {
         return try_upstreams(shared, &Arc::new(classified), running).await;
     }
@@ -94,7 +94,7 @@
 
 /// Classifies a forwarded request by the document in force on this instance.
 pub(super) fn classify_forwarded(
-    in_force: &InForce,
+    in_force: &ActiveDocument,
     head: &ForwardedHead,
     caller: &Caller,
     body: &[u8],
@@ -106,7 +106,7 @@
     classify::classify(document, endpoint, account_of(in_force, caller), body)
 }
 
-fn account_of<'a>(in_force: &'a InForce, caller: &Caller) -> Option<&'a Account> {
+fn account_of<'a>(in_force: &'a ActiveDocument, caller: &Caller) -> Option<&'a Account> {
     match caller {
         Caller::Account(credential) => in_force.document.account(&credential.account),
         Caller::Open => None,
@@ -120,8 +120,8 @@
             Caller::Open => None,
         },
         class: match &classified.classification.target {
-            Target::Model { class, .. } => Some(class.clone()),
-            Target::Service { .. } => None,
+            PlacementTarget::Model { class, .. } => Some(class.clone()),
+            PlacementTarget::Service { .. } => None,
         },
     }
 }
@@ -176,7 +176,7 @@
 async fn try_upstreams(
     shared: &Arc<IntakeState>,
     classified: &Arc<ClassifiedRequest>,
-    running: Running,
+    running: InFlightGuard,
 ) -> Result<Answer, Refusal> {
     let mut tried = Vec::new();
     let mut charge_guard = None;
@@ -202,7 +202,9 @@
             Err(err) => (err.failure(), refusal_of(&err)),
         };
         charge_guard = placement.placement_guard.take_charge();
-        placement.placement_guard.settle(Ending::Failed(failure));
+        placement
+            .placement_guard
+            .settle(AttemptOutcome::Failed(failure));
         tried.push(placement.placed.upstream);
         let after_ms = attempt::retry_delay_ms(shared, classified, failure, tried.len())
             .await
@@ -244,7 +246,7 @@
 pub(super) async fn relay_answer(
     head: AnswerHead,
     placement_guard: PlacementGuard,
-    running: Running,
+    running: InFlightGuard,
     resumer: Option<Resumer>,
 ) -> Result<Answer, Refusal> {
     let framing = framing(&head.headers);
--- a/crates/gateway/src/platform/slots.rs
+++ b/crates/gateway/src/platform/slots.rs
@@ -31,7 +31,7 @@
     };
     let mut watch = store.watch(range, snapshot.revision + 1);
     report_records(&snapshot.records, began, decide).await;
-    report(decide::Event::SlotsKnown, decide).await;
+    report(decide::Event::SlotsLoaded, decide).await;
     loop {
         match watch.next().await {
             WatchUpdate::Changes(changes) => {
--- a/crates/gateway/src/relay/body.rs
+++ b/crates/gateway/src/relay/body.rs
@@ -1,7 +1,9 @@
 //! Body of a relayed answer as a byte stream.
 
 use super::{sse::EventSplitter, ChargeGuard, PlacementGuard};
-use crate::{decide::Ending, dispatch::ExchangeError, in_flight::Running, refusal::Cause};
+use crate::{
+    decide::AttemptOutcome, dispatch::ExchangeError, in_flight::InFlightGuard, refusal::Cause,
+};
 use bytes::{Buf as _, Bytes};
 use carobwheel_core::retry::Failure;
 use std::{
@@ -72,7 +74,7 @@
     heartbeat: Interval,
     resumer: Option<Resumer>,
     placement_guard: PlacementGuard,
-    running: Running,
+    running: InFlightGuard,
 }
 
 impl RelayBody {
@@ -82,7 +84,7 @@
         chunks: Chunks,
         framing: Framing,
         placement_guard: PlacementGuard,
-        running: Running,
+        running: InFlightGuard,
         resumer: Option<Resumer>,
     ) -> Self {
         Self {
@@ -99,8 +101,8 @@
     }
 
     fn receive(&mut self, chunk: Bytes) -> io::Result<()> {
-        self.placement_guard.byte_arrived();
-        self.running.trace().byte_arrived();
+        self.placement_guard.record_first_byte();
+        self.running.trace().record_first_byte();
         self.received_bytes += chunk.len() as u64;
         if self.framing != Framing::Events {
             self.unread = chunk;
@@ -125,7 +127,7 @@
     fn end(&mut self, broken: Option<ExchangeError>) -> io::Result<()> {
         if self.is_complete() && (broken.is_none() || self.framing == Framing::Events) {
             self.source = AnswerSource::Ended;
-            self.placement_guard.settle(Ending::Whole);
+            self.placement_guard.settle(AttemptOutcome::Completed);
             return Ok(());
         }
         let err = broken.unwrap_or_else(|| {
@@ -135,7 +137,7 @@
         let charge_guard = self.placement_guard.take_charge();
         match &mut self.resumer {
             Some(resume) => {
-                self.placement_guard.settle(Ending::Failed(failure));
+                self.placement_guard.settle(AttemptOutcome::Failed(failure));
                 self.events.discard_incomplete();
                 let resuming = resume(BrokenStream {
                     relayed_tokens: self.events.tokens(),
@@ -147,7 +149,7 @@
             }
             None => {
                 self.placement_guard.restore_charge(charge_guard);
-                self.placement_guard.settle(Ending::Failed(failure));
+                self.placement_guard.settle(AttemptOutcome::Failed(failure));
                 self.fail(&err)
             }
         }
@@ -157,7 +159,7 @@
     /// with an error event, any other body with an I/O error.
     fn fail(&mut self, err: &ExchangeError) -> io::Result<()> {
         self.source = AnswerSource::Ended;
-        self.running.trace().refused(Cause::UpstreamFailed);
+        self.running.trace().record_refusal(Cause::UpstreamFailed);
         log::warn!(received_bytes = self.received_bytes; "answer truncated: {err}");
         if self.framing == Framing::Events {
             self.unread = error_event(&err.to_string());
--- a/crates/gateway/src/relay/guard.rs
+++ b/crates/gateway/src/relay/guard.rs
@@ -1,7 +1,7 @@
 //! Guards that settle a placement and its charge exactly once, also when the request is dropped.
 
 use crate::{
-    decide::{Ending, Event, Settlement},
+    decide::{AttemptOutcome, Event, Settlement},
     ring::{Full, Sender},
 };
 use carobwheel_core::limit::ChargeId;
@@ -37,7 +37,7 @@
 
 impl Drop for ChargeGuard {
     fn drop(&mut self) {
-        let event = Event::Uncharge {
+        let event = Event::SettleCharge {
             charge: self.charge,
             output_tokens: self.output_tokens,
         };
@@ -113,7 +113,7 @@
     }
 
     /// Records that bytes of the answer arrived, and reports the first.
-    pub fn byte_arrived(&mut self) {
+    pub fn record_first_byte(&mut self) {
         if !self.has_first_byte {
             self.has_first_byte = true;
             self.report(|ticket| Event::FirstByte { ticket });
@@ -144,12 +144,12 @@
     }
 
     /// Settles the placement. Later calls have no effect.
-    pub fn settle(&mut self, ending: Ending) {
+    pub fn settle(&mut self, outcome: AttemptOutcome) {
         if self.is_settled {
             return;
         }
         self.is_settled = true;
-        if ending != Ending::Whole {
+        if outcome != AttemptOutcome::Completed {
             self.cancel.cancel();
         }
         if let Some(charge_guard) = &mut self.charge_guard {
@@ -158,7 +158,7 @@
         if let (Some(ticket), Some(decide)) = (self.ticket, &self.decide) {
             let settlement = Settlement {
                 ticket,
-                ending,
+                outcome,
                 output_tokens: self.output_tokens,
             };
             send(decide, Event::Settle(settlement));
@@ -181,6 +181,6 @@
 
 impl Drop for PlacementGuard {
     fn drop(&mut self) {
-        self.settle(Ending::Cancelled);
+        self.settle(AttemptOutcome::Cancelled);
     }
 }
