--- a/crates/gateway/src/decide/outputs.rs
+++ b/crates/gateway/src/decide/outputs.rs
@@ -48,7 +48,7 @@
     /// Sends a command to the platform thread. A lost command is sent again later.
     pub(super) fn command(&self, command: platform::Command) {
         if self.platform.try_send(command).is_err() {
-            log::warn!("platform thread's command ring is full; command dropped");
+            log::warn!("command to the platform thread dropped");
         }
     }
 }
