--- a/crates/gateway/src/decide/mod.rs
+++ b/crates/gateway/src/decide/mod.rs
@@ -1,16 +1,16 @@
-//! The thread that owns all decision state.
+//! Decision thread, which owns all decision state.
 //!
-//! Other threads send events through one bounded ring. The thread handles them one after the
-//! other, so that no decision needs a lock and each one sees the whole state.
+//! Other threads send events through one bounded ring. The thread handles them sequentially, so
+//! that no decision needs a lock and each one is made on the complete state.
 
 mod apply;
-mod ask;
 mod charge;
 mod event;
 mod forward;
 mod gossip;
 mod membership;
-mod outlets;
+mod outputs;
+mod place;
 mod rollouts;
 mod settle;
 mod slots;
@@ -18,10 +18,10 @@
 mod status;
 
 pub use event::{
-    Ask, Ending, Event, ForwardTo, LiveListRead, Placed, RetryQuestion, Settlement, SlotsRead,
-    Step, Target,
+    Assignment, AttemptOutcome, Event, LiveListRead, NextHop, PlacementDecision, PlacementRequest,
+    PlacementTarget, RetryRequest, Settlement, SlotsRead,
 };
-pub use outlets::Outlets;
+pub use outputs::Outputs;
 
 use crate::{ring::Receiver, settings::Settings};
 use anyhow::Context as _;
@@ -30,11 +30,11 @@
 use std::{thread, time::Duration};
 use tokio_util::sync::CancellationToken;
 
-/// Events that wait for the deciding thread at most.
-pub const RING_EVENTS: usize = 16_384;
+/// Maximum number of events queued for the decision thread.
+pub const EVENT_RING_CAPACITY: usize = 16_384;
 const TICK: Duration = Duration::from_millis(10);
 
-/// Starts the deciding thread, which ends when `cancel` is cancelled.
+/// Starts the decision thread, which ends when `cancel` is cancelled.
 ///
 /// # Errors
 ///
@@ -44,10 +44,10 @@
     incarnation: u64,
     clock: Clock,
     mut events: Receiver<Event>,
-    outlets: Outlets,
+    outputs: Outputs,
     cancel: CancellationToken,
 ) -> anyhow::Result<thread::JoinHandle<()>> {
-    let mut state = State::new(settings, incarnation, clock, outlets);
+    let mut state = State::new(settings, incarnation, clock, outputs);
     thread::Builder::new()
         .name("decide".to_owned())
         .spawn(move || {
@@ -60,5 +60,5 @@
                 events.park(TICK);
             }
         })
-        .context("cannot start the deciding thread")
+        .context("cannot start the decision thread")
 }
--- a/crates/gateway/src/intake/action/upstream.rs
+++ b/crates/gateway/src/intake/action/upstream.rs
@@ -1,16 +1,15 @@
-//! The upstream's side of an action.
+//! Attempts of an action at upstreams.
 
 use super::super::{
     answer::Answer,
-    pass,
-    work::{self, Found, Place, Work},
-    Shared,
+    attempt::{self, ClassifiedRequest, Destination, Placement},
+    pipeline, IntakeState,
 };
 use crate::{
-    decide::Ending,
-    dispatch::{ExchangeError, Head},
-    refusal::{run_of_status, Refusal},
-    relay::{Charged, Framing, Settling},
+    decide::AttemptOutcome,
+    dispatch::{AnswerHead, ExchangeError},
+    refusal::{execution_of_status, Refusal},
+    relay::{ChargeGuard, Framing, PlacementGuard},
 };
 use bytes::BytesMut;
 use carobwheel_core::{
@@ -21,75 +20,80 @@
 use reqwest::header::RETRY_AFTER;
 use std::sync::Arc;
 
-/// Longest answer of an action, in bytes.
+/// Maximum size of an action's answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 4 * 1_024 * 1_024;
 
-/// A place and the exchange on it.
-pub(super) struct Upstream {
-    place: Option<Place>,
-    charged: Option<Charged>,
+/// Upstream of an action: its current placement and the upstreams already tried.
+pub(super) struct ActionUpstream {
+    placement: Option<Placement>,
+    charge_guard: Option<ChargeGuard>,
     tried: Vec<UpstreamId>,
-    /// What the deciding thread said when it had no place.
+    /// Last refusal of the decision thread to place the action.
     pub(super) refusal: Option<Refusal>,
 }
 
-impl Upstream {
-    pub(super) fn new(place: Place) -> Self {
+impl ActionUpstream {
+    pub(super) fn new(placement: Placement) -> Self {
         Self {
-            place: Some(place),
-            charged: None,
+            placement: Some(placement),
+            charge_guard: None,
             tried: Vec::new(),
             refusal: None,
         }
     }
 
-    /// Makes sure that there is a place.
-    pub(super) async fn find_place(&mut self, shared: &Shared, work: &Work) -> bool {
-        if self.place.is_some() {
+    /// Requests a placement unless there is one; returns whether there is one now.
+    pub(super) async fn ensure_placed(
+        &mut self,
+        shared: &IntakeState,
+        classified: &ClassifiedRequest,
+    ) -> bool {
+        if self.placement.is_some() {
             return true;
         }
-        let charged = self.charged.take();
-        match work::place(shared, work, &self.tried, charged).await {
-            Ok(Found::Place(place)) => self.place = Some(place),
-            // Another instance would claim the action anew, under a claim that is held here.
-            Ok(Found::Forward(_)) => {}
+        let charge_guard = self.charge_guard.take();
+        match attempt::place(shared, classified, &self.tried, charge_guard).await {
+            Ok(Destination::Upstream(placement)) => self.placement = Some(placement),
+            // Not forwarded: the other instance would claim the action again while this one holds
+            // the claim.
+            Ok(Destination::Instance(_)) => {}
             Err(refusal) => self.refusal = Some(refusal),
         }
-        self.place.is_some()
+        self.placement.is_some()
     }
 
-    /// Sends the request once, on a connection of its own, and gathers the whole answer.
+    /// Sends the request once, on a new connection, and reads the complete answer.
     pub(super) async fn exchange(
         &mut self,
-        shared: &Arc<Shared>,
-        work: &Work,
+        shared: &Arc<IntakeState>,
+        classified: &ClassifiedRequest,
     ) -> (Vec<UpstreamEvent>, Option<Answer>) {
-        let mut place = self
-            .place
+        let mut placement = self
+            .placement
             .take()
-            .expect("a place is found before an exchange");
-        let exchange = work::dispatch(shared, work, &place, true).await;
-        let settling = &mut place.settling;
-        let gathered = match exchange {
+            .expect("an exchange needs a placement");
+        let exchange = attempt::dispatch(shared, classified, &placement, true).await;
+        let placement_guard = &mut placement.placement_guard;
+        let received = match exchange {
             Ok(head) if is_refusal(&head) => {
-                self.charged = settling.take_charge();
-                settling.settle(Ending::Failed(Failure::RefusedNotRun));
-                self.tried.push(place.placed.upstream);
+                self.charge_guard = placement_guard.take_charge();
+                placement_guard.settle(AttemptOutcome::Failed(Failure::RefusedNotRun));
+                self.tried.push(placement.placed.upstream);
                 return (vec![UpstreamEvent::Refused], None);
             }
-            Ok(head) => gather(head, settling).await,
+            Ok(head) => read_answer(head, placement_guard).await,
             Err(err) => Err(err),
         };
-        match gathered {
+        match received {
             Ok((outcome, answer)) => {
-                settling.settle(Ending::Whole);
+                placement_guard.settle(AttemptOutcome::Completed);
                 let events = vec![UpstreamEvent::Head, UpstreamEvent::Done(outcome)];
                 (events, Some(answer))
             }
             Err(err) => {
-                self.charged = settling.take_charge();
-                settling.settle(Ending::Failed(err.failure()));
-                self.tried.push(place.placed.upstream);
+                self.charge_guard = placement_guard.take_charge();
+                placement_guard.settle(AttemptOutcome::Failed(err.failure()));
+                self.tried.push(placement.placed.upstream);
                 let may_have_sent_bytes = err.failure() != Failure::ConnectFailed;
                 let failed = UpstreamEvent::Failed {
                     may_have_sent_bytes,
@@ -100,9 +104,9 @@
     }
 }
 
-/// Whether the upstream itself says that it did not run the request: 429, or 503 with the time
-/// after which to come again. A bare 503 may also come from something that gave up waiting.
-fn is_refusal(head: &Head) -> bool {
+/// Whether the upstream states that it did not run the request: status 429, or 503 with
+/// `retry-after`. A 503 without it may also come from a proxy that timed out during the request.
+fn is_refusal(head: &AnswerHead) -> bool {
     match head.status {
         429 => true,
         503 => head.headers.contains_key(RETRY_AFTER),
@@ -110,30 +114,30 @@
     }
 }
 
-async fn gather(
-    mut head: Head,
-    settling: &mut Settling,
+async fn read_answer(
+    mut head: AnswerHead,
+    placement_guard: &mut PlacementGuard,
 ) -> Result<(Outcome, Answer), ExchangeError> {
     let mut body = BytesMut::new();
     while let Some(chunk) = head.chunks.recv().await {
-        settling.byte_arrived();
+        placement_guard.record_first_byte();
         body.extend_from_slice(&chunk?);
         if body.len() > MAX_ANSWER_BYTES {
             return Err(ExchangeError::Broken("the answer is too long".to_owned()));
         }
     }
-    let framing = pass::framing(&head.headers);
+    let framing = pipeline::framing(&head.headers);
     if matches!(framing, Framing::Length(length_bytes) if length_bytes != body.len() as u64) {
         return Err(ExchangeError::Broken("the answer was cut short".to_owned()));
     }
-    let headers = pass::passed_back(&head.headers);
+    let headers = pipeline::relayed_headers(&head.headers);
     let content_type = headers.iter().find(|(name, _)| *name == "content-type");
     let outcome = Outcome {
         status: head.status,
         content_type: content_type.map(|(_, value)| value.clone()),
         body: StoredBody::new(body.to_vec()),
     };
-    let mut answer = Answer::whole(head.status, run_of_status(head.status), body.freeze());
+    let mut answer = Answer::buffered(head.status, execution_of_status(head.status), body.freeze());
     answer.headers = headers;
     Ok((outcome, answer))
 }
--- a/crates/gateway/src/intake/answer.rs
+++ b/crates/gateway/src/intake/answer.rs
@@ -13,18 +13,18 @@
 use std::io::Cursor;
 
 const MS_PER_S: u64 = 1_000;
-/// Chunk in which a relayed body is read, in bytes.
-const CHUNK_BYTES: usize = 16 * 1_024;
+/// Maximum size of the chunks in which a relayed body is read, in bytes.
+const MAX_CHUNK_BYTES: usize = 16 * 1_024;
 
 /// Body of an answer.
 pub(super) enum AnswerBody {
-    /// A body in hand.
-    Whole(Bytes),
-    /// A stream of events, whose last event tells that it is whole.
-    Stream(Box<RelayBody>),
-    /// A body of this many bytes that is relayed as it arrives. The length tells the caller
-    /// whether it is whole.
-    Long(Box<RelayBody>, u64),
+    /// A complete body in memory.
+    Buffered(Bytes),
+    /// A stream of server-sent events; its last event marks it as complete.
+    Events(Box<RelayBody>),
+    /// A body of this many bytes that is relayed as it arrives. From the length the caller can tell
+    /// whether it is complete.
+    Sized(Box<RelayBody>, u64),
 }
 
 /// An answer to a caller.
@@ -36,27 +36,27 @@
 }
 
 impl Answer {
-    /// An answer with its body in hand.
-    pub(super) fn whole(status: u16, run: Execution, body: Bytes) -> Self {
+    /// Creates an answer with a complete body and no headers.
+    pub(super) fn buffered(status: u16, run: Execution, body: Bytes) -> Self {
         Self {
             status,
             headers: Vec::new(),
             run,
-            body: AnswerBody::Whole(body),
+            body: AnswerBody::Buffered(body),
         }
     }
 
-    /// A JSON answer of the gateway's own.
+    /// Creates a JSON answer that the gateway itself produces.
     pub(super) fn json(status: u16, run: Execution, body: &serde_json::Value) -> Self {
         Self {
             status,
             headers: vec![("content-type", "application/json".to_owned())],
             run,
-            body: AnswerBody::Whole(body.to_string().into()),
+            body: AnswerBody::Buffered(body.to_string().into()),
         }
     }
 
-    /// A refusal in the shape of the OpenAI API.
+    /// Creates the answer for a refusal, in the error format of the OpenAI API.
     pub(super) fn refusal(refusal: &Refusal) -> Self {
         let body = serde_json::json!({
             "error": {
@@ -76,7 +76,7 @@
         answer
     }
 
-    /// The answer as Rocket sends it.
+    /// Converts the answer into a Rocket response.
     pub(super) fn into_response<'r>(self, request_id: &RequestId, close: bool) -> Response<'r> {
         let mut response = Response::build();
         response.status(Status::new(self.status));
@@ -84,21 +84,21 @@
             response.header_adjoin(Header::new(name, value));
         }
         response.raw_header("x-request-id", request_id.to_string());
-        response.raw_header("carobwheel-run", refusal::run_name(self.run));
+        response.raw_header("carobwheel-run", refusal::execution_header_value(self.run));
         if close {
             response.raw_header("connection", "close");
         }
         match self.body {
-            AnswerBody::Whole(bytes) => {
+            AnswerBody::Buffered(bytes) => {
                 response.sized_body(bytes.len(), Cursor::new(bytes));
             }
-            AnswerBody::Long(body, length_bytes) => {
+            AnswerBody::Sized(body, length_bytes) => {
                 response.raw_header("content-length", length_bytes.to_string());
-                response.max_chunk_size(CHUNK_BYTES);
+                response.max_chunk_size(MAX_CHUNK_BYTES);
                 response.streamed_body(*body);
             }
-            AnswerBody::Stream(body) => {
-                response.max_chunk_size(CHUNK_BYTES);
+            AnswerBody::Events(body) => {
+                response.max_chunk_size(MAX_CHUNK_BYTES);
                 response.streamed_body(*body);
             }
         }
--- /dev/null
+++ b/crates/gateway/src/intake/attempt.rs
@@ -0,0 +1,190 @@
+//! Attempts of a classified request: placement, dispatch and the question whether to retry.
+
+use super::{classify, upstream_headers, IntakeState};
+use crate::{
+    decide::{Assignment, Event, NextHop, PlacementDecision, PlacementRequest, RetryRequest},
+    dispatch::{AnswerHead, ExchangeError, UpstreamCall},
+    refusal::{Cause, Refusal},
+    relay::{ChargeGuard, PlacementGuard},
+};
+use bytes::Bytes;
+use carobwheel_core::{
+    id::{RequestId, UpstreamId},
+    identity::Caller,
+    limit::ChargeId,
+    retry::{Decision, Failure},
+    route::Hops,
+    time::Millis,
+};
+use reqwest::{header::HeaderMap, Method};
+use std::{sync::Arc, time::Duration};
+use tokio::{
+    sync::{oneshot, OwnedSemaphorePermit},
+    time,
+};
+use tokio_util::sync::CancellationToken;
+
+/// A request that has been read and classified.
+#[derive(Clone)]
+pub(super) struct ClassifiedRequest {
+    pub(super) request_id: RequestId,
+    pub(super) method: Method,
+    pub(super) path_and_query: String,
+    /// Headers on the allow-list for upstreams.
+    pub(super) headers: HeaderMap,
+    pub(super) body: Bytes,
+    pub(super) idempotency_key: Option<String>,
+    pub(super) caller: Caller,
+    pub(super) classification: classify::Classification,
+    pub(super) deadline: Millis,
+    pub(super) hops: Hops,
+    /// Cancels the request and each of its exchanges.
+    pub(super) cancel: CancellationToken,
+    /// Permit for the memory of the body, held while the request runs.
+    pub(super) _body_memory: Arc<OwnedSemaphorePermit>,
+}
+
+/// Placement of a request at an upstream, released when it is dropped.
+pub(super) struct Placement {
+    pub(super) placed: Assignment,
+    pub(super) placement_guard: PlacementGuard,
+    /// Cancels the exchange of this placement.
+    pub(super) cancel: CancellationToken,
+}
+
+/// Destination of a request.
+pub(super) enum Destination {
+    /// An upstream.
+    Upstream(Placement),
+    /// Another instance, to which the request is forwarded.
+    Instance(NextHop),
+}
+
+/// Requests a placement at an upstream that is not in `tried`. `charge_guard` holds the charge of
+/// an earlier attempt.
+pub(super) async fn place(
+    shared: &IntakeState,
+    classified: &ClassifiedRequest,
+    tried: &[UpstreamId],
+    charge_guard: Option<ChargeGuard>,
+) -> Result<Destination, Refusal> {
+    let step = request_decision(
+        shared,
+        classified,
+        tried,
+        charge_guard.as_ref().map(ChargeGuard::id),
+    )
+    .await?;
+    let placed = match step {
+        PlacementDecision::Dispatch(placed) => placed,
+        PlacementDecision::Forward(to) => return Ok(Destination::Instance(to)),
+    };
+    let charge_guard = charge_guard.or_else(|| {
+        let charge = placed.charge?;
+        Some(ChargeGuard::new(charge, shared.decide.clone()))
+    });
+    let cancel = classified.cancel.child_token();
+    let decide = shared.decide.clone();
+    Ok(Destination::Upstream(Placement {
+        placement_guard: PlacementGuard::new(placed.ticket, charge_guard, decide, cancel.clone()),
+        placed,
+        cancel,
+    }))
+}
+
+async fn request_decision(
+    shared: &IntakeState,
+    classified: &ClassifiedRequest,
+    tried: &[UpstreamId],
+    charge: Option<ChargeId>,
+) -> Result<PlacementDecision, Refusal> {
+    let (reply, decision) = oneshot::channel();
+    let classification = &classified.classification;
+    let request = PlacementRequest {
+        id: classified.request_id.clone(),
+        caller: classified.caller.clone(),
+        target: classification.target.clone(),
+        prompt_tokens: classification.prompt_tokens,
+        max_output_tokens: classification.max_output_tokens,
+        prefix: classification.prefix.clone(),
+        bound_region: classification.bound_region.clone(),
+        idempotent: classification.idempotent,
+        deadline: classified.deadline,
+        tried: tried.to_vec(),
+        hops: classified.hops.clone(),
+        charge,
+        cancel: classified.cancel.clone(),
+        reply,
+    };
+    shared
+        .decide
+        .try_send(Event::Place(Box::new(request)))
+        .map_err(|_| overloaded("this instance is overloaded"))?;
+    time::timeout(remaining_time(shared, classified), decision)
+        .await
+        .map_err(|_| overloaded("no upstream had room in time"))?
+        .map_err(|_| overloaded("this instance is stopping"))?
+}
+
+fn overloaded(message: &str) -> Refusal {
+    Refusal::not_run(Cause::Overloaded, message).retry_after(1_000)
+}
+
+fn remaining_time(shared: &IntakeState, classified: &ClassifiedRequest) -> Duration {
+    Duration::from_millis(classified.deadline.since(shared.clock.now()))
+}
+
+/// Sends the request to the upstream of its placement.
+pub(super) async fn dispatch(
+    shared: &IntakeState,
+    classified: &ClassifiedRequest,
+    placement: &Placement,
+    fresh_connection: bool,
+) -> Result<AnswerHead, ExchangeError> {
+    let placed = &placement.placed;
+    let credential = shared.credentials.get(&placed.upstream);
+    let (reply, answered) = oneshot::channel();
+    let call = UpstreamCall {
+        method: classified.method.clone(),
+        url: format!("{}{}", placed.url, classified.path_and_query),
+        headers: upstream_headers::for_upstream(&classified.headers, placed.priority, credential),
+        body: classified.body.clone(),
+        fresh_connection,
+        send_before: placed.send_before,
+        head_timeout: remaining_time(shared, classified),
+        cancel: placement.cancel.clone(),
+        reply,
+    };
+    shared
+        .dispatch
+        .try_send(call)
+        .map_err(|_| ExchangeError::NotConnected("the dispatching ring is full".to_owned()))?;
+    answered
+        .await
+        .unwrap_or_else(|_| Err(ExchangeError::Cancelled))
+}
+
+/// Returns the delay before the next attempt, in milliseconds; `None` if there is no retry.
+pub(super) async fn retry_delay_ms(
+    shared: &IntakeState,
+    classified: &ClassifiedRequest,
+    failure: Failure,
+    attempts: usize,
+) -> Option<u64> {
+    let (reply, decision) = oneshot::channel();
+    let request = RetryRequest {
+        idempotent: classified.classification.idempotent,
+        failure,
+        attempts: u32::try_from(attempts).unwrap_or(u32::MAX),
+        deadline: classified.deadline,
+        reply,
+    };
+    shared
+        .decide
+        .try_send(Event::Retry(Box::new(request)))
+        .ok()?;
+    match decision.await.ok()? {
+        Decision::Retry { after_ms } => Some(after_ms),
+        Decision::GiveUp(_) => None,
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/intake/buffer.rs
@@ -0,0 +1,76 @@
+//! Buffering of short answers, so that a truncated one becomes a refusal instead of a truncated
+//! answer.
+
+use super::answer::AnswerBody;
+use crate::{
+    decide::AttemptOutcome,
+    dispatch::ExchangeError,
+    in_flight::InFlightGuard,
+    refusal::{Cause, Refusal},
+    relay::{Framing, PlacementGuard, RelayBody},
+};
+use bytes::{Bytes, BytesMut};
+use carobwheel_core::retry::Failure;
+use carobwheel_wire::openai::Usage;
+use serde::Deserialize;
+use tokio::sync::mpsc;
+
+/// Maximum size of an answer of known length that is buffered before it is sent on, in bytes.
+const MAX_BUFFERED_BYTES: u64 = 1_024 * 1_024;
+/// Maximum size of an answer of unknown length, in bytes. Rocket ends a chunked body in the same
+/// way whether it is complete or truncated, so an answer is either buffered or of known length.
+const MAX_UNKNOWN_LENGTH_BYTES: usize = 16 * 1_024 * 1_024;
+
+#[derive(Deserialize)]
+struct AnswerUsage {
+    usage: Option<Usage>,
+}
+
+/// Buffers an answer; one longer than [`MAX_BUFFERED_BYTES`] is relayed as it arrives.
+pub(super) async fn buffer_answer(
+    mut chunks: mpsc::Receiver<Result<Bytes, ExchangeError>>,
+    framing: Framing,
+    mut placement_guard: PlacementGuard,
+    running: InFlightGuard,
+) -> Result<AnswerBody, Refusal> {
+    if let Framing::Length(length_bytes) = framing {
+        if length_bytes > MAX_BUFFERED_BYTES {
+            let relayed = RelayBody::new(chunks, framing, placement_guard, running, None);
+            return Ok(AnswerBody::Sized(Box::new(relayed), length_bytes));
+        }
+    }
+    let mut body = BytesMut::new();
+    while let Some(chunk) = chunks.recv().await {
+        match chunk {
+            Ok(chunk) => {
+                placement_guard.record_first_byte();
+                running.trace().record_first_byte();
+                body.extend_from_slice(&chunk);
+            }
+            Err(err) => return Err(incomplete(placement_guard, err.failure(), &err.to_string())),
+        }
+        if body.len() > MAX_UNKNOWN_LENGTH_BYTES {
+            let detail = "an answer of over 16 MiB needs a content-length";
+            return Err(incomplete(placement_guard, Failure::WrongAnswer, detail));
+        }
+    }
+    if matches!(framing, Framing::Length(length_bytes) if length_bytes != body.len() as u64) {
+        let detail = "the upstream ended its answer early";
+        return Err(incomplete(placement_guard, Failure::ConnectionLost, detail));
+    }
+    placement_guard.set_output_tokens(output_tokens(&body));
+    placement_guard.settle(AttemptOutcome::Completed);
+    Ok(AnswerBody::Buffered(body.freeze()))
+}
+
+fn incomplete(mut placement_guard: PlacementGuard, failure: Failure, detail: &str) -> Refusal {
+    placement_guard.settle(AttemptOutcome::Failed(failure));
+    Refusal::may_have_run(Cause::UpstreamFailed, detail)
+}
+
+fn output_tokens(body: &[u8]) -> u64 {
+    serde_json::from_slice::<AnswerUsage>(body)
+        .ok()
+        .and_then(|answered| answered.usage)
+        .map_or(0, |usage| usage.completion_tokens)
+}
--- a/crates/gateway/src/intake/classify.rs
+++ b/crates/gateway/src/intake/classify.rs
@@ -1,8 +1,8 @@
-//! Finds out what a request asks for: a model and its class, or a plain route.
+//! Classification of requests: a model and its class, or a service route.
 
 use super::head::BodyLength;
 use crate::{
-    decide::Target,
+    decide::PlacementTarget,
     refusal::{Cause, Refusal},
 };
 use carobwheel_core::{
@@ -14,55 +14,55 @@
 use rocket::http::Method;
 use std::ops::RangeInclusive;
 
-/// Bytes of prompt that are counted as one token.
+/// Prompt bytes that count as one token.
 const BYTES_PER_TOKEN: u64 = 4;
 const MS_PER_S: u64 = 1_000;
-/// Answers that one request may ask for.
-const ANSWERS: RangeInclusive<u64> = 1..=16;
+/// Numbers of answers that one request may ask for (`n`).
+const ANSWERS_PER_REQUEST: RangeInclusive<u64> = 1..=16;
 const MODEL_PATHS: [&str; 2] = [CHAT_PATH, COMPLETIONS_PATH];
 
-/// What the path of a request leads to.
+/// Endpoint that a request addresses.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Way<'a> {
-    /// A call of a model, named in the body.
+pub(super) enum Endpoint<'a> {
+    /// A model call; the body names the model.
     Model,
-    /// A plain route.
+    /// A route to a service.
     Route(&'a Route),
 }
 
-/// What a request asks for and what it may cost.
+/// Target, limits and maximum cost of a request.
 #[derive(Clone, Debug)]
-pub(super) struct Call {
-    pub(super) target: Target,
+pub(super) struct Classification {
+    pub(super) target: PlacementTarget,
     pub(super) prompt_tokens: u64,
     pub(super) max_output_tokens: u64,
     pub(super) prefix: Vec<u64>,
     pub(super) bound_region: Option<RegionId>,
     pub(super) idempotent: bool,
     pub(super) deadline_ms: u64,
-    /// Time for which the outcome of an action is kept, in milliseconds.
+    /// Retention of an action's outcome, in milliseconds.
     pub(super) outcome_kept_ms: u64,
-    /// Every copy of the service drops a second action with the same idempotency key.
+    /// Whether every upstream of the service ignores a second action with the same idempotency key.
     pub(super) deduplicates: bool,
 }
 
-/// The way that the head of a request leads.
-pub(super) fn way<'a>(
+/// Finds the endpoint that the head of a request addresses.
+pub(super) fn endpoint<'a>(
     document: &'a Document,
     path: &str,
     method: &str,
     length: BodyLength,
-) -> Result<Way<'a>, Refusal> {
+) -> Result<Endpoint<'a>, Refusal> {
     if MODEL_PATHS.contains(&path) {
         if method != Method::Post.as_str() {
             return Err(method_not_allowed());
         }
-        return Ok(Way::Model);
+        return Ok(Endpoint::Model);
     }
     let route = document
         .routes
         .iter()
-        .filter(|route| is_below(path, &route.path))
+        .filter(|route| matches_prefix(path, &route.path))
         .max_by_key(|route| route.path.len())
         .ok_or_else(|| Refusal::not_run(Cause::NotFound, "no route has this path"))?;
     if !route.methods.iter().any(|allowed| allowed == method) {
@@ -72,26 +72,26 @@
         let message = "this route needs a content-length, since a cut body cannot be told apart";
         return Err(Refusal::not_run(Cause::LengthRequired, message));
     }
-    Ok(Way::Route(route))
+    Ok(Endpoint::Route(route))
 }
 
-/// What the whole request asks for.
-pub(super) fn call(
+/// Classifies a request whose body has been read.
+pub(super) fn classify(
     document: &Document,
-    way: Way<'_>,
+    endpoint: Endpoint<'_>,
     account: Option<&Account>,
     body: &[u8],
-) -> Result<Call, Refusal> {
-    match way {
-        Way::Model => model_call(document, account, body),
-        Way::Route(route) => {
-            let of_account = account.and_then(|account| account.bound_region.clone());
-            route_call(document, route, of_account)
+) -> Result<Classification, Refusal> {
+    match endpoint {
+        Endpoint::Model => classify_model_call(document, account, body),
+        Endpoint::Route(route) => {
+            let account_region = account.and_then(|account| account.bound_region.clone());
+            classify_route_call(document, route, account_region)
         }
     }
 }
 
-fn is_below(path: &str, prefix: &str) -> bool {
+fn matches_prefix(path: &str, prefix: &str) -> bool {
     path.strip_prefix(prefix)
         .is_some_and(|rest| rest.is_empty() || rest.starts_with('/') || prefix.ends_with('/'))
 }
@@ -107,11 +107,11 @@
     Refusal::not_run(Cause::InvalidRequest, message)
 }
 
-fn model_call(
+fn classify_model_call(
     document: &Document,
     account: Option<&Account>,
     body: &[u8],
-) -> Result<Call, Refusal> {
+) -> Result<Classification, Refusal> {
     let view = RequestView::parse(body)
         .map_err(|err| invalid(format!("the body is not a model call: {err}")))?;
     if view.messages.is_empty() && view.prompt.is_none() {
@@ -129,8 +129,8 @@
             "the prompt is longer than any class allows",
         )
     })?;
-    Ok(Call {
-        target: Target::Model {
+    Ok(Classification {
+        target: PlacementTarget::Model {
             model: model.id.clone(),
             class: class.id.clone(),
         },
@@ -145,20 +145,20 @@
     })
 }
 
-/// Output tokens of all the answers that the request asks for.
+/// Maximum output tokens of all answers that the request asks for together.
 fn max_output_tokens(view: &RequestView<'_>, model: &Model) -> Result<u64, Refusal> {
-    let of_one = view
+    let per_answer = view
         .max_output_tokens()
         .unwrap_or(model.default_max_output_tokens);
-    if !(1..=model.max_output_tokens).contains(&of_one) {
+    if !(1..=model.max_output_tokens).contains(&per_answer) {
         let message = format!("max_tokens has to be 1 to {}", model.max_output_tokens);
         return Err(invalid(message));
     }
     let answers = view.n.unwrap_or(1);
-    if !ANSWERS.contains(&answers) {
+    if !ANSWERS_PER_REQUEST.contains(&answers) {
         return Err(invalid("n has to be 1 to 16"));
     }
-    Ok(of_one * answers)
+    Ok(per_answer * answers)
 }
 
 fn prefix(view: &RequestView<'_>, account: Option<&Account>) -> Vec<u64> {
@@ -168,22 +168,23 @@
     prefix_hashes(account, &prompt, BYTES_PER_TOKEN)
 }
 
-fn route_call(
+fn classify_route_call(
     document: &Document,
     route: &Route,
     account_region: Option<RegionId>,
-) -> Result<Call, Refusal> {
+) -> Result<Classification, Refusal> {
     let bound_region = match (&route.bound_region, account_region) {
-        (Some(of_route), Some(of_account)) if *of_route != of_account => {
-            let message =
-                format!("the route is bound to region `{of_route}`, the account to `{of_account}`");
+        (Some(route_region), Some(account_region)) if *route_region != account_region => {
+            let message = format!(
+                "the route is bound to region `{route_region}`, the account to `{account_region}`"
+            );
             return Err(Refusal::not_run(Cause::WrongRegion, message));
         }
         (Some(region), _) => Some(region.clone()),
         (None, region) => region,
     };
-    Ok(Call {
-        target: Target::Service {
+    Ok(Classification {
+        target: PlacementTarget::Service {
             service: route.service.clone(),
             route: route.path.clone(),
         },
--- a/crates/gateway/src/intake/forwarded.rs
+++ b/crates/gateway/src/intake/forwarded.rs
@@ -1,19 +1,18 @@
-//! Requests that another instance has forwarded here.
+//! Receiving side of forwarding: requests that another instance has forwarded to this one.
 //!
-//! One thread with an event loop of its own. A forwarded request passes the same filters as one
-//! of a caller, but is identified by its credential instead of a key.
+//! They run on a thread with its own event loop. A forwarded request passes the same stages as one
+//! from a caller, but is identified by its credential instead of a key.
 
 use super::{
     answer::{Answer, AnswerBody},
+    attempt::ClassifiedRequest,
     body,
     forward::{ForwardedAnswerHead, ForwardedHead},
-    pass,
-    work::Work,
-    Shared,
+    pipeline, IntakeState,
 };
 use crate::{
-    in_flight::Running,
-    peers::{IncomingForward, Part, ReplyBody},
+    in_flight::InFlightGuard,
+    peers::{BodyChunk, IncomingForward, ReplyBody},
     refusal::{Cause, Refusal},
     relay::RelayBody,
     report::Trace,
@@ -27,10 +26,10 @@
 use tokio::{io::AsyncReadExt as _, runtime, sync::mpsc};
 use tokio_util::sync::CancellationToken;
 
-/// Forwarded requests that wait for their thread at most.
-pub(crate) const RING_FORWARDED: usize = 1_024;
-/// Largest part of an answer, in bytes.
-const PART_BYTES: usize = 16 * 1_024;
+/// Maximum number of forwarded requests that wait for their thread.
+pub(crate) const MAX_QUEUED_FORWARDS: usize = 1_024;
+/// Maximum size of an answer part, in bytes.
+const MAX_PART_BYTES: usize = 16 * 1_024;
 
 /// Starts the thread, which ends when `cancel` is cancelled.
 ///
@@ -38,7 +37,7 @@
 ///
 /// Fails if the thread or its event loop cannot be set up.
 pub(crate) fn start(
-    shared: Arc<Shared>,
+    shared: Arc<IntakeState>,
     mut incoming: AsyncReceiver<IncomingForward>,
     cancel: CancellationToken,
 ) -> anyhow::Result<thread::JoinHandle<()>> {
@@ -62,7 +61,7 @@
         .context("cannot start the thread for forwarded requests")
 }
 
-async fn serve(shared: Arc<Shared>, forward: IncomingForward) {
+async fn serve(shared: Arc<IntakeState>, forward: IncomingForward) {
     let IncomingForward {
         head,
         body,
@@ -76,14 +75,14 @@
             .in_flight
             .begin(trace.clone())
             .ok_or_else(|| overloaded("too many requests in flight on this instance"))?;
-        run(&shared, &head, body, running).await
+        handle(&shared, &head, body, running).await
     };
     let answer = tokio::select! {
         answer = answering => answer,
         () = cancelled.cancelled() => return,
     };
     let answer = answer.unwrap_or_else(|refusal| {
-        trace.refused(refusal.cause);
+        trace.record_refusal(refusal.cause);
         Answer::refusal(&refusal)
     });
     let Ok(head) = postcard::to_stdvec(&head_of(&answer)) else {
@@ -104,11 +103,11 @@
     Refusal::not_run(Cause::InvalidRequest, "the forwarded request is malformed")
 }
 
-async fn run(
-    shared: &Arc<Shared>,
+async fn handle(
+    shared: &Arc<IntakeState>,
     head: &[u8],
-    parts: mpsc::Receiver<Part>,
-    running: Running,
+    parts: mpsc::Receiver<BodyChunk>,
+    running: InFlightGuard,
 ) -> Result<Answer, Refusal> {
     let head: ForwardedHead = postcard::from_bytes(head).map_err(|_| malformed())?;
     let hops = head
@@ -116,7 +115,7 @@
         .clone()
         .arrive(&shared.instance)
         .map_err(|fault| Refusal::not_run(Cause::InvalidRequest, fault.to_string()))?;
-    let in_force = pass::in_force(shared)?;
+    let in_force = pipeline::in_force(shared)?;
     let caller = caller_of(&head);
     if !in_force.keys.is_valid(&caller) {
         let message = "the key is unknown or withdrawn";
@@ -126,11 +125,13 @@
     if head.body_bytes > max_body_bytes {
         return Err(Refusal::not_run(Cause::TooLarge, "the body is too long"));
     }
-    let room = body::take_room(shared, head.body_bytes)?;
-    let body = gather(parts, head.body_bytes).await.ok_or_else(malformed)?;
+    let memory_permit = body::reserve_memory(shared, head.body_bytes)?;
+    let body = read_body(parts, head.body_bytes)
+        .await
+        .ok_or_else(malformed)?;
     let method = head.method.parse().map_err(|_| malformed())?;
-    let call = pass::classify_again(&in_force, &head, &caller, &body)?;
-    let work = Work {
+    let classification = pipeline::classify_forwarded(&in_force, &head, &caller, &body)?;
+    let classified = ClassifiedRequest {
         request_id: head.request,
         method,
         path_and_query: head.path_and_query,
@@ -138,13 +139,13 @@
         body,
         idempotency_key: head.idempotency_key,
         caller,
-        deadline: shared.clock.now().plus(call.deadline_ms),
-        call,
+        deadline: shared.clock.now().plus(classification.deadline_ms),
+        classification,
         hops,
         cancel: CancellationToken::new(),
-        _room: Arc::new(room),
+        _body_memory: Arc::new(memory_permit),
     };
-    pass::serve(shared, work, running).await
+    pipeline::serve(shared, classified, running).await
 }
 
 fn caller_of(head: &ForwardedHead) -> Caller {
@@ -158,13 +159,13 @@
     }
 }
 
-/// The whole body, or none if it broke off or is not as long as announced.
-async fn gather(mut parts: mpsc::Receiver<Part>, body_bytes: u64) -> Option<Bytes> {
+/// Reads the body; returns `None` if it is truncated or not as long as announced.
+async fn read_body(mut parts: mpsc::Receiver<BodyChunk>, body_bytes: u64) -> Option<Bytes> {
     let mut body = BytesMut::new();
     loop {
         match parts.recv().await? {
-            Part::Data(bytes) => body.extend_from_slice(&bytes),
-            Part::End => break,
+            BodyChunk::Data(bytes) => body.extend_from_slice(&bytes),
+            BodyChunk::End => break,
         }
         if body.len() as u64 > body_bytes {
             return None;
@@ -190,9 +191,9 @@
         .map(|(name, value)| ((*name).to_owned(), value.clone()))
         .collect();
     let length_bytes = match &answer.body {
-        AnswerBody::Whole(bytes) => Some(bytes.len() as u64),
-        AnswerBody::Long(_, length_bytes) => Some(*length_bytes),
-        AnswerBody::Stream(_) => None,
+        AnswerBody::Buffered(bytes) => Some(bytes.len() as u64),
+        AnswerBody::Sized(_, length_bytes) => Some(*length_bytes),
+        AnswerBody::Events(_) => None,
     };
     if let Some(length_bytes) = length_bytes {
         headers.push(("content-length".to_owned(), length_bytes.to_string()));
@@ -206,22 +207,22 @@
 
 async fn send_body(body: AnswerBody, parts: ReplyBody) {
     let is_whole = match body {
-        AnswerBody::Whole(bytes) => parts.send(Part::Data(bytes)).await.is_ok(),
-        AnswerBody::Stream(body) | AnswerBody::Long(body, _) => send_stream(*body, &parts).await,
+        AnswerBody::Buffered(bytes) => parts.send(BodyChunk::Data(bytes)).await.is_ok(),
+        AnswerBody::Events(body) | AnswerBody::Sized(body, _) => send_stream(*body, &parts).await,
     };
     if is_whole {
-        // The peer may have gone away at the very end.
-        let _ = parts.send(Part::End).await;
+        // The peer may have disconnected in the meantime.
+        let _ = parts.send(BodyChunk::End).await;
     }
 }
 
 async fn send_stream(mut body: RelayBody, parts: &ReplyBody) -> bool {
     loop {
-        let mut part = BytesMut::with_capacity(PART_BYTES);
+        let mut part = BytesMut::with_capacity(MAX_PART_BYTES);
         match body.read_buf(&mut part).await {
             Ok(0) => return true,
             Ok(_) => {
-                if parts.send(Part::Data(part.freeze())).await.is_err() {
+                if parts.send(BodyChunk::Data(part.freeze())).await.is_err() {
                     return false;
                 }
             }
--- a/crates/gateway/src/relay/body.rs
+++ b/crates/gateway/src/relay/body.rs
@@ -1,7 +1,9 @@
-//! The body of a relayed answer as a byte stream.
+//! Body of a relayed answer as a byte stream.
 
-use super::{sse::EventStream, Charged, Settling};
-use crate::{decide::Ending, dispatch::ExchangeError, in_flight::Running, refusal::Cause};
+use super::{sse::EventSplitter, ChargeGuard, PlacementGuard};
+use crate::{
+    decide::AttemptOutcome, dispatch::ExchangeError, in_flight::InFlightGuard, refusal::Cause,
+};
 use bytes::{Buf as _, Bytes};
 use carobwheel_core::retry::Failure;
 use std::{
@@ -23,7 +25,7 @@
 /// Chunks of an answer as they arrive.
 pub type Chunks = mpsc::Receiver<Result<Bytes, ExchangeError>>;
 
-/// How the end of an answer is recognised.
+/// Framing of an answer, by which its end is recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// Server-sent events that end with `data: [DONE]`.
@@ -34,81 +36,82 @@
     Unknown,
 }
 
-/// A stream that goes on from another engine.
-pub struct Resumed {
-    /// Its chunks, beginning behind the tokens that were relayed.
+/// Continuation of a stream by another engine.
+pub struct ResumedStream {
+    /// Chunks, beginning after the tokens already relayed.
     pub chunks: Chunks,
-    /// Its place.
-    pub settling: Settling,
+    /// Guard of the placement at the other engine.
+    pub placement_guard: PlacementGuard,
 }
 
-/// A stream that broke.
-pub struct Broken {
-    /// Tokens that the caller has.
+/// State of a stream that broke.
+pub struct BrokenStream {
+    /// Tokens already relayed to the caller.
     pub relayed_tokens: u64,
-    /// How the stream broke.
+    /// Cause of the break.
     pub failure: Failure,
-    /// The charge of the request.
-    pub charged: Option<Charged>,
+    /// Charge of the request.
+    pub charge_guard: Option<ChargeGuard>,
 }
 
-/// Looks for another engine that continues a broken stream; none if there is none.
-pub type Resumer = Box<dyn FnMut(Broken) -> oneshot::Receiver<Option<Resumed>> + Send>;
+/// Function that looks for another engine to continue a broken stream; it sends `None` if there is
+/// none.
+pub type Resumer = Box<dyn FnMut(BrokenStream) -> oneshot::Receiver<Option<ResumedStream>> + Send>;
 
-enum Source {
+enum AnswerSource {
     Chunks(Chunks),
-    Resuming(oneshot::Receiver<Option<Resumed>>, ExchangeError),
-    Over,
+    Resuming(oneshot::Receiver<Option<ResumedStream>>, ExchangeError),
+    Ended,
 }
 
-/// The body of a relayed answer.
+/// Body of a relayed answer.
 pub struct RelayBody {
-    source: Source,
-    current: Bytes,
+    source: AnswerSource,
+    unread: Bytes,
     framing: Framing,
-    events: EventStream,
+    events: EventSplitter,
     received_bytes: u64,
     heartbeat: Interval,
     resumer: Option<Resumer>,
-    settling: Settling,
-    running: Running,
+    placement_guard: PlacementGuard,
+    running: InFlightGuard,
 }
 
 impl RelayBody {
-    /// A body that relays `chunks` and settles its placement at the end. A stream of events that
-    /// breaks is continued by `resumer`, if there is one.
+    /// Creates a body that relays `chunks` and settles its placement at the end. `resumer`, if
+    /// there is one, continues a stream of events that breaks.
     pub fn new(
         chunks: Chunks,
         framing: Framing,
-        settling: Settling,
-        running: Running,
+        placement_guard: PlacementGuard,
+        running: InFlightGuard,
         resumer: Option<Resumer>,
     ) -> Self {
         Self {
-            source: Source::Chunks(chunks),
-            current: Bytes::new(),
+            source: AnswerSource::Chunks(chunks),
+            unread: Bytes::new(),
             framing,
-            events: EventStream::default(),
+            events: EventSplitter::default(),
             received_bytes: 0,
             heartbeat: interval_at(Instant::now() + HEARTBEAT_PERIOD, HEARTBEAT_PERIOD),
             resumer,
-            settling,
+            placement_guard,
             running,
         }
     }
 
     fn receive(&mut self, chunk: Bytes) -> io::Result<()> {
-        self.settling.byte_arrived();
-        self.running.trace().byte_arrived();
+        self.placement_guard.record_first_byte();
+        self.running.trace().record_first_byte();
         self.received_bytes += chunk.len() as u64;
         if self.framing != Framing::Events {
-            self.current = chunk;
+            self.unread = chunk;
             return Ok(());
         }
-        match self.events.feed(&chunk) {
-            Ok(whole) => {
-                self.settling.set_output_tokens(self.events.tokens());
-                self.current = whole;
+        match self.events.push(&chunk) {
+            Ok(complete) => {
+                self.placement_guard.set_output_tokens(self.events.tokens());
+                self.unread = complete;
                 Ok(())
             }
             Err(_) => {
@@ -120,46 +123,46 @@
         }
     }
 
-    /// The chunks have ended, by the upstream or by an error.
+    /// Handles the end of the chunks; `broken` is the error that ended them, if any.
     fn end(&mut self, broken: Option<ExchangeError>) -> io::Result<()> {
-        if self.is_whole() && (broken.is_none() || self.framing == Framing::Events) {
-            self.source = Source::Over;
-            self.settling.settle(Ending::Whole);
+        if self.is_complete() && (broken.is_none() || self.framing == Framing::Events) {
+            self.source = AnswerSource::Ended;
+            self.placement_guard.settle(AttemptOutcome::Completed);
             return Ok(());
         }
         let err = broken.unwrap_or_else(|| {
             ExchangeError::Broken("the upstream ended its answer early".to_owned())
         });
         let failure = err.failure();
-        let charged = self.settling.take_charge();
+        let charge_guard = self.placement_guard.take_charge();
         match &mut self.resumer {
             Some(resume) => {
-                self.settling.settle(Ending::Failed(failure));
-                self.events.drop_rest();
-                let resuming = resume(Broken {
+                self.placement_guard.settle(AttemptOutcome::Failed(failure));
+                self.events.discard_incomplete();
+                let resuming = resume(BrokenStream {
                     relayed_tokens: self.events.tokens(),
                     failure,
-                    charged,
+                    charge_guard,
                 });
-                self.source = Source::Resuming(resuming, err);
+                self.source = AnswerSource::Resuming(resuming, err);
                 Ok(())
             }
             None => {
-                self.settling.put_charge(charged);
-                self.settling.settle(Ending::Failed(failure));
-                self.give_up(&err)
+                self.placement_guard.restore_charge(charge_guard);
+                self.placement_guard.settle(AttemptOutcome::Failed(failure));
+                self.fail(&err)
             }
         }
     }
 
-    /// Ends the body so that the caller never takes it for whole: a stream of events gets an error
-    /// event, other bodies an I/O error.
-    fn give_up(&mut self, err: &ExchangeError) -> io::Result<()> {
-        self.source = Source::Over;
-        self.running.trace().refused(Cause::UpstreamFailed);
-        log::warn!(received_bytes = self.received_bytes; "answer cut short: {err}");
+    /// Ends the body so that the caller cannot mistake it for complete: a stream of events ends
+    /// with an error event, any other body with an I/O error.
+    fn fail(&mut self, err: &ExchangeError) -> io::Result<()> {
+        self.source = AnswerSource::Ended;
+        self.running.trace().record_refusal(Cause::UpstreamFailed);
+        log::warn!(received_bytes = self.received_bytes; "answer truncated: {err}");
         if self.framing == Framing::Events {
-            self.current = error_event(&err.to_string());
+            self.unread = error_event(&err.to_string());
             return Ok(());
         }
         Err(io::Error::new(
@@ -168,25 +171,28 @@
         ))
     }
 
-    fn go_on(&mut self, resumed: Option<Resumed>) -> io::Result<()> {
+    fn continue_from(&mut self, resumed: Option<ResumedStream>) -> io::Result<()> {
         match resumed {
-            Some(Resumed { chunks, settling }) => {
-                log::info!(relayed_tokens = self.events.tokens(); "stream continued elsewhere");
-                self.source = Source::Chunks(chunks);
-                self.settling = settling;
+            Some(ResumedStream {
+                chunks,
+                placement_guard,
+            }) => {
+                log::info!(relayed_tokens = self.events.tokens(); "stream continued on another engine");
+                self.source = AnswerSource::Chunks(chunks);
+                self.placement_guard = placement_guard;
                 Ok(())
             }
             None => {
-                let err = match std::mem::replace(&mut self.source, Source::Over) {
-                    Source::Resuming(_, err) => err,
-                    Source::Chunks(_) | Source::Over => ExchangeError::Cancelled,
+                let err = match std::mem::replace(&mut self.source, AnswerSource::Ended) {
+                    AnswerSource::Resuming(_, err) => err,
+                    AnswerSource::Chunks(_) | AnswerSource::Ended => ExchangeError::Cancelled,
                 };
-                self.give_up(&err)
+                self.fail(&err)
             }
         }
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         match self.framing {
             Framing::Events => self.events.is_done(),
             Framing::Length(length_bytes) => self.received_bytes == length_bytes,
@@ -194,29 +200,29 @@
         }
     }
 
-    /// Waits for the next bytes, an end, or a stream that continues this one.
+    /// Polls for the next bytes, the end, or the continuation of a broken stream.
     fn poll_source(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         match &mut self.source {
-            Source::Chunks(chunks) => match ready!(chunks.poll_recv(cx)) {
+            AnswerSource::Chunks(chunks) => match ready!(chunks.poll_recv(cx)) {
                 Some(Ok(chunk)) => Poll::Ready(self.receive(chunk)),
                 Some(Err(err)) => Poll::Ready(self.end(Some(err))),
                 None => Poll::Ready(self.end(None)),
             },
-            Source::Resuming(resuming, _) => {
+            AnswerSource::Resuming(resuming, _) => {
                 let resumed = ready!(Pin::new(resuming).poll(cx));
-                Poll::Ready(self.go_on(resumed.unwrap_or(None)))
+                Poll::Ready(self.continue_from(resumed.unwrap_or(None)))
             }
-            Source::Over => Poll::Ready(Ok(())),
+            AnswerSource::Ended => Poll::Ready(Ok(())),
         }
     }
 
-    // A stream without traffic notices that its caller left only when something is written.
+    // Without periodic writes, a disconnected caller of an idle stream would not be detected.
     fn poll_heartbeat(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         if self.framing != Framing::Events {
             return Poll::Pending;
         }
         ready!(self.heartbeat.poll_tick(cx));
-        self.current = Bytes::from_static(HEARTBEAT);
+        self.unread = Bytes::from_static(HEARTBEAT);
         Poll::Ready(())
     }
 }
@@ -240,8 +246,8 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        while this.current.is_empty() {
-            if matches!(this.source, Source::Over) {
+        while this.unread.is_empty() {
+            if matches!(this.source, AnswerSource::Ended) {
                 return Poll::Ready(Ok(()));
             }
             match this.poll_source(cx) {
@@ -249,9 +255,9 @@
                 Poll::Pending => ready!(this.poll_heartbeat(cx)),
             }
         }
-        let length = this.current.len().min(buf.remaining());
-        buf.put_slice(&this.current[..length]);
-        this.current.advance(length);
+        let length = this.unread.len().min(buf.remaining());
+        buf.put_slice(&this.unread[..length]);
+        this.unread.advance(length);
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/gateway/src/relay/settle.rs
+++ b/crates/gateway/src/relay/guard.rs
@@ -1,26 +1,26 @@
-//! Settles a placement exactly once, also when its request is dropped midway.
+//! Guards that settle a placement and its charge exactly once, also when the request is dropped.
 
 use crate::{
-    decide::{Ending, Event, Settlement},
+    decide::{AttemptOutcome, Event, Settlement},
     ring::{Full, Sender},
 };
 use carobwheel_core::limit::ChargeId;
 use std::{thread, time::Duration};
 use tokio_util::sync::CancellationToken;
 
-/// Output tokens between two reports to the deciding thread.
-const REPORTED_TOKENS: u64 = 32;
-const RETRY_PAUSE: Duration = Duration::from_millis(1);
+/// Output tokens between two progress reports to the decision thread.
+const TOKENS_PER_PROGRESS_REPORT: u64 = 32;
+const FULL_RING_RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// A charge that has still to be settled. Dropping it settles it by the tokens noted.
-pub struct Charged {
+/// Guard of a charge. Dropping it settles the charge by the output tokens counted so far.
+pub struct ChargeGuard {
     charge: ChargeId,
     output_tokens: u64,
     decide: Sender<Event>,
 }
 
-impl Charged {
-    /// A guard for `charge`.
+impl ChargeGuard {
+    /// Creates a guard for `charge`.
     pub fn new(charge: ChargeId, decide: Sender<Event>) -> Self {
         Self {
             charge,
@@ -29,15 +29,15 @@
         }
     }
 
-    /// The charge.
+    /// Returns the identifier of the charge.
     pub fn id(&self) -> ChargeId {
         self.charge
     }
 }
 
-impl Drop for Charged {
+impl Drop for ChargeGuard {
     fn drop(&mut self) {
-        let event = Event::Uncharge {
+        let event = Event::SettleCharge {
             charge: self.charge,
             output_tokens: self.output_tokens,
         };
@@ -45,7 +45,8 @@
     }
 }
 
-// A lost settlement would hold a place or tokens for long, so a full ring is waited for.
+// Waits while the ring is full: a lost settlement would keep capacity of the upstream or
+// tokens reserved for a long time.
 fn send(decide: &Sender<Event>, event: Event) {
     let mut event = event;
     while let Err(Full(unsent)) = decide.try_send(event) {
@@ -53,30 +54,29 @@
             return;
         }
         event = unsent;
-        thread::sleep(RETRY_PAUSE);
+        thread::sleep(FULL_RING_RETRY_DELAY);
     }
 }
 
-/// A placement that has still to be settled. Dropping it settles it as cancelled and cancels the
-/// exchange behind it.
-pub struct Settling {
-    /// Absent when another instance has placed the request.
+/// Guard of a placement. Dropping it settles the placement as cancelled and cancels its exchange.
+pub struct PlacementGuard {
+    /// `None` when another instance has placed the request.
     ticket: Option<u64>,
     output_tokens: u64,
     reported_tokens: u64,
     has_first_byte: bool,
     is_settled: bool,
-    charged: Option<Charged>,
+    charge_guard: Option<ChargeGuard>,
     decide: Option<Sender<Event>>,
     cancel: CancellationToken,
 }
 
-impl Settling {
-    /// A guard for a request that another instance has placed, and settles there.
-    pub fn elsewhere() -> Self {
+impl PlacementGuard {
+    /// Creates a guard for a request that another instance has placed and settles itself.
+    pub fn placed_remotely() -> Self {
         Self {
             ticket: None,
-            charged: None,
+            charge_guard: None,
             output_tokens: 0,
             reported_tokens: 0,
             has_first_byte: false,
@@ -86,16 +86,16 @@
         }
     }
 
-    /// A guard for the placement `ticket`, whose exchange is cancelled by `cancel`.
+    /// Creates a guard for the placement `ticket`, whose exchange is cancelled by `cancel`.
     pub fn new(
         ticket: u64,
-        charged: Option<Charged>,
+        charge_guard: Option<ChargeGuard>,
         decide: Sender<Event>,
         cancel: CancellationToken,
     ) -> Self {
         Self {
             ticket: Some(ticket),
-            charged,
+            charge_guard,
             output_tokens: 0,
             reported_tokens: 0,
             has_first_byte: false,
@@ -105,18 +105,18 @@
         }
     }
 
-    fn tell(&self, event: impl FnOnce(u64) -> Event) {
+    fn report(&self, event: impl FnOnce(u64) -> Event) {
         if let (Some(ticket), Some(decide)) = (self.ticket, &self.decide) {
-            // Only an estimate is late when the ring is full.
+            // Dropped when the ring is full: only an estimate is updated late then.
             let _ = decide.try_send(event(ticket));
         }
     }
 
-    /// Notes that a byte of the answer arrived.
-    pub fn byte_arrived(&mut self) {
+    /// Records that bytes of the answer arrived, and reports the first.
+    pub fn record_first_byte(&mut self) {
         if !self.has_first_byte {
             self.has_first_byte = true;
-            self.tell(|ticket| Event::FirstByte { ticket });
+            self.report(|ticket| Event::FirstByte { ticket });
         }
     }
 
@@ -125,61 +125,62 @@
         self.has_first_byte
     }
 
-    /// Notes the output tokens relayed so far, and reports them now and then.
+    /// Records the output tokens relayed so far, and reports them to the decision thread at
+    /// intervals.
     pub fn set_output_tokens(&mut self, output_tokens: u64) {
         self.output_tokens = output_tokens;
-        if output_tokens >= self.reported_tokens + REPORTED_TOKENS {
+        if output_tokens >= self.reported_tokens + TOKENS_PER_PROGRESS_REPORT {
             self.reported_tokens = output_tokens;
-            self.tell(|ticket| Event::Progress {
+            self.report(|ticket| Event::Progress {
                 ticket,
                 output_tokens,
             });
         }
     }
 
-    /// Output tokens relayed so far.
+    /// Returns the output tokens relayed so far.
     pub fn output_tokens(&self) -> u64 {
         self.output_tokens
     }
 
     /// Settles the placement. Later calls have no effect.
-    pub fn settle(&mut self, ending: Ending) {
+    pub fn settle(&mut self, outcome: AttemptOutcome) {
         if self.is_settled {
             return;
         }
         self.is_settled = true;
-        if ending != Ending::Whole {
+        if outcome != AttemptOutcome::Completed {
             self.cancel.cancel();
         }
-        if let Some(charged) = &mut self.charged {
-            charged.output_tokens = self.output_tokens;
+        if let Some(charge_guard) = &mut self.charge_guard {
+            charge_guard.output_tokens = self.output_tokens;
         }
         if let (Some(ticket), Some(decide)) = (self.ticket, &self.decide) {
             let settlement = Settlement {
                 ticket,
-                ending,
+                outcome,
                 output_tokens: self.output_tokens,
             };
             send(decide, Event::Settle(settlement));
         }
-        self.charged = None;
+        self.charge_guard = None;
     }
 
-    /// Puts a charge back that was taken out.
-    pub fn put_charge(&mut self, charged: Option<Charged>) {
-        self.charged = charged;
+    /// Restores a charge that [`Self::take_charge`] returned.
+    pub fn restore_charge(&mut self, charge_guard: Option<ChargeGuard>) {
+        self.charge_guard = charge_guard;
     }
 
-    /// Takes the charge out, for another attempt of the same request.
-    pub fn take_charge(&mut self) -> Option<Charged> {
-        let mut charged = self.charged.take()?;
-        charged.output_tokens = self.output_tokens;
-        Some(charged)
+    /// Removes and returns the charge, for another attempt of the same request.
+    pub fn take_charge(&mut self) -> Option<ChargeGuard> {
+        let mut charge_guard = self.charge_guard.take()?;
+        charge_guard.output_tokens = self.output_tokens;
+        Some(charge_guard)
     }
 }
 
-impl Drop for Settling {
+impl Drop for PlacementGuard {
     fn drop(&mut self) {
-        self.settle(Ending::Cancelled);
+        self.settle(AttemptOutcome::Cancelled);
     }
 }
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -1,12 +1,12 @@
-//! Answers on their way from an upstream to a caller.
+//! Relaying of answers from an upstream to a caller.
 //!
-//! A filter between dispatch and intake: it counts output tokens, tells a whole answer from a cut
-//! one, and makes sure that the placement behind the answer is settled exactly once.
+//! The stage between dispatch and intake: it counts output tokens, distinguishes complete answers
+//! from truncated ones, and makes sure that the placement of the request is settled exactly once.
 
 mod body;
-mod settle;
+mod guard;
 mod sse;
 
-pub use body::{Broken, Chunks, Framing, RelayBody, Resumed, Resumer};
-pub use settle::{Charged, Settling};
-pub use sse::{EventStream, EventTooLong, MAX_EVENT_BYTES};
+pub use body::{BrokenStream, Chunks, Framing, RelayBody, ResumedStream, Resumer};
+pub use guard::{ChargeGuard, PlacementGuard};
+pub use sse::{EventSplitter, EventTooLong, MAX_EVENT_BYTES};
--- a/crates/gateway/src/report/mod.rs
+++ b/crates/gateway/src/report/mod.rs
@@ -1,7 +1,7 @@
 //! Metrics, histograms, logs and the status page.
 //!
-//! One thread takes what requests report about themselves, keeps histograms for each client
-//! account and class, and sends metrics.
+//! One thread receives an observation from each request, keeps histograms per client account and
+//! class, and sends metrics.
 
 mod logs;
 mod metrics;
@@ -12,7 +12,7 @@
 
 pub use logs::start as start_logs;
 pub use operators::start as start_operators;
-pub use status::{Decisions, MemberStatus, Requests, StatusBoard, UpstreamStatus};
+pub use status::{DecisionStatus, MemberStatus, RequestStatus, StatusBoard, UpstreamStatus};
 pub use tally::{LabelStatus, Quantiles};
 pub use trace::{Label, Observation, Trace};
 
@@ -29,8 +29,8 @@
 use tally::Tally;
 use tokio_util::sync::CancellationToken;
 
-/// Observations that wait for the reporting thread at most.
-pub const RING_OBSERVATIONS: usize = 16_384;
+/// Maximum number of observations queued for the reporting thread.
+pub const OBSERVATION_RING_CAPACITY: usize = 16_384;
 const PUBLISH_PERIOD: Duration = Duration::from_secs(1);
 
 /// Starts the reporting thread, which ends when `cancel` is cancelled.
@@ -44,13 +44,13 @@
     cancel: CancellationToken,
 ) -> anyhow::Result<(Sender<Observation>, thread::JoinHandle<()>)> {
     let client = metrics.map(metrics::client).transpose()?;
-    let (sender, mut receiver) = ring::<Observation>(RING_OBSERVATIONS);
+    let (sender, mut receiver) = ring::<Observation>(OBSERVATION_RING_CAPACITY);
     let thread = thread::Builder::new()
         .name("report".to_owned())
         .spawn(move || {
             receiver.attach();
             let mut tally = Tally::default();
-            let mut published = Instant::now();
+            let mut published_at = Instant::now();
             while !cancel.is_cancelled() {
                 while let Some(observation) = receiver.try_recv() {
                     tally.add(&observation);
@@ -58,14 +58,14 @@
                         metrics::send(client, &observation);
                     }
                 }
-                if published.elapsed() >= PUBLISH_PERIOD {
-                    published = Instant::now();
-                    board.requests.store(Arc::new(Requests {
+                if published_at.elapsed() >= PUBLISH_PERIOD {
+                    published_at = Instant::now();
+                    board.requests.store(Arc::new(RequestStatus {
                         labels: tally.labels(),
-                        refusals: tally.causes(),
+                        refusals: tally.refusals_by_cause(),
                     }));
                 }
-                // Observations may wait: nobody needs them sooner.
+                // Polls instead of waking on each observation, since statistics are not urgent.
                 thread::sleep(PUBLISH_PERIOD / 10);
             }
         })
--- a/crates/gateway/src/store/mod.rs
+++ b/crates/gateway/src/store/mod.rs
@@ -1,8 +1,8 @@
 //! Client of the platform's key-value store.
 //!
-//! Every call has a deadline and at most one more attempt, on a connection of its own. A write
-//! whose answer was lost is settled by repeating the same compare-and-swap and reading back, see
-//! `docs/design/store.md`.
+//! Every call has a timeout and at most one retry, on a new connection. The outcome of a write
+//! whose answer was lost is determined by repeating the same compare-and-swap and reading the key
+//! back; see `docs/design/store.md`.
 
 mod backoff;
 mod budget;
@@ -15,11 +15,11 @@
 mod write;
 
 pub use backoff::{Backoff, BackoffOptions};
-pub use budget::{Budget, CallKind, FLEET_READS_PER_S, FLEET_WRITES_PER_S};
+pub use budget::{CallBudget, CallKind, FLEET_READS_PER_S, FLEET_WRITES_PER_S};
 pub use error::StoreError;
 pub use lease::LeaseState;
-pub use read::{Scope, Snapshot};
-pub use record::{Record, PLAIN_PREFIX};
+pub use read::{KeyRange, Snapshot};
+pub use record::{StoredRecord, PLAIN_PREFIX};
 pub use watch::{Change, Watch, WatchUpdate};
 pub use write::WriteOutcome;
 
@@ -31,36 +31,36 @@
     Arc, Mutex, MutexGuard, PoisonError,
 };
 
-/// How to reach the store.
+/// Options of a store client.
 #[derive(Clone, Debug)]
 pub struct StoreClientOptions {
     /// Base URL of the store, without a path.
     pub url: String,
-    /// Name of this writer; no other process and no earlier start of this one may have the same.
+    /// Name of this writer, unique among all processes and all starts of this instance.
     pub writer: String,
-    /// Longest time for one attempt of a call, in milliseconds.
-    pub attempt_deadline_ms: u64,
-    /// Longest time that a call waits for its place in the budget, in milliseconds.
-    pub budget_deadline_ms: u64,
-    /// Longest silence of a watch before it moves to a new connection, in milliseconds.
-    pub idle_deadline_ms: u64,
-    /// Number of instances that share the store's rates (1 or more).
+    /// Timeout of one attempt of a call, in milliseconds.
+    pub attempt_timeout_ms: u64,
+    /// Maximum time that a call waits for the call budget, in milliseconds.
+    pub budget_timeout_ms: u64,
+    /// Maximum time without data on a watch before it moves to a new connection, in milliseconds.
+    pub watch_idle_timeout_ms: u64,
+    /// Number of instances that share the fleet's call rates (1 or more).
     pub instances: u32,
-    /// Pauses between attempts to reach a store that does not answer.
+    /// Back-off of calls while the store does not answer.
     pub backoff: BackoffOptions,
-    /// Seed of the jitter.
+    /// Seed of the random jitter.
     pub seed: u64,
 }
 
 impl StoreClientOptions {
-    /// Options with the usual deadlines, for a fleet of one.
+    /// Creates options with the default timeouts, for a fleet of one.
     pub fn new(url: impl Into<String>, writer: impl Into<String>) -> Self {
         Self {
             url: url.into(),
             writer: writer.into(),
-            attempt_deadline_ms: 1_500,
-            budget_deadline_ms: 1_000,
-            idle_deadline_ms: 10_000,
+            attempt_timeout_ms: 1_500,
+            budget_timeout_ms: 1_000,
+            watch_idle_timeout_ms: 10_000,
             instances: 1,
             backoff: BackoffOptions::default(),
             seed: rand::random(),
@@ -71,24 +71,24 @@
 struct Inner {
     options: StoreClientOptions,
     clock: Clock,
-    /// Keeps idle connections for the next call.
+    /// Client that reuses idle connections.
     pooled: ArcSwap<reqwest::Client>,
-    /// Opens a connection for each call.
+    /// Client that opens a new connection for each call.
     fresh: reqwest::Client,
     next_mark: AtomicU64,
-    budget: Mutex<Budget>,
+    budget: Mutex<CallBudget>,
     backoff: Mutex<Backoff>,
     rng: Mutex<StdRng>,
 }
 
-/// A client of the store. Cloning it shares connections and budget.
+/// Client of the store. Clones share connections, budget and back-off.
 #[derive(Clone)]
 pub struct StoreClient {
     inner: Arc<Inner>,
 }
 
 impl StoreClient {
-    /// Creates a client; nothing is sent yet.
+    /// Creates a client without sending anything.
     ///
     /// # Errors
     ///
@@ -99,7 +99,7 @@
             pooled: ArcSwap::from_pointee(call::build_client(true)?),
             fresh: call::build_client(false)?,
             next_mark: AtomicU64::new(1),
-            budget: Mutex::new(Budget::for_fleet(options.instances, clock.now())),
+            budget: Mutex::new(CallBudget::for_fleet(options.instances, clock.now())),
             backoff: Mutex::new(Backoff::new(options.backoff)),
             rng: Mutex::new(StdRng::seed_from_u64(options.seed)),
             clock,
@@ -110,23 +110,23 @@
         })
     }
 
-    /// Adapts the budget to the number of instances that share the store.
+    /// Sets the number of instances that share the fleet's call rates.
     pub fn set_instances(&self, instances: u32) {
         lock(&self.inner.budget).set_fleet(instances, self.inner.clock.now());
     }
 
-    /// Reports whether the last calls found the store not answering.
+    /// Whether calls back off because the store did not answer the last ones.
     pub fn is_backing_off(&self) -> bool {
         lock(&self.inner.backoff).is_open()
     }
 
-    /// A mark that no other write carries.
+    /// Returns a mark that is unique to one write.
     fn next_mark(&self) -> String {
         let number = self.inner.next_mark.fetch_add(1, Ordering::Relaxed);
         format!("{}.{number}", self.inner.options.writer)
     }
 
-    /// A random number below one.
+    /// Returns a random number from 0 up to 1.
     fn jitter(&self) -> f64 {
         lock(&self.inner.rng).random_range(0.0..1.0)
     }
