--- a/crates/core/tests/limit_random.rs
+++ b/crates/core/tests/limit_random.rs
@@ -11,7 +11,7 @@
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use test_case::test_case;
-use world::fault::{Fault, Plant};
+use world::fault::{Defect, Fault};
 use world::flow::{Flow, Placement};
 use world::{Setup, World};
 
@@ -85,8 +85,8 @@
         placement,
         max_prompt_tokens: rng.random_range(50..1_500),
         max_output_tokens: rng.random_range(10..2_000),
-        least_output_pct: rng.random_range(0..=100),
-        patience_ms: rng.random_range(0..2_000),
+        min_output_pct: rng.random_range(0..=100),
+        max_wait_ms: rng.random_range(0..2_000),
         on_ms: [0, 5_000, 20_000][rng.random_range(0..3)],
     }
 }
@@ -112,17 +112,17 @@
                 faults.push((at_ms + length_ms, Fault::StoreUp));
             }
             4 => {
-                faults.push((at_ms, Fault::Isolate(rng.random_range(0..REGIONS))));
+                faults.push((at_ms, Fault::IsolateRegion(rng.random_range(0..REGIONS))));
                 faults.push((at_ms + length_ms, Fault::Heal));
             }
-            5 => faults.push((at_ms, Fault::Silence(node, length_ms))),
+            5 => faults.push((at_ms, Fault::Disconnect(node, length_ms))),
             _ => faults.push((at_ms, Fault::Publish(rng.random_range(2..5)))),
         }
     }
     faults
 }
 
-fn setup(seed: u64, plant: Plant) -> Setup {
+fn setup(seed: u64, defect: Defect) -> Setup {
     let mut rng = StdRng::seed_from_u64(seed ^ 0x5eed);
     let flows = vec![
         flow("fast", 6_000, &mut rng),
@@ -141,7 +141,7 @@
         ],
         flows,
         faults: faults(&mut rng),
-        plant,
+        defect,
         loss_pct: [0, 2, 10][rng.random_range(0..3)],
         tick_ms: 100,
         drift_ppm: 200,
@@ -182,7 +182,7 @@
                     (worker..seeds())
                         .step_by(threads as usize)
                         .filter_map(|seed| {
-                            let found = find_violation(setup(seed, Plant::Nothing), RUN_MS)?;
+                            let found = find_violation(setup(seed, Defect::None), RUN_MS)?;
                             Some(format!("seed {seed}: {found}"))
                         })
                         .collect::<Vec<_>>()
@@ -210,8 +210,8 @@
         placement: Placement::Spread,
         max_prompt_tokens: 200,
         max_output_tokens: 100,
-        least_output_pct: 100,
-        patience_ms: 500,
+        min_output_pct: 100,
+        max_wait_ms: 500,
         on_ms,
     }
 }
@@ -228,25 +228,25 @@
     (20_000, Fault::Pause(3, 80_000)),
     (20_000, Fault::Pause(4, 80_000)),
     (99_000, Fault::StoreDown),
-    (99_000, Fault::Silence(3, 20_000)),
-    (99_000, Fault::Silence(4, 20_000)),
+    (99_000, Fault::Disconnect(3, 20_000)),
+    (99_000, Fault::Disconnect(4, 20_000)),
     (120_000, Fault::StoreUp),
 ];
 const GROWTH_DURING_PARTITION: [(u64, Fault); 4] = [
     (0, Fault::Publish(1)),
-    (30_000, Fault::Isolate(2)),
+    (30_000, Fault::IsolateRegion(2)),
     (31_000, Fault::Publish(2)),
     (90_000, Fault::Heal),
 ];
 
-#[test_case(Plant::LoanCreditedTwice, &KILLS_AND_RESTARTS[..1], 0; "loan credited twice")]
-#[test_case(Plant::LentForgotten, &KILLS_AND_RESTARTS[..1], 0; "lender forgets what it has lent")]
-#[test_case(Plant::PauseRuleOff, &PAUSE_AND_OUTAGE, 50_000; "pause rule off")]
-#[test_case(Plant::FullStart, &KILLS_AND_RESTARTS, 0; "new owner starts full")]
-#[test_case(Plant::GrowthAtOnce, &GROWTH_DURING_PARTITION, 0; "share grows at once")]
-fn injected_defect_is_caught(plant: Plant, faults: &[(u64, Fault)], on_ms: u64) {
-    let scenario = |plant: Plant| {
-        let mut setup = setup(1, plant);
+#[test_case(Defect::LoanCreditedTwice, &KILLS_AND_RESTARTS[..1], 0; "loan credited twice")]
+#[test_case(Defect::LoanForgotten, &KILLS_AND_RESTARTS[..1], 0; "lender forgets what it has lent")]
+#[test_case(Defect::PauseCheckDisabled, &PAUSE_AND_OUTAGE, 50_000; "pause rule off")]
+#[test_case(Defect::NewOwnerStartsFull, &KILLS_AND_RESTARTS, 0; "new owner starts full")]
+#[test_case(Defect::ImmediateShareGrowth, &GROWTH_DURING_PARTITION, 0; "share grows at once")]
+fn injected_defect_is_caught(defect: Defect, faults: &[(u64, Fault)], on_ms: u64) {
+    let scenario = |defect: Defect| {
+        let mut setup = setup(1, defect);
         setup.faults = faults.to_vec();
         setup.loss_pct = 0;
         setup.flows = vec![
@@ -259,13 +259,10 @@
         }
         setup
     };
-    assert_eq!(
-        find_violation(scenario(Plant::Nothing), DEFECT_RUN_MS),
-        None
-    );
+    assert_eq!(find_violation(scenario(Defect::None), DEFECT_RUN_MS), None);
     assert_ne!(
-        find_violation(scenario(plant), DEFECT_RUN_MS),
+        find_violation(scenario(defect), DEFECT_RUN_MS),
         None,
-        "{plant:?} was not caught"
+        "{defect:?} was not caught"
     );
 }
--- a/crates/ctl/src/experiment/limits/baseline.rs
+++ b/crates/ctl/src/experiment/limits/baseline.rs
@@ -76,7 +76,7 @@
                     let run_ms = arrival.output_tokens * 1_000 / arrival.speed_tokens_per_s;
                     queue.push(Reverse((at_ms + run_ms, steps.len())));
                     steps.push(Step::Settle { arrival: index });
-                } else if at_ms >= arrival.at_ms + arrival.patience_ms {
+                } else if at_ms >= arrival.at_ms + arrival.max_wait_ms {
                     line.retain(|of| *of != index);
                     tally.refused += u64::from(is_counted);
                     tally.wrongful += u64::from(is_counted && is_within);
--- a/crates/ctl/src/experiment/limits/scenario.rs
+++ b/crates/ctl/src/experiment/limits/scenario.rs
@@ -1,6 +1,6 @@
 //! What is measured.
 
-use super::world::fault::{Fault, Plant};
+use super::world::fault::{Defect, Fault};
 use super::world::flow::{Flow, Placement};
 use super::world::Setup;
 use carobwheel_core::document::{Account, Document, Objective, Policy, Region};
@@ -69,7 +69,7 @@
         (OUTAGE_FROM_MS + 10_000, Fault::Start(2)),
     ];
     let isolated = [
-        (OUTAGE_FROM_MS, Fault::Isolate(2)),
+        (OUTAGE_FROM_MS, Fault::IsolateRegion(2)),
         (OUTAGE_FROM_MS + OUTAGE_MS, Fault::Heal),
     ];
     for placement in placements {
@@ -172,8 +172,8 @@
         placement,
         max_prompt_tokens: MAX_PROMPT_TOKENS,
         max_output_tokens: MAX_OUTPUT_TOKENS,
-        least_output_pct: LEAST_OUTPUT_PCT,
-        patience_ms: PATIENCE_MS,
+        min_output_pct: LEAST_OUTPUT_PCT,
+        max_wait_ms: PATIENCE_MS,
         on_ms: 0,
     }
 }
@@ -199,7 +199,7 @@
         documents: vec![document],
         flows,
         faults,
-        plant: Plant::Nothing,
+        defect: Defect::None,
         loss_pct: 0,
         tick_ms: 50,
         drift_ppm: 200,
--- a/crates/ctl/src/experiment/limits/wide.rs
+++ b/crates/ctl/src/experiment/limits/wide.rs
@@ -2,7 +2,7 @@
 
 use super::message_bytes;
 use super::scenario;
-use super::world::fault::{Fault, Plant};
+use super::world::fault::{Defect, Fault};
 use super::world::flow::{Flow, Placement};
 use super::world::{Setup, Tally, World};
 use anyhow::ensure;
@@ -59,7 +59,7 @@
         flows,
         documents: vec![document],
         faults: vec![(0, Fault::Publish(1))],
-        plant: Plant::Nothing,
+        defect: Defect::None,
         loss_pct: 0,
         tick_ms: 50,
         drift_ppm: 200,
@@ -131,8 +131,8 @@
         placement: Placement::Spread,
         max_prompt_tokens: MAX_PROMPT_TOKENS,
         max_output_tokens: MAX_OUTPUT_TOKENS,
-        least_output_pct: 50,
-        patience_ms: 2_000,
+        min_output_pct: 50,
+        max_wait_ms: 2_000,
         on_ms: 0,
     }
 }
--- a/crates/ctl/src/experiment/limits/world/fault.rs
+++ b/crates/ctl/src/experiment/limits/world/fault.rs
@@ -16,13 +16,13 @@
     /// An instance is paused for some milliseconds.
     Pause(usize, u64),
     /// Messages from and to an instance are lost for some milliseconds; callers still reach it.
-    Silence(usize, u64),
+    Disconnect(usize, u64),
     /// The store goes down.
     StoreDown,
     /// The store comes back.
     StoreUp,
     /// A region is cut off from the others.
-    Isolate(usize),
+    IsolateRegion(usize),
     /// All regions are joined again.
     Heal,
     /// A revision of the document is published.
@@ -31,25 +31,25 @@
 
 /// A fault planted at the interface of the limiters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum Defect {
     /// No fault is planted.
-    Nothing,
+    None,
     /// The borrower is credited twice what the lender has debited.
     LoanCreditedTwice,
     /// The lender forgets a loan and counts its tokens as its own again.
-    LentForgotten,
+    LoanForgotten,
     /// An instance that wakes from a long pause goes on as before.
-    PauseRuleOff,
+    PauseCheckDisabled,
     /// A new owner starts with full parts and asks no one.
-    FullStart,
+    NewOwnerStartsFull,
     /// A share that grows counts at once.
-    GrowthAtOnce,
+    ImmediateShareGrowth,
 }
 
 /// The message as it arrives.
-pub fn corrupt(plant: Plant, message: &LoanMessage) -> LoanMessage {
+pub fn corrupt(defect: Defect, message: &LoanMessage) -> LoanMessage {
     let mut message = message.clone();
-    if plant == Plant::LoanCreditedTwice {
+    if defect == Defect::LoanCreditedTwice {
         for ask in &mut message.requests {
             ask.wanted_micro /= 2;
         }
--- a/crates/ctl/src/experiment/limits/world/flow.rs
+++ b/crates/ctl/src/experiment/limits/world/flow.rs
@@ -31,9 +31,9 @@
     /// Largest bound on the output, in tokens.
     pub max_output_tokens: u64,
     /// Least share of the output bound that is generated, in percent.
-    pub least_output_pct: u64,
+    pub min_output_pct: u64,
     /// Time that a request may wait for tokens, in milliseconds.
-    pub patience_ms: u64,
+    pub max_wait_ms: u64,
     /// The load is on for this time and off for as long; 0 if it is always on.
     pub on_ms: u64,
 }
@@ -56,7 +56,7 @@
     /// Tokens generated in a second.
     pub speed_tokens_per_s: u64,
     /// Time that the request may wait for tokens, in milliseconds.
-    pub patience_ms: u64,
+    pub max_wait_ms: u64,
 }
 
 impl Flow {
@@ -94,7 +94,7 @@
             }
         };
         let max_output_tokens = rng.random_range(1..=self.max_output_tokens);
-        let least = max_output_tokens * self.least_output_pct / 100;
+        let least = max_output_tokens * self.min_output_pct / 100;
         Arrival {
             at_ms,
             node,
@@ -103,7 +103,7 @@
             max_output_tokens,
             output_tokens: rng.random_range(least..=max_output_tokens),
             speed_tokens_per_s: rng.random_range(50..=500),
-            patience_ms: self.patience_ms,
+            max_wait_ms: self.max_wait_ms,
         }
     }
 }
--- a/crates/ctl/src/experiment/limits/world/mod.rs
+++ b/crates/ctl/src/experiment/limits/world/mod.rs
@@ -19,7 +19,7 @@
 use carobwheel_core::limit::LoanMessage;
 use carobwheel_core::slot::{OwnershipWrite, Peer};
 use carobwheel_core::time::Millis;
-use fault::{Fault, Plant};
+use fault::{Defect, Fault};
 use flow::{Arrival, Flow};
 use node::{Heartbeat, Node};
 use oracle::{Ledger, Violation};
@@ -55,7 +55,7 @@
     /// Faults by true time, in milliseconds.
     pub faults: Vec<(u64, Fault)>,
     /// A fault planted in the mechanism.
-    pub plant: Plant,
+    pub defect: Defect,
     /// Messages lost, doubled, and delayed by up to 3 s, in percent each.
     pub loss_pct: u32,
     /// Time between two ticks of an instance, in milliseconds.
@@ -309,12 +309,12 @@
                     process.paused_until = now_ms + pause_ms;
                 }
             }
-            Fault::Silence(at, silence_ms) => {
+            Fault::Disconnect(at, silence_ms) => {
                 self.silent_until_ms[at] = self.now_ms + silence_ms;
             }
             Fault::StoreDown => self.store.is_down = true,
             Fault::StoreUp => self.store.is_down = false,
-            Fault::Isolate(region) => self.cut_off[region] = true,
+            Fault::IsolateRegion(region) => self.cut_off[region] = true,
             Fault::Heal => self.cut_off.fill(false),
             Fault::Publish(revision) => {
                 self.published = revision;
--- a/crates/ctl/src/experiment/limits/world/network.rs
+++ b/crates/ctl/src/experiment/limits/world/network.rs
@@ -1,6 +1,6 @@
 //! The network between instances.
 
-use super::fault::{self, Plant};
+use super::fault::{self, Defect};
 use super::{Event, Payload, World, AWAY_DELAY_MS, HEARTBEAT_MS, HOME_DELAY_MS};
 use carobwheel_core::limit::OutgoingLoanMessage;
 use carobwheel_core::slot::Peer;
@@ -115,10 +115,10 @@
                 }
             }
             Payload::Loan(message) => {
-                let message = fault::corrupt(self.setup.plant, &message);
+                let message = fault::corrupt(self.setup.defect, &message);
                 let brings_tokens = !message.grants.is_empty();
                 let outgoing = process.node.on_loan_message(from, &message, now);
-                if self.setup.plant == Plant::LentForgotten {
+                if self.setup.defect == Defect::LoanForgotten {
                     fault::forget_lent(&mut process.node.limiter, &outgoing, now);
                 }
                 self.send_loans(at, outgoing);
--- a/crates/ctl/src/experiment/limits/world/node.rs
+++ b/crates/ctl/src/experiment/limits/world/node.rs
@@ -226,7 +226,7 @@
 
     /// Queues a request.
     pub fn on_arrival(&mut self, arrival: Arrival, now: Millis) {
-        let wait_until = now.plus(arrival.patience_ms);
+        let wait_until = now.plus(arrival.max_wait_ms);
         self.waiting.push(Waiting {
             arrival,
             is_within: false,
--- a/crates/ctl/src/experiment/limits/world/platform.rs
+++ b/crates/ctl/src/experiment/limits/world/platform.rs
@@ -1,6 +1,6 @@
 //! The store and the live list.
 
-use super::fault::{self, Plant};
+use super::fault::{self, Defect};
 use super::store::Versioned;
 use super::{Event, World, LIVE_LIST_MS, STORE_READ_MS, STORE_TIMEOUT_MS, UNLISTED_AFTER_MS};
 use carobwheel_core::slot::{OwnershipWrite, Peer};
@@ -10,7 +10,7 @@
 impl World {
     pub(super) fn apply(&mut self, at: usize, revision: u64) {
         let now_ms = self.now_ms;
-        let is_at_once = self.setup.plant == Plant::GrowthAtOnce;
+        let is_at_once = self.setup.defect == Defect::ImmediateShareGrowth;
         let Some(process) = &mut self.processes[at] else {
             return;
         };
@@ -100,7 +100,7 @@
             return;
         }
         let now_ms = self.now_ms;
-        let plant = self.setup.plant;
+        let defect = self.setup.defect;
         self.check_pause(at);
         let Some(process) = &mut self.processes[at] else {
             return;
@@ -111,7 +111,7 @@
         node.refresh_members(now);
         let before = node.keeper.record().owned_by(&node.peer);
         node.on_record(versioned, began, now);
-        if plant == Plant::FullStart {
+        if defect == Defect::NewOwnerStartsFull {
             fault::fill_new_slots(node, &before, &self.setup.documents[0], now);
         }
     }
--- a/crates/ctl/src/experiment/limits/world/process.rs
+++ b/crates/ctl/src/experiment/limits/world/process.rs
@@ -1,6 +1,6 @@
 //! What an instance does by itself: ticks, requests and their ends.
 
-use super::fault::Plant;
+use super::fault::Defect;
 use super::flow::Arrival;
 use super::node::{Running, Waiting};
 use super::oracle::Use;
@@ -29,7 +29,7 @@
     /// The pause rule comes before anything else that an instance does after it wakes.
     pub(super) fn check_pause(&mut self, at: usize) {
         let now_ms = self.now_ms;
-        let is_planted = self.setup.plant == Plant::PauseRuleOff;
+        let is_planted = self.setup.defect == Defect::PauseCheckDisabled;
         let Some(process) = &mut self.processes[at] else {
             return;
         };
