--- a/crates/ctl/src/experiment/limits/memory.rs
+++ b/crates/ctl/src/experiment/limits/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of a limiter at the target size.
+//! Memory use of a limiter at the target size of the fleet.
 
 use super::scenario;
 use carobwheel_core::document::{Account, Document, Region};
@@ -8,32 +8,32 @@
 use carobwheel_core::time::Millis;
 use serde::Serialize;
 
-/// Client accounts at the target size.
+/// Number of client accounts at the target size.
 const ACCOUNTS: usize = 1_500;
-/// Regions at the target size.
+/// Number of regions at the target size.
 const REGIONS: usize = 11;
-/// Slots that one of 34 instances of a region owns.
+/// Number of slots owned by one instance in a region of 34 instances.
 const OWNED_SLOTS: u16 = 4;
-/// Limiters built, so that the growth stands out from the allocator's noise.
+/// Number of limiters to build; enough that their memory exceeds the allocator's noise.
 const LIMITERS: usize = 50;
 const PAGE_BYTES: u64 = 4_096;
 
-/// Memory of one limiter.
+/// Memory use of one limiter.
 #[derive(Clone, Debug, Serialize)]
 pub struct Memory {
-    /// Client accounts in the document.
+    /// Number of client accounts in the document.
     pub accounts: usize,
     /// Resident memory of one limiter, in bytes.
     pub limiter_bytes: u64,
-    /// Resident memory for each account, in bytes.
+    /// Resident memory per account, in bytes.
     pub account_bytes: u64,
 }
 
-/// Builds limiters at the target size and measures the growth of the process.
+/// Builds limiters at the target size and measures the growth of the process's resident memory.
 ///
 /// # Errors
 ///
-/// Fails if the system does not tell the process's resident memory.
+/// Fails if the resident memory of the process cannot be read from `/proc`.
 pub(super) fn measure() -> anyhow::Result<Memory> {
     let document = document();
     let before = resident_bytes()?;
@@ -80,7 +80,7 @@
 
 fn peer(name: &str) -> Peer {
     Peer {
-        instance: name.parse().expect("a valid name"),
+        instance: name.parse().expect("a valid identifier"),
         incarnation: 1,
     }
 }
@@ -89,7 +89,7 @@
     let mut document = scenario::document();
     document.regions = (0..REGIONS)
         .map(|at| Region {
-            id: format!("r{at}").parse().expect("a valid name"),
+            id: format!("r{at}").parse().expect("a valid identifier"),
             data_centres: Vec::new(),
             rate_weight: 1,
         })
@@ -97,7 +97,7 @@
     let sample = document.accounts[0].clone();
     document.accounts = (0..ACCOUNTS)
         .map(|at| Account {
-            id: format!("account-{at}").parse().expect("a valid name"),
+            id: format!("account-{at}").parse().expect("a valid identifier"),
             ..sample.clone()
         })
         .collect();
--- a/crates/ctl/src/experiment/limits/mod.rs
+++ b/crates/ctl/src/experiment/limits/mod.rs
@@ -1,4 +1,5 @@
-//! Wrongful refusals of the limits against a perfect central bucket and a static split.
+//! `carobctl experiment limits`: wrongful refusals of the distributed limits, compared with a
+//! perfect central bucket and a static split.
 
 mod baseline;
 mod memory;
@@ -18,10 +19,10 @@
 /// Arguments of `carobctl experiment limits`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// Seed of the offered load and of the faults' details.
+    /// Seed of the offered load and of the random details of faults.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Prints JSON lines in place of a table.
+    /// Prints JSON lines instead of a table.
     #[arg(long)]
     pub json: bool,
     /// Measures only scenarios whose name contains this text.
@@ -29,17 +30,17 @@
     pub only: String,
 }
 
-/// What one way of holding the limit decided.
+/// Decisions of one method of enforcing the limit.
 #[derive(Clone, Debug, Serialize)]
 pub struct Decisions {
-    /// Requests offered.
+    /// Number of requests offered.
     pub offered: u64,
     /// Share of requests refused, in percent.
     pub refused_pct: f64,
-    /// Share of requests refused although a perfect bucket that was charged alike would have
+    /// Share of requests refused although a perfect bucket with the same charges would have
     /// admitted them, in percent.
     pub wrongful_pct: f64,
-    /// Tokens used by admitted requests in a second.
+    /// Tokens used by admitted requests per second.
     pub used_tokens_per_s: f64,
 }
 
@@ -60,29 +61,29 @@
 /// Result of one scenario for the measured account.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measurement {
-    /// What happens.
+    /// Name of the scenario.
     pub scenario: &'static str,
-    /// Offered load in percent of the account's rate.
+    /// Offered load, in percent of the account's rate.
     pub load_pct: u64,
-    /// Where requests arrive.
+    /// Placement of the requests.
     pub placement: &'static str,
-    /// Parts and lending.
+    /// Decisions of the limiter, which lends parts of buckets between instances.
     pub lending: Decisions,
-    /// One perfect bucket.
+    /// Decisions of a perfect central bucket.
     pub central: Decisions,
-    /// A fixed share for each instance.
+    /// Decisions of a static split with an equal share for each instance.
     pub fixed_split: Decisions,
-    /// Loan messages sent by an instance in a second.
+    /// Loan messages sent per instance and second.
     pub messages_per_s: f64,
-    /// Bytes of loan messages sent by an instance in a second, before encryption and headers.
+    /// Bytes of loan messages sent per instance and second, before encryption and headers.
     pub bytes_per_s: f64,
-    /// Store calls of an instance in an hour for the record of owners.
+    /// Store calls per instance and hour for the ownership record.
     pub store_calls_per_h: f64,
-    /// Writes of the record that took effect, over all instances and the whole run.
+    /// Successful writes of the ownership record, over all instances and the whole run.
     pub store_writes: u64,
 }
 
-/// Runs the measurement.
+/// Runs the measurement and prints its results.
 ///
 /// # Errors
 ///
@@ -130,7 +131,7 @@
     let from_ms = scenario.tally_from_ms;
     let central = baseline::run(account, &world.arrivals, 1, |_| 0, from_ms);
     let fixed = baseline::run(account, &world.arrivals, NODES as u64, |node| node, from_ms);
-    let lending = world.tallies.get(&scenario::measured()).copied();
+    let lending = world.tallies.get(&scenario::measured_account()).copied();
     let (messages, bytes) = world.traffic();
     let node_s = NODES as f64 * scenario.end_ms as f64 / 1_000.0;
     let violation = world.violation();
@@ -175,28 +176,28 @@
     )
 }
 
-fn row(of: &Measurement) -> String {
-    let decisions = |of: &Decisions| {
+fn row(measurement: &Measurement) -> String {
+    let decisions = |decisions: &Decisions| {
         let Decisions {
             refused_pct,
             wrongful_pct,
             used_tokens_per_s,
             ..
-        } = of;
+        } = decisions;
         format!("{refused_pct:>8.3} {wrongful_pct:>6.3} {used_tokens_per_s:>5.0}")
     };
     format!(
         "{:<25} {:>5} {:<12} {:>7} |{} |{} |{} | {:>6.2} {:>5.0} {:>7.0} {:>6}",
-        of.scenario,
-        of.load_pct,
-        of.placement,
-        of.lending.offered,
-        decisions(&of.lending),
-        decisions(&of.central),
-        decisions(&of.fixed_split),
-        of.messages_per_s,
-        of.bytes_per_s,
-        of.store_calls_per_h,
-        of.store_writes
+        measurement.scenario,
+        measurement.load_pct,
+        measurement.placement,
+        measurement.lending.offered,
+        decisions(&measurement.lending),
+        decisions(&measurement.central),
+        decisions(&measurement.fixed_split),
+        measurement.messages_per_s,
+        measurement.bytes_per_s,
+        measurement.store_calls_per_h,
+        measurement.store_writes
     )
 }
--- a/crates/ctl/src/experiment/limits/scenario.rs
+++ b/crates/ctl/src/experiment/limits/scenario.rs
@@ -1,4 +1,4 @@
-//! What is measured.
+//! Scenarios of the measurement: offered load, placement and faults.
 
 use super::world::fault::{Defect, Fault};
 use super::world::flow::{Flow, Placement};
@@ -7,43 +7,48 @@
 use carobwheel_core::id::{AccountId, RegionId};
 use carobwheel_core::limit::LoanMessage;
 
-/// Instances, as many as today.
+/// Number of instances, the current size of the fleet.
 pub(super) const NODES: usize = 6;
-/// Time before decisions count: parts start empty and fill in this time, in milliseconds.
+/// Warm-up before decisions are counted, in milliseconds: parts start empty and fill up.
 pub(super) const WARM_UP_MS: u64 = 120_000;
-/// Time in which decisions count, in milliseconds.
-pub(super) const MEASURED_MS: u64 = 1_200_000;
+/// Duration for which decisions are counted, in milliseconds.
+pub(super) const MEASUREMENT_MS: u64 = 1_200_000;
+/// Duration of an outage, in milliseconds.
 const OUTAGE_MS: u64 = 600_000;
-const OUTAGE_FROM_MS: u64 = WARM_UP_MS + 300_000;
+/// Start of an outage, in milliseconds since the start of the run.
+const OUTAGE_START_MS: u64 = WARM_UP_MS + 300_000;
 const MAX_PROMPT_TOKENS: u64 = 600;
 const MAX_OUTPUT_TOKENS: u64 = 300;
-const LEAST_OUTPUT_PCT: u64 = 50;
-const PATIENCE_MS: u64 = 2_000;
-const MOVE_PERIOD_MS: u64 = 20_000;
+/// Smallest share of a request's output bound that is generated, in percent.
+const MIN_OUTPUT_PCT: u64 = 50;
+/// Maximum wait of a request for tokens, in milliseconds.
+const MAX_WAIT_MS: u64 = 2_000;
+/// Period after which moving load continues in the next region, in milliseconds.
+const REGION_PERIOD_MS: u64 = 20_000;
 
-/// A run to be measured.
+/// A run of the measurement.
 #[derive(Clone, Debug)]
 pub(super) struct Scenario {
-    /// Name of what happens.
+    /// Name printed in the report and selected by `--only`.
     pub(super) name: &'static str,
     /// Offered load of the measured account, in percent of its rate, counted as used.
     pub(super) load_pct: u64,
-    /// Where the measured account's requests arrive.
+    /// Placement of the measured account's requests.
     pub(super) placement: Placement,
-    /// Offered load of the account beside it, in percent of its rate.
-    pub(super) beside_pct: u64,
-    /// What fails.
+    /// Offered load of the other account, in percent of its rate.
+    pub(super) other_load_pct: u64,
+    /// Faults by true time, in milliseconds.
     pub(super) faults: Vec<(u64, Fault)>,
-    /// From when on decisions count, in milliseconds.
+    /// Start of counting decisions, in milliseconds.
     pub(super) tally_from_ms: u64,
-    /// Until when the run lasts, in milliseconds.
+    /// End of the run, in milliseconds.
     pub(super) end_ms: u64,
 }
 
-/// All scenarios.
+/// Returns all scenarios in the order of the report.
 pub(super) fn all() -> Vec<Scenario> {
     let moving = Placement::Moving {
-        period_ms: MOVE_PERIOD_MS,
+        period_ms: REGION_PERIOD_MS,
     };
     let placements = [Placement::Spread, Placement::One(1), moving];
     let mut scenarios = Vec::new();
@@ -55,22 +60,22 @@
     scenarios.push(scenario("beside 5 x", 90, Placement::Spread, 500, &[]));
     scenarios.push(scenario("at 5 x", 500, Placement::Spread, 90, &[]));
     let store_down = [
-        (OUTAGE_FROM_MS, Fault::StoreDown),
-        (OUTAGE_FROM_MS + OUTAGE_MS, Fault::StoreUp),
+        (OUTAGE_START_MS, Fault::StoreDown),
+        (OUTAGE_START_MS + OUTAGE_MS, Fault::StoreUp),
     ];
     let replaced = [
-        (OUTAGE_FROM_MS, Fault::StoreDown),
-        (OUTAGE_FROM_MS + 60_000, Fault::Kill(2)),
-        (OUTAGE_FROM_MS + 70_000, Fault::Start(2)),
-        (OUTAGE_FROM_MS + OUTAGE_MS, Fault::StoreUp),
+        (OUTAGE_START_MS, Fault::StoreDown),
+        (OUTAGE_START_MS + 60_000, Fault::Kill(2)),
+        (OUTAGE_START_MS + 70_000, Fault::Start(2)),
+        (OUTAGE_START_MS + OUTAGE_MS, Fault::StoreUp),
     ];
     let killed = [
-        (OUTAGE_FROM_MS, Fault::Kill(2)),
-        (OUTAGE_FROM_MS + 10_000, Fault::Start(2)),
+        (OUTAGE_START_MS, Fault::Kill(2)),
+        (OUTAGE_START_MS + 10_000, Fault::Start(2)),
     ];
     let isolated = [
-        (OUTAGE_FROM_MS, Fault::IsolateRegion(2)),
-        (OUTAGE_FROM_MS + OUTAGE_MS, Fault::Heal),
+        (OUTAGE_START_MS, Fault::IsolateRegion(2)),
+        (OUTAGE_START_MS + OUTAGE_MS, Fault::Heal),
     ];
     for placement in placements {
         scenarios.push(outage("store down 10 min", placement, &store_down));
@@ -90,44 +95,44 @@
     name: &'static str,
     load_pct: u64,
     placement: Placement,
-    beside_pct: u64,
+    other_load_pct: u64,
     faults: &[(u64, Fault)],
 ) -> Scenario {
     Scenario {
         name,
         load_pct,
         placement,
-        beside_pct,
+        other_load_pct,
         faults: faults.to_vec(),
         tally_from_ms: WARM_UP_MS,
-        end_ms: WARM_UP_MS + MEASURED_MS,
+        end_ms: WARM_UP_MS + MEASUREMENT_MS,
     }
 }
 
-/// Counts only the decisions during the outage.
+/// Builds a scenario that counts only the decisions made during the outage.
 fn outage(name: &'static str, placement: Placement, faults: &[(u64, Fault)]) -> Scenario {
     Scenario {
-        tally_from_ms: OUTAGE_FROM_MS,
-        end_ms: OUTAGE_FROM_MS + OUTAGE_MS,
+        tally_from_ms: OUTAGE_START_MS,
+        end_ms: OUTAGE_START_MS + OUTAGE_MS,
         ..scenario(name, 90, placement, 50, faults)
     }
 }
 
-/// The regions.
+/// Returns the regions of all scenarios.
 pub(super) fn regions() -> Vec<RegionId> {
     ["north", "south", "west"]
-        .map(|id| id.parse().expect("a valid name"))
+        .map(|id| id.parse().expect("a valid identifier"))
         .to_vec()
 }
 
-/// Name of the measured account.
-pub(super) fn measured() -> AccountId {
-    "measured".parse().expect("a valid name")
+/// Returns the identifier of the measured account.
+pub(super) fn measured_account() -> AccountId {
+    "measured".parse().expect("a valid identifier")
 }
 
 fn account(id: &str) -> Account {
     Account {
-        id: id.parse().expect("a valid name"),
+        id: id.parse().expect("a valid identifier"),
         rate_tokens_per_s: 2_000,
         burst_tokens: 20_000,
         queue_weight: 1,
@@ -136,7 +141,7 @@
     }
 }
 
-/// The document of all scenarios.
+/// Returns the configuration document of all scenarios.
 pub(super) fn document() -> Document {
     Document {
         schema: 1,
@@ -163,7 +168,7 @@
 }
 
 fn flow(account: &Account, load_pct: u64, placement: Placement) -> Flow {
-    let used_pct = (100 + LEAST_OUTPUT_PCT) / 2;
+    let used_pct = (100 + MIN_OUTPUT_PCT) / 2;
     let charged = MAX_PROMPT_TOKENS + MAX_OUTPUT_TOKENS;
     let used = MAX_PROMPT_TOKENS + MAX_OUTPUT_TOKENS * used_pct / 100;
     Flow {
@@ -172,23 +177,23 @@
         placement,
         max_prompt_tokens: MAX_PROMPT_TOKENS,
         max_output_tokens: MAX_OUTPUT_TOKENS,
-        min_output_pct: LEAST_OUTPUT_PCT,
-        max_wait_ms: PATIENCE_MS,
+        min_output_pct: MIN_OUTPUT_PCT,
+        max_wait_ms: MAX_WAIT_MS,
         on_ms: 0,
     }
 }
 
-/// The world of a scenario.
+/// Returns the configuration of a scenario's simulation.
 pub(super) fn setup(
     scenario: &Scenario,
     seed: u64,
     message_bytes: fn(&LoanMessage) -> usize,
 ) -> Setup {
     let document = document();
-    let [measured, beside] = [&document.accounts[0], &document.accounts[1]];
+    let [measured, other] = [&document.accounts[0], &document.accounts[1]];
     let flows = vec![
         flow(measured, scenario.load_pct, scenario.placement),
-        flow(beside, scenario.beside_pct, Placement::Spread),
+        flow(other, scenario.other_load_pct, Placement::Spread),
     ];
     let mut faults = vec![(0, Fault::Publish(1))];
     faults.extend(&scenario.faults);
--- a/crates/ctl/src/experiment/limits/wide.rs
+++ b/crates/ctl/src/experiment/limits/wide.rs
@@ -1,4 +1,4 @@
-//! Traffic of the limits in a wider fleet, with the requests of an instance at the target size.
+//! Loan traffic in a larger fleet, with the request rate of an instance at the target size.
 
 use super::message_bytes;
 use super::scenario;
@@ -12,38 +12,40 @@
 const REGIONS: usize = 11;
 const NODES: usize = 33;
 const ACCOUNTS: u64 = 60;
-/// Requests of one instance in a second: 2,100 over 370 instances.
+/// Requests of one instance per second: 2,100 per second over 370 instances.
 const REQUESTS_PER_NODE_PER_S: f64 = 5.7;
 const MAX_PROMPT_TOKENS: u64 = 600;
 const MAX_OUTPUT_TOKENS: u64 = 300;
 const MEAN_CHARGE_TOKENS: f64 = 450.0;
-/// Offered load in percent of each account's rate, counted as charged.
+/// Offered load in percent of each account's rate, measured in charged tokens.
 const LOAD_PCT: u64 = 90;
-/// Seconds of its rate that an account's burst holds.
+/// Burst of an account, in seconds of its rate.
 const BURST_S: u64 = 20;
 const WARM_UP_MS: u64 = 60_000;
 const END_MS: u64 = 240_000;
 
-/// Traffic and decisions of the wide fleet.
+/// Traffic and decisions of the larger fleet.
 #[derive(Clone, Debug, Serialize)]
 pub struct Wide {
-    /// Instances.
+    /// Number of instances.
     pub nodes: usize,
-    /// Client accounts, whose rates fall off as one over their rank.
+    /// Number of client accounts; their rates are proportional to 1/rank (Zipf).
     pub accounts: u64,
-    /// Requests decided.
+    /// Number of requests decided.
     pub offered: u64,
-    /// Share of requests refused although a perfect bucket would have admitted them, in percent.
+    /// Share of requests refused although a perfect central bucket would have admitted them, in
+    /// percent.
     pub wrongful_pct: f64,
-    /// Loan messages sent by an instance in a second.
+    /// Loan messages sent per instance and second.
     pub messages_per_s: f64,
-    /// Bytes of loan messages sent by an instance in a second.
+    /// Bytes of loan messages sent per instance and second.
     pub bytes_per_s: f64,
-    /// Time of this process for one second of one instance, fakes included, in microseconds.
+    /// Elapsed time per simulated second of one instance, simulation overhead included, in
+    /// microseconds.
     pub process_us_per_s: f64,
 }
 
-/// Runs the wide fleet with every account's requests at all instances alike.
+/// Simulates the larger fleet with every account's requests spread evenly over all instances.
 ///
 /// # Errors
 ///
@@ -65,24 +67,24 @@
         drift_ppm: 200,
         message_bytes,
     };
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let mut world = World::new(setup);
     world.tally_from_ms = WARM_UP_MS;
     world.run_until(WARM_UP_MS);
     let (messages_before, bytes_before) = world.traffic();
     world.run_until(END_MS);
     let (messages, bytes) = world.traffic();
-    let elapsed_us = begun.elapsed().as_micros() as f64;
+    let elapsed_us = started.elapsed().as_micros() as f64;
     let violation = world.violation();
     ensure!(violation.is_none(), "{violation:?}");
     let total = world
         .tallies
         .values()
-        .fold(Tally::default(), |sum, of| Tally {
-            admitted: sum.admitted + of.admitted,
-            refused: sum.refused + of.refused,
-            wrongful: sum.wrongful + of.wrongful,
-            used_tokens: sum.used_tokens + of.used_tokens,
+        .fold(Tally::default(), |sum, tally| Tally {
+            admitted: sum.admitted + tally.admitted,
+            refused: sum.refused + tally.refused,
+            wrongful: sum.wrongful + tally.wrongful,
+            used_tokens: sum.used_tokens + tally.used_tokens,
         });
     let offered = total.admitted + total.refused;
     let node_s = NODES as f64 * (END_MS - WARM_UP_MS) as f64 / 1_000.0;
@@ -101,20 +103,22 @@
     let mut document = scenario::document();
     document.regions = (0..REGIONS)
         .map(|at| Region {
-            id: format!("r{at}").parse().expect("a valid name"),
+            id: format!("r{at}").parse().expect("a valid identifier"),
             data_centres: Vec::new(),
             rate_weight: 1,
         })
         .collect();
-    let ranks: f64 = (1..=ACCOUNTS).map(|rank| 1.0 / rank as f64).sum();
+    let harmonic_sum: f64 = (1..=ACCOUNTS).map(|rank| 1.0 / rank as f64).sum();
     let tokens_per_s = NODES as f64 * REQUESTS_PER_NODE_PER_S * MEAN_CHARGE_TOKENS;
     let sample = document.accounts[0].clone();
     document.accounts = (1..=ACCOUNTS)
         .map(|rank| {
-            let offered = tokens_per_s / ranks / rank as f64;
+            let offered = tokens_per_s / harmonic_sum / rank as f64;
             let rate = (offered * 100.0 / LOAD_PCT as f64) as u64;
             Account {
-                id: format!("account-{rank}").parse().expect("a valid name"),
+                id: format!("account-{rank}")
+                    .parse()
+                    .expect("a valid identifier"),
                 rate_tokens_per_s: rate,
                 burst_tokens: rate * BURST_S,
                 ..sample.clone()
--- a/crates/ctl/src/experiment/limits/world/bucket.rs
+++ b/crates/ctl/src/experiment/limits/world/bucket.rs
@@ -1,8 +1,8 @@
-//! A single bucket in true time: the reference that decisions are compared with.
+//! Reference token bucket in true time, with which the limiter's decisions are compared.
 
 use carobwheel_core::limit::MICRO_PER_TOKEN;
 
-/// A bucket with reservations whose level and reservations together keep within the burst.
+/// A token bucket with reservations. Its level and reservations together never exceed the burst.
 #[derive(Clone, Debug)]
 pub struct Bucket {
     rate_tokens_per_s: u64,
@@ -13,7 +13,7 @@
 }
 
 impl Bucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn full(rate_tokens_per_s: u64, burst_tokens: u64) -> Self {
         let burst_micro = burst_tokens * MICRO_PER_TOKEN;
         Self {
@@ -33,13 +33,13 @@
         self.level_micro = level.min(room);
     }
 
-    /// Whether `tokens` could be charged.
-    pub fn has(&mut self, tokens: u64, at_ms: u64) -> bool {
+    /// Returns whether `tokens` can be charged.
+    pub fn can_charge(&mut self, tokens: u64, at_ms: u64) -> bool {
         self.accrue(at_ms);
         self.level_micro >= tokens * MICRO_PER_TOKEN
     }
 
-    /// Charges a request, as far as there is level.
+    /// Charges a request; the level does not drop below zero.
     pub fn charge(&mut self, prompt_tokens: u64, max_output_tokens: u64, at_ms: u64) {
         self.accrue(at_ms);
         let total = (prompt_tokens + max_output_tokens) * MICRO_PER_TOKEN;
@@ -48,7 +48,7 @@
         self.accrue(at_ms);
     }
 
-    /// Settles a request.
+    /// Settles a request and refunds its unused output tokens.
     pub fn settle(&mut self, max_output_tokens: u64, output_tokens: u64, at_ms: u64) {
         self.accrue(at_ms);
         self.reserved_micro -= max_output_tokens * MICRO_PER_TOKEN;
--- a/crates/ctl/src/experiment/limits/world/fault.rs
+++ b/crates/ctl/src/experiment/limits/world/fault.rs
@@ -1,4 +1,5 @@
-//! Faults of the world, and faults planted in the mechanism to show that the checks catch them.
+//! Faults of the environment, and defects injected into the limiter to verify that the checks
+//! detect them.
 
 use super::node::Node;
 use carobwheel_core::document::Document;
@@ -6,52 +7,53 @@
 use carobwheel_core::slot::OwnedSlot;
 use carobwheel_core::time::Millis;
 
-/// Something that happens to the world.
+/// A fault or another scheduled change of the environment; instances and regions are indices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// An instance is killed.
     Kill(usize),
-    /// An instance is started, if it does not run.
+    /// An instance is started if it is not running.
     Start(usize),
-    /// An instance is paused for some milliseconds.
+    /// An instance is paused for a number of milliseconds.
     Pause(usize, u64),
-    /// Messages from and to an instance are lost for some milliseconds; callers still reach it.
+    /// An instance is disconnected from its peers for a number of milliseconds; callers and the
+    /// store still reach it.
     Disconnect(usize, u64),
-    /// The store goes down.
+    /// The store becomes unavailable.
     StoreDown,
-    /// The store comes back.
+    /// The store becomes available again.
     StoreUp,
-    /// A region is cut off from the others.
+    /// A region is partitioned from all others.
     IsolateRegion(usize),
-    /// All regions are joined again.
+    /// All partitions between regions end.
     Heal,
     /// A revision of the document is published.
     Publish(u64),
 }
 
-/// A fault planted at the interface of the limiters.
+/// A defect injected at the interface of the limiters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// No fault is planted.
+    /// No defect.
     None,
-    /// The borrower is credited twice what the lender has debited.
+    /// The borrower is credited twice the amount that the lender has debited.
     LoanCreditedTwice,
-    /// The lender forgets a loan and counts its tokens as its own again.
+    /// The lender treats a loan as returned at once and counts its tokens as its own again.
     LoanForgotten,
-    /// An instance that wakes from a long pause goes on as before.
+    /// An instance does not invalidate its slots after a long pause.
     PauseCheckDisabled,
-    /// A new owner starts with full parts and asks no one.
+    /// A new owner starts with full parts and does not audit its peers.
     NewOwnerStartsFull,
-    /// A share that grows counts at once.
+    /// An increased share takes effect before all instances have applied the revision.
     ImmediateShareGrowth,
 }
 
-/// The message as it arrives.
+/// Returns the message as received, modified if the defect concerns messages.
 pub fn corrupt(defect: Defect, message: &LoanMessage) -> LoanMessage {
     let mut message = message.clone();
     if defect == Defect::LoanCreditedTwice {
-        for ask in &mut message.requests {
-            ask.wanted_micro /= 2;
+        for request in &mut message.requests {
+            request.wanted_micro /= 2;
         }
         for grant in &mut message.grants {
             grant.amount_micro *= 2;
@@ -60,8 +62,8 @@
     message
 }
 
-/// Makes a lender take every loan that it has just granted as given back.
-pub fn forget_lent(limiter: &mut Limiter, granted: &[OutgoingLoanMessage], now: Millis) {
+/// Makes a lender treat every loan that it has just granted as returned.
+pub fn forget_loans(limiter: &mut Limiter, granted: &[OutgoingLoanMessage], now: Millis) {
     for (borrower, message) in granted {
         let reports = message.grants.iter().map(|grant| LoanReport {
             loan: grant.loan,
@@ -76,9 +78,9 @@
     }
 }
 
-/// Fills the parts of slots that an instance has just taken over.
+/// Fills the parts of slots that an instance has just acquired.
 pub fn fill_new_slots(node: &mut Node, before: &[OwnedSlot], document: &Document, now: Millis) {
-    let owned = node.keeper.record().owned_by(&node.peer);
+    let owned = node.reconciler.record().owned_by(&node.peer);
     let levels: Vec<_> = document
         .accounts
         .iter()
--- a/crates/ctl/src/experiment/limits/world/flow.rs
+++ b/crates/ctl/src/experiment/limits/world/flow.rs
@@ -1,18 +1,18 @@
-//! Offered load: requests of an account over time and places.
+//! Offered load: arrivals of an account's requests over time and instances.
 
 use carobwheel_core::id::AccountId;
 use rand::{rngs::StdRng, Rng};
 
-/// Where an account's requests arrive.
+/// Distribution of an account's requests over the instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// At all instances alike.
+    /// Evenly over all instances.
     Spread,
-    /// At the instance with this number.
+    /// Only at the instance with this index.
     One(usize),
-    /// At the instances of one region, and of the next one after `period_ms`.
+    /// Evenly over the instances of one region, moving to the next region every `period_ms`.
     Moving {
-        /// Time in one region, in milliseconds.
+        /// Time spent in one region, in milliseconds.
         period_ms: u64,
     },
 }
@@ -22,46 +22,46 @@
 pub struct Flow {
     /// The account.
     pub account: AccountId,
-    /// Tokens asked for in a second on average, prompt and most output together.
+    /// Average tokens requested per second, the sum of prompt and output bound.
     pub tokens_per_s: u64,
-    /// Places.
+    /// Distribution over the instances.
     pub placement: Placement,
     /// Largest prompt, in tokens.
     pub max_prompt_tokens: u64,
     /// Largest bound on the output, in tokens.
     pub max_output_tokens: u64,
-    /// Least share of the output bound that is generated, in percent.
+    /// Smallest share of the output bound that is generated, in percent.
     pub min_output_pct: u64,
-    /// Time that a request may wait for tokens, in milliseconds.
+    /// Maximum wait of a request for tokens, in milliseconds.
     pub max_wait_ms: u64,
-    /// The load is on for this time and off for as long; 0 if it is always on.
+    /// Length of alternating on and off phases, in milliseconds; 0 for constant load.
     pub on_ms: u64,
 }
 
-/// A request.
+/// A request that arrives at an instance.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// True time, in milliseconds.
+    /// True time of arrival, in milliseconds.
     pub at_ms: u64,
-    /// Number of the instance.
+    /// Index of the instance.
     pub node: usize,
     /// The account.
     pub account: AccountId,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Most tokens to generate.
+    /// Bound on the tokens to generate.
     pub max_output_tokens: u64,
-    /// Tokens that will be generated.
+    /// Number of tokens that will be generated.
     pub output_tokens: u64,
-    /// Tokens generated in a second.
+    /// Tokens generated per second.
     pub speed_tokens_per_s: u64,
-    /// Time that the request may wait for tokens, in milliseconds.
+    /// Maximum wait for tokens, in milliseconds.
     pub max_wait_ms: u64,
 }
 
 impl Flow {
-    /// Requests that arrive in the `step_ms` from `at_ms`, at one of `nodes` instances that stand
-    /// in `regions` regions by turns.
+    /// Generates the requests that arrive in the `step_ms` after `at_ms`, each at one of `nodes`
+    /// instances that are assigned to `regions` regions round-robin.
     pub fn arrivals(
         &self,
         at_ms: u64,
@@ -89,19 +89,19 @@
             Placement::Spread => rng.random_range(0..nodes),
             Placement::One(node) => node,
             Placement::Moving { period_ms } => {
-                let turn = usize::try_from(at_ms / period_ms).unwrap_or(0) % regions;
-                turn + regions * rng.random_range(0..nodes / regions)
+                let region = usize::try_from(at_ms / period_ms).unwrap_or(0) % regions;
+                region + regions * rng.random_range(0..nodes / regions)
             }
         };
         let max_output_tokens = rng.random_range(1..=self.max_output_tokens);
-        let least = max_output_tokens * self.min_output_pct / 100;
+        let min_output_tokens = max_output_tokens * self.min_output_pct / 100;
         Arrival {
             at_ms,
             node,
             account: self.account.clone(),
             prompt_tokens: rng.random_range(1..=self.max_prompt_tokens),
             max_output_tokens,
-            output_tokens: rng.random_range(least..=max_output_tokens),
+            output_tokens: rng.random_range(min_output_tokens..=max_output_tokens),
             speed_tokens_per_s: rng.random_range(50..=500),
             max_wait_ms: self.max_wait_ms,
         }
--- a/crates/ctl/src/experiment/limits/world/mod.rs
+++ b/crates/ctl/src/experiment/limits/world/mod.rs
@@ -1,7 +1,7 @@
-//! A small world of instances, a network and a store, in seeded steps of true time.
+//! Deterministic discrete-event simulation of instances, a network and a store in true time.
 //!
-//! The randomised runs of the core and the measurement share it. Limiters and keepers are the
-//! real ones; everything around them is a fake at their interfaces.
+//! Shared by the randomised tests of the core and by this experiment. Limiters and ownership
+//! reconcilers are the real ones; all else is faked at their interfaces.
 
 pub mod bucket;
 pub mod fault;
@@ -29,24 +29,24 @@
 use std::rc::Rc;
 use store::{Store, Versioned};
 
-/// Step of arrivals, in milliseconds.
+/// Interval at which arrivals are generated, in milliseconds.
 const ARRIVAL_STEP_MS: u64 = 10;
-const HEARTBEAT_MS: u64 = 1_000;
-const STORE_READ_MS: u64 = 2_000;
+const HEARTBEAT_INTERVAL_MS: u64 = 1_000;
+const STORE_READ_INTERVAL_MS: u64 = 2_000;
 const STORE_TIMEOUT_MS: u64 = 1_000;
-const LIVE_LIST_MS: u64 = 2_000;
-const HOME_DELAY_MS: u64 = 1;
-const AWAY_DELAY_MS: u64 = 80;
-/// A paused process falls off the live list after this time, in milliseconds.
-const UNLISTED_AFTER_MS: u64 = 8_000;
+const LIVE_LIST_INTERVAL_MS: u64 = 2_000;
+const SAME_REGION_DELAY_MS: u64 = 1;
+const OTHER_REGION_DELAY_MS: u64 = 80;
+/// Time after which a paused process is removed from the live list, in milliseconds.
+const LIVE_LIST_RETENTION_MS: u64 = 8_000;
 
-/// What a world is made of.
+/// Configuration of a simulation.
 pub struct Setup {
-    /// Seed of everything random.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Regions; instance `n` stands in region `n % regions`.
+    /// Regions; instance `n` is in region `n % regions`.
     pub regions: Vec<RegionId>,
-    /// Instances.
+    /// Number of instances.
     pub nodes: usize,
     /// Documents by revision, starting with revision 1.
     pub documents: Vec<Document>,
@@ -54,28 +54,29 @@
     pub flows: Vec<Flow>,
     /// Faults by true time, in milliseconds.
     pub faults: Vec<(u64, Fault)>,
-    /// A fault planted in the mechanism.
+    /// Defect injected into the limiters.
     pub defect: Defect,
-    /// Messages lost, doubled, and delayed by up to 3 s, in percent each.
+    /// Probability that a message is lost, duplicated, or delayed by up to 3 s, in percent each.
     pub loss_pct: u32,
-    /// Time between two ticks of an instance, in milliseconds.
+    /// Interval between two ticks of an instance, in milliseconds.
     pub tick_ms: u64,
-    /// Largest drift of a clock, in parts per million either way.
+    /// Maximum drift of a clock in either direction, in parts per million.
     pub drift_ppm: i64,
-    /// Size of a message on the wire, in bytes.
+    /// Returns the size of a message on the wire, in bytes.
     pub message_bytes: fn(&LoanMessage) -> usize,
 }
 
-/// What was decided on an account's requests.
+/// Decisions on an account's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Requests admitted.
+    /// Number of requests admitted.
     pub admitted: u64,
-    /// Requests refused.
+    /// Number of requests refused.
     pub refused: u64,
-    /// Requests refused although a perfect bucket charged alike would have admitted them.
+    /// Number of requests refused although a perfect bucket with the same charges would have
+    /// admitted them.
     pub wrongful: u64,
-    /// Tokens that admitted requests use when they run to their end.
+    /// Tokens that admitted requests use if they run to completion.
     pub used_tokens: u64,
 }
 
@@ -90,8 +91,8 @@
     Arrivals,
     Fault(Fault),
     Deliver(Peer, Peer, Payload),
-    StoreEffect(Peer, Option<OwnershipWrite>, Millis, bool),
-    StoreAnswer(Peer, Versioned, Millis),
+    StoreRequest(Peer, Option<OwnershipWrite>, Millis, bool),
+    StoreResponse(Peer, Versioned, Millis),
     LiveList,
 }
 
@@ -99,19 +100,19 @@
     node: Node,
     paused_from: Option<u64>,
     paused_until: u64,
-    held_back: Vec<(Peer, Payload)>,
+    deferred: Vec<(Peer, Payload)>,
     next_heartbeat_ms: u64,
     next_read_ms: u64,
-    awaits_store_until_ms: u64,
+    store_call_deadline_ms: u64,
     bytes_sent: u64,
     messages_sent: u64,
 }
 
-/// Instances, network and store.
+/// A simulation of instances, network and store.
 pub struct World {
     setup: Setup,
     rng: StdRng,
-    /// Offered load has a source of its own, so that it is the same whatever is decided.
+    /// Separate generator of the offered load, so that the load does not depend on decisions.
     load_rng: StdRng,
     now_ms: u64,
     sequence: u64,
@@ -119,30 +120,30 @@
     events: BTreeMap<(u64, u64), Event>,
     processes: Vec<Option<Process>>,
     incarnations: Vec<u64>,
-    /// The store.
+    /// The fake store.
     pub store: Store,
-    cut_off: Vec<bool>,
-    silent_until_ms: Vec<u64>,
-    listed: Vec<Peer>,
+    isolated_regions: Vec<bool>,
+    disconnected_until_ms: Vec<u64>,
+    live_list: Vec<Peer>,
     /// Charges by account.
     pub ledgers: BTreeMap<AccountId, Ledger>,
-    shadows: BTreeMap<AccountId, Bucket>,
+    reference_buckets: BTreeMap<AccountId, Bucket>,
     /// Decisions by account and part of the run.
     pub tallies: BTreeMap<AccountId, Tally>,
-    /// Every request that was offered.
+    /// All requests offered so far.
     pub arrivals: Vec<Arrival>,
-    /// Decisions count from this true time on, in milliseconds.
+    /// True time of arrival from which requests are counted, in milliseconds.
     pub tally_from_ms: u64,
-    published: u64,
-    bytes_of_past: u64,
-    messages_of_past: u64,
+    published_revision: u64,
+    ended_bytes_sent: u64,
+    ended_messages_sent: u64,
 }
 
 impl World {
-    /// A world at time 0 with all instances just started.
+    /// Creates a simulation at time 0 with all instances just started.
     pub fn new(setup: Setup) -> Self {
         let first = &setup.documents[0];
-        let shadows = first.accounts.iter().map(|account| {
+        let reference_buckets = first.accounts.iter().map(|account| {
             let bucket = Bucket::full(account.rate_tokens_per_s, account.burst_tokens);
             (account.id.clone(), bucket)
         });
@@ -156,17 +157,17 @@
             processes: Vec::new(),
             incarnations: vec![0; setup.nodes],
             store: Store::default(),
-            cut_off: vec![false; setup.regions.len()],
-            silent_until_ms: vec![0; setup.nodes],
-            listed: Vec::new(),
+            isolated_regions: vec![false; setup.regions.len()],
+            disconnected_until_ms: vec![0; setup.nodes],
+            live_list: Vec::new(),
             ledgers: BTreeMap::new(),
-            shadows: shadows.collect(),
+            reference_buckets: reference_buckets.collect(),
             tallies: BTreeMap::new(),
             arrivals: Vec::new(),
             tally_from_ms: 0,
-            published: 1,
-            bytes_of_past: 0,
-            messages_of_past: 0,
+            published_revision: 1,
+            ended_bytes_sent: 0,
+            ended_messages_sent: 0,
             setup,
         };
         for at in 0..world.setup.nodes {
@@ -181,7 +182,7 @@
         world
     }
 
-    /// Runs until a true time, in milliseconds.
+    /// Runs the simulation until a true time, in milliseconds.
     pub fn run_until(&mut self, end_ms: u64) {
         while let Some(Reverse(key)) = self.queue.peek().copied() {
             if key.0 > end_ms {
@@ -196,10 +197,10 @@
         self.now_ms = end_ms;
     }
 
-    /// Ends all requests and checks every account.
+    /// Ends all requests and returns the first violation of any account.
     pub fn violation(&mut self) -> Option<Violation> {
         for at in 0..self.processes.len() {
-            self.end_requests(at);
+            self.end_all_requests(at);
         }
         let document = &self.setup.documents[0];
         document.accounts.iter().find_map(|account| {
@@ -209,11 +210,11 @@
         })
     }
 
-    /// Loan messages and their bytes sent by all instances.
+    /// Returns the number of loan messages sent by all instances and their size in bytes.
     pub fn traffic(&self) -> (u64, u64) {
         let running = self.processes.iter().flatten();
         running.fold(
-            (self.messages_of_past, self.bytes_of_past),
+            (self.ended_messages_sent, self.ended_bytes_sent),
             |(messages, bytes), process| {
                 (messages + process.messages_sent, bytes + process.bytes_sent)
             },
@@ -227,7 +228,7 @@
         self.events.insert(key, event);
     }
 
-    fn after(&mut self, delay_ms: u64, event: Event) {
+    fn schedule_after(&mut self, delay_ms: u64, event: Event) {
         self.schedule(self.now_ms + delay_ms, event);
     }
 
@@ -237,7 +238,7 @@
         }
         self.incarnations[at] += 1;
         let region = self.setup.regions[at % self.setup.regions.len()].clone();
-        let instance = format!("i{at}").parse().expect("a valid name");
+        let instance = format!("i{at}").parse().expect("a valid identifier");
         let peer = Peer {
             instance,
             incarnation: self.incarnations[at],
@@ -249,18 +250,18 @@
             node,
             paused_from: None,
             paused_until: 0,
-            held_back: Vec::new(),
+            deferred: Vec::new(),
             next_heartbeat_ms: 0,
             next_read_ms: 0,
-            awaits_store_until_ms: 0,
+            store_call_deadline_ms: 0,
             bytes_sent: 0,
             messages_sent: 0,
         });
         let offset_ms = self.rng.random_range(0..self.setup.tick_ms);
-        self.after(offset_ms, Event::Tick(peer));
+        self.schedule_after(offset_ms, Event::Tick(peer));
     }
 
-    fn find(&self, peer: &Peer) -> Option<usize> {
+    fn process_index(&self, peer: &Peer) -> Option<usize> {
         self.processes.iter().position(|process| {
             process
                 .as_ref()
@@ -280,12 +281,12 @@
             Event::Arrivals => self.on_arrivals(),
             Event::Fault(fault) => self.on_fault(fault),
             Event::Deliver(from, to, payload) => self.on_deliver(&from, &to, payload),
-            Event::StoreEffect(peer, write, began, is_answered) => {
-                self.on_store(&peer, write, began, is_answered);
+            Event::StoreRequest(peer, write, began, is_answered) => {
+                self.on_store_request(&peer, write, began, is_answered);
             }
-            Event::StoreAnswer(peer, versioned, began) => {
-                if let Some(at) = self.find(&peer) {
-                    self.on_store_answer(at, &versioned, began);
+            Event::StoreResponse(peer, versioned, began) => {
+                if let Some(at) = self.process_index(&peer) {
+                    self.on_store_response(at, &versioned, began);
                 }
             }
             Event::LiveList => self.on_live_list(),
@@ -295,10 +296,10 @@
     fn on_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Kill(at) => {
-                self.end_requests(at);
+                self.end_all_requests(at);
                 if let Some(process) = self.processes[at].take() {
-                    self.bytes_of_past += process.bytes_sent;
-                    self.messages_of_past += process.messages_sent;
+                    self.ended_bytes_sent += process.bytes_sent;
+                    self.ended_messages_sent += process.messages_sent;
                 }
             }
             Fault::Start(at) => self.start(at),
@@ -309,18 +310,18 @@
                     process.paused_until = now_ms + pause_ms;
                 }
             }
-            Fault::Disconnect(at, silence_ms) => {
-                self.silent_until_ms[at] = self.now_ms + silence_ms;
+            Fault::Disconnect(at, disconnect_ms) => {
+                self.disconnected_until_ms[at] = self.now_ms + disconnect_ms;
             }
             Fault::StoreDown => self.store.is_down = true,
             Fault::StoreUp => self.store.is_down = false,
-            Fault::IsolateRegion(region) => self.cut_off[region] = true,
-            Fault::Heal => self.cut_off.fill(false),
+            Fault::IsolateRegion(region) => self.isolated_regions[region] = true,
+            Fault::Heal => self.isolated_regions.fill(false),
             Fault::Publish(revision) => {
-                self.published = revision;
+                self.published_revision = revision;
                 let first = (0..self.processes.len()).find(|at| self.processes[*at].is_some());
                 if let Some(at) = first {
-                    self.apply(at, revision);
+                    self.apply_revision(at, revision);
                 }
             }
         }
--- a/crates/ctl/src/experiment/limits/world/network.rs
+++ b/crates/ctl/src/experiment/limits/world/network.rs
@@ -1,7 +1,9 @@
-//! The network between instances.
+//! Simulated network between instances: heartbeats, loan messages, loss and delay.
 
 use super::fault::{self, Defect};
-use super::{Event, Payload, World, AWAY_DELAY_MS, HEARTBEAT_MS, HOME_DELAY_MS};
+use super::{
+    Event, Payload, World, HEARTBEAT_INTERVAL_MS, OTHER_REGION_DELAY_MS, SAME_REGION_DELAY_MS,
+};
 use carobwheel_core::limit::OutgoingLoanMessage;
 use carobwheel_core::slot::Peer;
 use rand::Rng;
@@ -16,7 +18,7 @@
         if process.next_heartbeat_ms > now_ms {
             return;
         }
-        process.next_heartbeat_ms = now_ms + HEARTBEAT_MS;
+        process.next_heartbeat_ms = now_ms + HEARTBEAT_INTERVAL_MS;
         let now = process.node.clock(now_ms);
         process.node.refresh_members(now);
         let heartbeat = Rc::new(process.node.heartbeat());
@@ -48,53 +50,59 @@
     }
 
     pub(super) fn send(&mut self, from: &Peer, to: &Peer, payload: Payload) {
-        let copies = if self.is_hit() { 2 } else { 1 };
+        let copies = if self.draw_fault() { 2 } else { 1 };
         for _ in 0..copies {
-            if self.is_hit() {
+            if self.draw_fault() {
                 continue;
             }
             let (Some(a), Some(b)) = (self.region_of(from), self.region_of(to)) else {
                 return;
             };
-            let is_cut_off = a != b && (self.cut_off[a] || self.cut_off[b]);
-            if is_cut_off || self.is_silent(from) || self.is_silent(to) {
+            let is_partitioned = a != b && (self.isolated_regions[a] || self.isolated_regions[b]);
+            if is_partitioned || self.is_disconnected(from) || self.is_disconnected(to) {
                 return;
             }
-            let base_ms = if a == b { HOME_DELAY_MS } else { AWAY_DELAY_MS };
+            let base_ms = if a == b {
+                SAME_REGION_DELAY_MS
+            } else {
+                OTHER_REGION_DELAY_MS
+            };
             let mut delay_ms = base_ms + self.rng.random_range(0..=base_ms / 8 + 1);
-            if self.is_hit() {
+            if self.draw_fault() {
                 delay_ms += self.rng.random_range(0..3_000);
             }
             let event = Event::Deliver(from.clone(), to.clone(), payload.clone());
-            self.after(delay_ms, event);
+            self.schedule_after(delay_ms, event);
         }
     }
 
-    pub(super) fn is_hit(&mut self) -> bool {
+    pub(super) fn draw_fault(&mut self) -> bool {
         let loss_pct = self.setup.loss_pct;
         loss_pct > 0 && self.rng.random_ratio(loss_pct, 100)
     }
 
-    pub(super) fn number_of(&self, peer: &Peer) -> Option<usize> {
+    pub(super) fn instance_index(&self, peer: &Peer) -> Option<usize> {
         peer.instance.as_str().get(1..)?.parse().ok()
     }
 
     pub(super) fn region_of(&self, peer: &Peer) -> Option<usize> {
-        Some(self.number_of(peer)? % self.setup.regions.len())
+        Some(self.instance_index(peer)? % self.setup.regions.len())
     }
 
-    pub(super) fn is_silent(&self, peer: &Peer) -> bool {
+    pub(super) fn is_disconnected(&self, peer: &Peer) -> bool {
         let until_ms = self
-            .number_of(peer)
-            .map_or(0, |at| self.silent_until_ms[at]);
+            .instance_index(peer)
+            .map_or(0, |at| self.disconnected_until_ms[at]);
         until_ms > self.now_ms
     }
 
     pub(super) fn on_deliver(&mut self, from: &Peer, to: &Peer, payload: Payload) {
-        let Some(at) = self.find(to) else { return };
+        let Some(at) = self.process_index(to) else {
+            return;
+        };
         if self.is_paused(at) {
             if let Some(process) = &mut self.processes[at] {
-                process.held_back.push((from.clone(), payload));
+                process.deferred.push((from.clone(), payload));
             }
             return;
         }
@@ -111,18 +119,18 @@
         match payload {
             Payload::Heartbeat(heartbeat) => {
                 if let Some(revision) = process.node.on_heartbeat(from, &heartbeat, now) {
-                    self.apply(at, revision);
+                    self.apply_revision(at, revision);
                 }
             }
             Payload::Loan(message) => {
                 let message = fault::corrupt(self.setup.defect, &message);
-                let brings_tokens = !message.grants.is_empty();
+                let has_grants = !message.grants.is_empty();
                 let outgoing = process.node.on_loan_message(from, &message, now);
                 if self.setup.defect == Defect::LoanForgotten {
-                    fault::forget_lent(&mut process.node.limiter, &outgoing, now);
+                    fault::forget_loans(&mut process.node.limiter, &outgoing, now);
                 }
                 self.send_loans(at, outgoing);
-                if brings_tokens {
+                if has_grants {
                     self.try_waiting(at, true);
                 }
             }
--- a/crates/ctl/src/experiment/limits/world/node.rs
+++ b/crates/ctl/src/experiment/limits/world/node.rs
@@ -1,4 +1,4 @@
-//! One instance of the world, around a limiter and a keeper.
+//! A simulated instance with a real limiter and a real ownership reconciler.
 
 use super::flow::Arrival;
 use super::store::Versioned;
@@ -12,26 +12,27 @@
 use carobwheel_core::time::Millis;
 use std::collections::BTreeMap;
 
-/// Time for which a peer counts as alive after a heartbeat, in milliseconds.
-const ALIVE_MS: u64 = 4_000;
+/// Time without a heartbeat after which a peer no longer counts as alive, in milliseconds.
+const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
 
-/// A request that waits for tokens.
+/// A request waiting for tokens.
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct WaitingRequest {
     /// The request.
     pub arrival: Arrival,
-    /// A bucket charged with all that was admitted so far could have admitted the request.
-    pub is_within: bool,
+    /// The reference bucket, charged with all requests admitted so far, could have admitted the
+    /// request at some time.
+    pub is_within_limit: bool,
     retry_at: Millis,
     wait_until: Millis,
 }
 
-/// A request that runs.
+/// An admitted request that is generating.
 #[derive(Clone, Debug)]
-pub struct Running {
+pub struct RunningRequest {
     /// The request.
     pub arrival: Arrival,
-    /// Its charge.
+    /// The charge at the limiter.
     pub charge: ChargeId,
     /// True time of admission, in milliseconds.
     pub admitted_ms: u64,
@@ -39,145 +40,152 @@
     pub generated_tokens: u64,
 }
 
-/// What a heartbeat says about its sender.
+/// Content of a heartbeat.
 #[derive(Clone, Debug)]
 pub struct Heartbeat {
     /// Region of the sender.
     pub region: RegionId,
-    /// Revision of the document that the sender applies.
-    pub document: u64,
-    /// Revision whose shares the sender keeps within.
-    pub settled: u64,
-    /// Records of all regions as the sender knows them.
+    /// Revision of the document applied by the sender.
+    pub document_revision: u64,
+    /// Settled revision of the sender: its shares do not exceed those of this revision.
+    pub settled_revision: u64,
+    /// Latest ownership records of all regions received by the sender.
     pub records: BTreeMap<RegionId, Versioned>,
 }
 
-/// An instance.
+/// A simulated instance.
 #[derive(Debug)]
 pub struct Node {
-    /// This run of the instance.
+    /// Instance and incarnation.
     pub peer: Peer,
-    /// Its region.
+    /// Region of the instance.
     pub region: RegionId,
-    /// Its limiter.
+    /// Limiter of the instance.
     pub limiter: Limiter,
-    /// Its keeper.
-    pub keeper: OwnershipReconciler,
-    /// Signs of life as it has seen them.
-    pub presence: LivenessTracker,
-    /// Requests that wait.
-    pub waiting: Vec<Waiting>,
-    /// Requests that run.
-    pub running: Vec<Running>,
-    /// The document that it applies.
-    pub document: u64,
-    /// Records of all regions as it knows them.
+    /// Ownership reconciler of the instance.
+    pub reconciler: OwnershipReconciler,
+    /// Liveness of the peers as observed by the instance.
+    pub liveness_tracker: LivenessTracker,
+    /// Requests waiting for tokens.
+    pub waiting: Vec<WaitingRequest>,
+    /// Requests that are generating.
+    pub running: Vec<RunningRequest>,
+    /// Revision of the applied document; 0 if none.
+    pub document_revision: u64,
+    /// Latest ownership records received, by region.
     pub records: BTreeMap<RegionId, Versioned>,
-    /// Last report of each peer: region, settled revision, time.
+    /// Last report of each peer: region, settled revision, time of receipt.
     reports: BTreeMap<Peer, (RegionId, u64, Millis)>,
-    listed: Vec<Peer>,
+    live_list: Vec<Peer>,
     clock_ppm: i64,
     started_ms: u64,
 }
 
 impl Node {
-    /// An instance started at a true time, whose clock is off by `clock_ppm`.
+    /// Creates an instance that starts at a true time and whose clock drifts by `clock_ppm`.
     pub fn new(peer: Peer, region: RegionId, started_ms: u64, clock_ppm: i64) -> Self {
         let now = Millis(0);
         Self {
             limiter: Limiter::new(peer.clone(), region.clone()),
-            keeper: OwnershipReconciler::new(peer.clone(), now),
+            reconciler: OwnershipReconciler::new(peer.clone(), now),
             peer,
             region,
-            presence: LivenessTracker::default(),
+            liveness_tracker: LivenessTracker::default(),
             waiting: Vec::new(),
             running: Vec::new(),
-            document: 0,
+            document_revision: 0,
             records: BTreeMap::new(),
             reports: BTreeMap::new(),
-            listed: Vec::new(),
+            live_list: Vec::new(),
             clock_ppm,
             started_ms,
         }
     }
 
-    /// The instance's monotonic clock at a true time.
+    /// Returns the instance's monotonic clock at a true time.
     pub fn clock(&self, at_ms: u64) -> Millis {
         let elapsed = i128::from(at_ms - self.started_ms);
         let drifted = elapsed + elapsed * i128::from(self.clock_ppm) / 1_000_000;
         Millis(u64::try_from(drifted).unwrap_or(0))
     }
 
-    /// Takes a heartbeat; returns a higher revision of the document that the sender has.
+    /// Handles a heartbeat; returns the sender's document revision if it is higher.
     pub fn on_heartbeat(&mut self, from: &Peer, heartbeat: &Heartbeat, now: Millis) -> Option<u64> {
-        self.presence.note_heartbeat(from, now);
-        let report = (heartbeat.region.clone(), heartbeat.settled, now);
+        self.liveness_tracker.note_heartbeat(from, now);
+        let report = (heartbeat.region.clone(), heartbeat.settled_revision, now);
         self.reports.insert(from.clone(), report);
         for (region, versioned) in &heartbeat.records {
             if *region != self.region {
-                self.note_record(region, versioned);
+                self.apply_record(region, versioned);
             }
         }
-        (heartbeat.document > self.document).then_some(heartbeat.document)
+        (heartbeat.document_revision > self.document_revision)
+            .then_some(heartbeat.document_revision)
     }
 
-    /// The live list has been read, so that this instance knows whom to ask about slots.
-    pub fn has_joined(&self) -> bool {
-        !self.listed.is_empty()
+    /// Returns whether the live list has been read, so that the peers to audit are current.
+    pub fn has_live_list(&self) -> bool {
+        !self.live_list.is_empty()
     }
 
-    /// Takes the live list.
-    pub fn on_live_list(&mut self, listed: &[Peer], read_began: Millis, now: Millis) {
-        self.presence.note_live_list(listed, read_began, now);
-        self.listed = listed.to_vec();
+    /// Handles a read of the live list.
+    pub fn on_live_list(&mut self, live_list: &[Peer], read_began: Millis, now: Millis) {
+        self.liveness_tracker
+            .note_live_list(live_list, read_began, now);
+        self.live_list = live_list.to_vec();
     }
 
-    /// Takes the record of the own region.
+    /// Handles a read of the ownership record of the instance's own region.
     pub fn on_record(&mut self, versioned: &Versioned, read_began: Millis, now: Millis) {
         let region = self.region.clone();
-        self.note_record(&region, versioned);
-        self.presence.note_record(&versioned.record, now);
+        self.apply_record(&region, versioned);
+        self.liveness_tracker.note_record(&versioned.record, now);
         let record = versioned.record.as_ref().clone();
-        match self.keeper.on_read(versioned.revision, record, read_began) {
+        match self
+            .reconciler
+            .on_read(versioned.revision, record, read_began)
+        {
             OwnershipUpdate::Unchanged => {}
             OwnershipUpdate::Owned(owned) => self.limiter.set_slots(&owned, now),
             OwnershipUpdate::Confirmed(owned) => self.limiter.confirm_slots(&owned, now),
         }
     }
 
-    fn note_record(&mut self, region: &RegionId, versioned: &Versioned) {
-        let known = self.records.entry(region.clone()).or_default();
-        if known.revision >= versioned.revision {
+    fn apply_record(&mut self, region: &RegionId, versioned: &Versioned) {
+        let current = self.records.entry(region.clone()).or_default();
+        if current.revision >= versioned.revision {
             return;
         }
-        *known = versioned.clone();
+        *current = versioned.clone();
         let slots = self
             .records
             .iter()
-            .flat_map(|(region, known)| known.record.slots(region));
+            .flat_map(|(region, current)| current.record.slots(region));
         self.limiter.set_owners(slots);
     }
 
-    /// Every peer that was ever heard of.
+    /// Returns all peers that ever sent a heartbeat or are on the live list.
     pub fn known_peers(&self) -> Vec<Peer> {
         let mut peers: Vec<Peer> = self.reports.keys().cloned().collect();
-        peers.extend(self.listed.iter().cloned());
+        peers.extend(self.live_list.iter().cloned());
         peers.sort();
         peers.dedup();
         peers
     }
 
-    /// Members that are not confirmed gone.
+    /// Returns the members, without those that are confirmed gone.
     fn members(&self, now: Millis) -> Vec<Peer> {
         let mut members = self.known_peers();
         members.push(self.peer.clone());
         members.sort();
         members.dedup();
-        members.retain(|peer| *peer == self.peer || !self.presence.liveness(peer, now).is_gone());
+        members.retain(|peer| {
+            *peer == self.peer || !self.liveness_tracker.liveness(peer, now).is_gone()
+        });
         members
     }
 
-    /// Brings the limiter in line with the members.
+    /// Updates the limiter's members and fleet revision.
     pub fn refresh_members(&mut self, now: Millis) {
         let members = self.members(now);
         self.limiter.set_members(&members, now);
@@ -191,66 +199,66 @@
         self.limiter.set_fleet_revision(fleet, now);
     }
 
-    /// The write of the record that is due.
+    /// Returns the next write of the ownership record, if one is due.
     pub fn next_write(&mut self, now: Millis) -> Option<OwnershipWrite> {
         let mut alive = vec![self.peer.clone()];
-        for (peer, (region, _, heard)) in &self.reports {
-            if *region == self.region && now.since(*heard) < ALIVE_MS {
+        for (peer, (region, _, received_at)) in &self.reports {
+            if *region == self.region && now.since(*received_at) < HEARTBEAT_TIMEOUT_MS {
                 alive.push(peer.clone());
             }
         }
-        let presence = &self.presence;
-        let liveness = |peer: &Peer| presence.liveness(peer, now);
-        let view = PlanContext {
+        let liveness_tracker = &self.liveness_tracker;
+        let liveness = |peer: &Peer| liveness_tracker.liveness(peer, now);
+        let context = PlanContext {
             me: &self.peer,
             is_leaving: false,
-            // More hand-overs than the daemon makes, which is the harder case.
+            // Causes more handovers than the daemon makes, which is the harder case.
             are_all_reachable: true,
             alive: &alive,
             liveness: &liveness,
         };
-        let write = self.keeper.next_write(&view)?;
+        let write = self.reconciler.next_write(&context)?;
         self.limiter.suspend(&write.suspended, now);
         Some(write)
     }
 
-    /// What a heartbeat of this instance says.
+    /// Returns a heartbeat of this instance.
     pub fn heartbeat(&self) -> Heartbeat {
         Heartbeat {
             region: self.region.clone(),
-            document: self.document,
-            settled: self.limiter.settled_revision(),
+            document_revision: self.document_revision,
+            settled_revision: self.limiter.settled_revision(),
             records: self.records.clone(),
         }
     }
 
-    /// Queues a request.
+    /// Queues a request that has arrived.
     pub fn on_arrival(&mut self, arrival: Arrival, now: Millis) {
         let wait_until = now.plus(arrival.max_wait_ms);
-        self.waiting.push(Waiting {
+        self.waiting.push(WaitingRequest {
             arrival,
-            is_within: false,
+            is_within_limit: false,
             retry_at: now,
             wait_until,
         });
     }
 
-    /// Tries the requests that wait, in order of arrival for each account, and calls `decided`
-    /// with each request that is decided.
+    /// Tries to charge the waiting requests, in order of arrival for each account, and calls
+    /// `on_decided` with each request that is admitted or refused.
     pub fn try_waiting(
         &mut self,
         at_ms: u64,
-        is_urgent: bool,
-        within: &mut dyn FnMut(&Arrival) -> bool,
-        decided: &mut dyn FnMut(&Waiting, bool),
+        skips_retry_delay: bool,
+        fits_limit: &mut dyn FnMut(&Arrival) -> bool,
+        on_decided: &mut dyn FnMut(&WaitingRequest, bool),
     ) -> Vec<OutgoingLoanMessage> {
         let now = self.clock(at_ms);
         let mut outgoing = Vec::new();
         let mut blocked: Vec<AccountId> = Vec::new();
         for mut waiting in std::mem::take(&mut self.waiting) {
-            waiting.is_within |= within(&waiting.arrival);
+            waiting.is_within_limit |= fits_limit(&waiting.arrival);
             let is_late = now >= waiting.wait_until;
-            let is_due = is_urgent || waiting.retry_at <= now || is_late;
+            let is_due = skips_retry_delay || waiting.retry_at <= now || is_late;
             let is_blocked = blocked.contains(&waiting.arrival.account) && !is_late;
             if !is_due || is_blocked {
                 blocked.push(waiting.arrival.account.clone());
@@ -265,8 +273,8 @@
             };
             let wait_ms = match self.limiter.try_charge(&request, now) {
                 ChargeOutcome::Admitted { charge } => {
-                    decided(&waiting, true);
-                    self.running.push(Running {
+                    on_decided(&waiting, true);
+                    self.running.push(RunningRequest {
                         arrival: waiting.arrival,
                         charge,
                         admitted_ms: at_ms,
@@ -277,7 +285,7 @@
                 ChargeOutcome::Refused { .. }
                 | ChargeOutcome::TooLarge
                 | ChargeOutcome::UnknownAccount => {
-                    decided(&waiting, false);
+                    on_decided(&waiting, false);
                     continue;
                 }
                 ChargeOutcome::Borrow { messages, wait_ms } => {
@@ -293,7 +301,7 @@
         outgoing
     }
 
-    /// Handles a message of a peer.
+    /// Handles a loan message of a peer.
     pub fn on_loan_message(
         &mut self,
         from: &Peer,
--- a/crates/ctl/src/experiment/limits/world/oracle.rs
+++ b/crates/ctl/src/experiment/limits/world/oracle.rs
@@ -1,26 +1,26 @@
-//! Checks of what was charged against one bucket of exactly the account's rate and burst.
+//! Checks all charges of an account against one bucket of exactly its rate and burst.
 
 use carobwheel_core::id::AccountId;
 use std::collections::BTreeMap;
 
 const MS_PER_S: u64 = 1_000;
 
-/// Tokens charged at a moment of true time.
+/// Tokens charged at one point of true time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Use {
+pub struct TokenUse {
     /// True time, in milliseconds.
     pub at_ms: u64,
-    /// Tokens.
+    /// Number of tokens.
     pub tokens: u64,
 }
 
-/// Everything that an account was charged, under both moments of counting.
+/// All charges of an account, under both methods of counting.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    /// Tokens used, counted when their request was admitted.
-    pub admitted: Vec<Use>,
-    /// Tokens used, counted when they were read or generated.
-    pub generated: Vec<Use>,
+    /// Tokens used, counted at the admission of their request.
+    pub admitted: Vec<TokenUse>,
+    /// Tokens used, counted when the prompt is read or the output token is generated.
+    pub generated: Vec<TokenUse>,
 }
 
 /// An account that was charged more than its rate and burst allow.
@@ -28,17 +28,18 @@
 pub struct Violation {
     /// The account.
     pub account: AccountId,
-    /// Moment of counting.
+    /// Method of counting.
     pub counting: &'static str,
-    /// True time at which the reference bucket would have become negative, in milliseconds.
+    /// True time at which the level of the reference bucket would become negative, in milliseconds.
     pub at_ms: u64,
     /// Tokens beyond the limit.
     pub excess_tokens: u64,
 }
 
-/// Runs a reference bucket over the charges; the limit holds for every window exactly if a bucket
-/// that starts full never becomes negative. Here it starts empty, as all parts do, which is
-/// stricter.
+/// Runs a reference bucket over the charges and returns the first violation.
+///
+/// The limit holds for every window if and only if the level of a bucket that starts full never
+/// becomes negative. This bucket starts empty, as all parts do, which is stricter.
 pub fn violation(
     account: &AccountId,
     ledger: &Ledger,
@@ -60,16 +61,16 @@
     })
 }
 
-fn overdraft(uses: &[Use], rate_tokens_per_s: u64, burst_tokens: u64) -> Option<(u64, u64)> {
+fn overdraft(uses: &[TokenUse], rate_tokens_per_s: u64, burst_tokens: u64) -> Option<(u64, u64)> {
     let mut by_time: BTreeMap<u64, u64> = BTreeMap::new();
-    for of in uses {
-        *by_time.entry(of.at_ms).or_default() += of.tokens;
+    for token_use in uses {
+        *by_time.entry(token_use.at_ms).or_default() += token_use.tokens;
     }
     let burst_milli = burst_tokens * MS_PER_S;
     let mut level_milli = 0;
     let mut last_ms = 0;
     for (at_ms, tokens) in by_time {
-        // Tokens a second times milliseconds are thousandths of a token.
+        // Tokens per second times milliseconds gives thousandths of a token.
         level_milli = burst_milli.min(level_milli + rate_tokens_per_s * (at_ms - last_ms));
         last_ms = at_ms;
         let charged_milli = tokens * MS_PER_S;
--- a/crates/ctl/src/experiment/limits/world/platform.rs
+++ b/crates/ctl/src/experiment/limits/world/platform.rs
@@ -1,16 +1,19 @@
-//! The store and the live list.
+//! Simulated platform services of an instance: document, store and live list.
 
 use super::fault::{self, Defect};
 use super::store::Versioned;
-use super::{Event, World, LIVE_LIST_MS, STORE_READ_MS, STORE_TIMEOUT_MS, UNLISTED_AFTER_MS};
+use super::{
+    Event, World, LIVE_LIST_INTERVAL_MS, LIVE_LIST_RETENTION_MS, STORE_READ_INTERVAL_MS,
+    STORE_TIMEOUT_MS,
+};
 use carobwheel_core::slot::{OwnershipWrite, Peer};
 use carobwheel_core::time::Millis;
 use rand::Rng;
 
 impl World {
-    pub(super) fn apply(&mut self, at: usize, revision: u64) {
+    pub(super) fn apply_revision(&mut self, at: usize, revision: u64) {
         let now_ms = self.now_ms;
-        let is_at_once = self.setup.defect == Defect::ImmediateShareGrowth;
+        let is_growth_immediate = self.setup.defect == Defect::ImmediateShareGrowth;
         let Some(process) = &mut self.processes[at] else {
             return;
         };
@@ -21,10 +24,10 @@
             return;
         };
         let now = process.node.clock(now_ms);
-        process.node.document = process.node.document.max(revision);
+        process.node.document_revision = process.node.document_revision.max(revision);
         let document = &self.setup.documents[index];
         process.node.limiter.apply_document(revision, document, now);
-        if is_at_once {
+        if is_growth_immediate {
             process.node.limiter.set_fleet_revision(revision, now);
         }
     }
@@ -34,12 +37,12 @@
         let Some(process) = &mut self.processes[at] else {
             return;
         };
-        if process.node.document == 0 && !self.store.is_down {
-            let published = self.published;
-            self.apply(at, published);
+        if process.node.document_revision == 0 && !self.store.is_down {
+            let published_revision = self.published_revision;
+            self.apply_revision(at, published_revision);
             return;
         }
-        if process.awaits_store_until_ms > now_ms || !process.node.has_joined() {
+        if process.store_call_deadline_ms > now_ms || !process.node.has_live_list() {
             return;
         }
         let now = process.node.clock(now_ms);
@@ -47,33 +50,33 @@
         if write.is_none() && process.next_read_ms > now_ms {
             return;
         }
-        process.next_read_ms = now_ms + STORE_READ_MS;
-        process.awaits_store_until_ms = now_ms + STORE_TIMEOUT_MS;
+        process.next_read_ms = now_ms + STORE_READ_INTERVAL_MS;
+        process.store_call_deadline_ms = now_ms + STORE_TIMEOUT_MS;
         let peer = process.node.peer.clone();
-        if self.store.is_down || self.is_store_cut_off(at) {
-            // A write may have left before the outage and take effect, with its answer lost.
+        if self.store.is_down || self.is_store_unreachable(at) {
+            // A write sent before the outage may still take effect, with its response lost.
             if self.rng.random_bool(0.9) || write.is_none() {
                 return;
             }
-            self.after(5, Event::StoreEffect(peer, write, now, false));
+            self.schedule_after(5, Event::StoreRequest(peer, write, now, false));
             return;
         }
         let mut delay_ms = self.rng.random_range(2..20);
-        if self.is_hit() {
+        if self.draw_fault() {
             delay_ms += self.rng.random_range(0..2_500);
         }
-        let is_answered = !self.is_hit();
-        let event = Event::StoreEffect(peer, write, now, is_answered);
-        self.after(delay_ms, event);
+        let is_answered = !self.draw_fault();
+        let event = Event::StoreRequest(peer, write, now, is_answered);
+        self.schedule_after(delay_ms, event);
     }
 
-    /// The store stands in the first region.
-    pub(super) fn is_store_cut_off(&self, at: usize) -> bool {
+    /// Returns whether a partition separates an instance from the store in the first region.
+    pub(super) fn is_store_unreachable(&self, at: usize) -> bool {
         let region = at % self.setup.regions.len();
-        region != 0 && (self.cut_off[region] || self.cut_off[0])
+        region != 0 && (self.isolated_regions[region] || self.isolated_regions[0])
     }
 
-    pub(super) fn on_store(
+    pub(super) fn on_store_request(
         &mut self,
         peer: &Peer,
         write: Option<OwnershipWrite>,
@@ -90,12 +93,12 @@
         if is_answered {
             let versioned = self.store.read(&region);
             let delay_ms = self.rng.random_range(2..20);
-            let event = Event::StoreAnswer(peer.clone(), versioned, began);
-            self.after(delay_ms, event);
+            let event = Event::StoreResponse(peer.clone(), versioned, began);
+            self.schedule_after(delay_ms, event);
         }
     }
 
-    pub(super) fn on_store_answer(&mut self, at: usize, versioned: &Versioned, began: Millis) {
+    pub(super) fn on_store_response(&mut self, at: usize, versioned: &Versioned, began: Millis) {
         if self.is_paused(at) {
             return;
         }
@@ -107,9 +110,9 @@
         };
         let node = &mut process.node;
         let now = node.clock(now_ms);
-        process.awaits_store_until_ms = 0;
+        process.store_call_deadline_ms = 0;
         node.refresh_members(now);
-        let before = node.keeper.record().owned_by(&node.peer);
+        let before = node.reconciler.record().owned_by(&node.peer);
         node.on_record(versioned, began, now);
         if defect == Defect::NewOwnerStartsFull {
             fault::fill_new_slots(node, &before, &self.setup.documents[0], now);
@@ -118,27 +121,27 @@
 
     pub(super) fn on_live_list(&mut self) {
         let now_ms = self.now_ms;
-        // The list lags: what is read now was true at the last turn.
-        let listed = std::mem::take(&mut self.listed);
+        // The list is stale: this read returns the state of the previous interval.
+        let live_list = std::mem::take(&mut self.live_list);
         for at in 0..self.processes.len() {
             if self.is_paused(at) {
                 continue;
             }
             if let Some(process) = &mut self.processes[at] {
                 let now = process.node.clock(now_ms);
-                process.node.on_live_list(&listed, now, now);
+                process.node.on_live_list(&live_list, now, now);
             }
         }
-        self.listed = self
+        self.live_list = self
             .processes
             .iter()
             .flatten()
             .filter(|process| {
                 let paused_from = process.paused_from;
-                paused_from.is_none_or(|from| now_ms - from < UNLISTED_AFTER_MS)
+                paused_from.is_none_or(|from| now_ms - from < LIVE_LIST_RETENTION_MS)
             })
             .map(|process| process.node.peer.clone())
             .collect();
-        self.after(LIVE_LIST_MS, Event::LiveList);
+        self.schedule_after(LIVE_LIST_INTERVAL_MS, Event::LiveList);
     }
 }
--- a/crates/ctl/src/experiment/limits/world/store.rs
+++ b/crates/ctl/src/experiment/limits/world/store.rs
@@ -1,27 +1,27 @@
-//! A fake of the store: records with revisions and compare-and-swap.
+//! Fake store: ownership records with revisions and compare-and-swap.
 
 use carobwheel_core::id::RegionId;
 use carobwheel_core::slot::{OwnershipRecord, OwnershipWrite};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A record with the revision of its last change; 0 if it was never written.
+/// An ownership record with its revision.
 #[derive(Clone, Debug, Default)]
 pub struct Versioned {
-    /// Revision of the last change.
+    /// Revision of the last change; 0 if the record was never written.
     pub revision: u64,
     /// The record.
     pub record: Rc<OwnershipRecord>,
 }
 
-/// The records of all regions.
+/// The ownership records of all regions.
 #[derive(Debug, Default)]
 pub struct Store {
-    /// Calls do not get through.
+    /// The store is unavailable: calls do not reach it.
     pub is_down: bool,
-    /// Calls that took effect.
+    /// Number of calls executed.
     pub calls: u64,
-    /// Writes that took effect.
+    /// Number of writes whose compare-and-swap succeeded.
     pub writes: u64,
     last_revision: u64,
     records: BTreeMap<RegionId, Versioned>,
@@ -34,16 +34,16 @@
         self.records.get(region).cloned().unwrap_or_default()
     }
 
-    /// Replaces the record of a region if it still has the revision that the write is based on.
+    /// Replaces the record of a region if its revision is still the base revision of the write.
     pub fn write(&mut self, region: &RegionId, write: &OwnershipWrite) {
         self.calls += 1;
-        let entry = self.records.entry(region.clone()).or_default();
-        if entry.revision != write.base_revision {
+        let versioned = self.records.entry(region.clone()).or_default();
+        if versioned.revision != write.base_revision {
             return;
         }
         self.last_revision += 1;
         self.writes += 1;
-        entry.revision = self.last_revision;
-        entry.record = Rc::new(write.next.clone());
+        versioned.revision = self.last_revision;
+        versioned.record = Rc::new(write.next.clone());
     }
 }
