--- a/crates/ctl/src/experiment/mod.rs
+++ b/crates/ctl/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Seeded measurements of decisions against baselines.
+//! Seeded experiments that compare the gateway's decisions with baselines and measure their cost.
 
 pub mod gossip;
 pub mod limits;
@@ -11,27 +11,28 @@
 /// Arguments of `carobctl experiment`.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// What is measured.
+    /// Experiment to run.
     #[command(subcommand)]
     pub topic: Topic,
 }
 
-/// What is measured.
+/// An experiment.
 #[derive(Debug, Subcommand)]
 pub enum Topic {
-    /// Traffic, processor time and memory of membership, and the spread of a revision.
+    /// Traffic, processor time and memory of membership, and propagation time of a revision.
     Gossip(gossip::Args),
-    /// Wrongful refusals of the fleet's limits, against a static split and a central counter.
+    /// Wrongful refusals of the distributed limits, compared with a static split and a central
+    /// counter.
     Limits(limits::Args),
-    /// Processor time of one placement in a fleet of many engines.
+    /// Processor time to place one request in a fleet of many engines.
     Placement(placement::Args),
-    /// Right and wrong verdicts on bad and good versions, and the traffic that bad ones got.
+    /// Right and wrong verdicts on bad and good versions, and the traffic sent to bad ones.
     Rollout(rollout::Args),
-    /// Routing, admission and retries under load, against the usual baselines.
+    /// Routing, admission and retries under load, compared with common baselines.
     Routing(routing::Args),
 }
 
-/// Runs the experiment.
+/// Runs the selected experiment.
 ///
 /// # Errors
 ///
--- a/crates/ctl/src/experiment/placement/mod.rs
+++ b/crates/ctl/src/experiment/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Processor time of one placement in a fleet of many engines.
+//! `carobctl experiment placement`: processor time to place one request in a fleet of many engines.
 
 use anyhow::{anyhow, ensure};
 use carobwheel_core::{
@@ -10,37 +10,37 @@
 use rand::{rngs::StdRng, Rng as _, SeedableRng as _};
 use std::time::Instant;
 
-const EXAMPLE: &str = include_str!("../../../../../examples/authority.json");
-const MODELS: usize = 4;
+const EXAMPLE_DOCUMENT: &str = include_str!("../../../../../examples/authority.json");
+const MODEL_COUNT: usize = 4;
 const MAX_ENGINES: usize = 10_000;
 const MAX_PLACEMENTS: u32 = 10_000_000;
 const BATCH_SLOTS: u32 = 64;
-/// Requests in flight on each engine while placements are timed.
-const BUSY: u32 = 16;
+/// Warm-up requests per engine, which stay in flight while placements are timed.
+const WARM_UP_REQUESTS_PER_ENGINE: u32 = 16;
 
 /// Arguments of `carobctl experiment placement`.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// Engines, spread over four models and the example's regions.
+    /// Number of engines, spread over four models and the regions of the example document.
     #[arg(long, default_value_t = 600)]
     pub engines: usize,
-    /// Placements to time.
+    /// Number of placements to time.
     #[arg(long, default_value_t = 100_000)]
     pub placements: u32,
-    /// Seed of prompts and choices.
+    /// Seed of the prompts and of the router's random choices.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
 
-/// Times placements and prints the time of one.
+/// Times placements and prints the average time of one.
 ///
 /// # Errors
 ///
 /// Fails if the arguments are out of range or a request finds no place.
 pub fn run(args: Args) -> anyhow::Result<()> {
     ensure!(
-        (MODELS..=MAX_ENGINES).contains(&args.engines),
-        "--engines has to be {MODELS} to {MAX_ENGINES}"
+        (MODEL_COUNT..=MAX_ENGINES).contains(&args.engines),
+        "--engines has to be {MODEL_COUNT} to {MAX_ENGINES}"
     );
     ensure!(
         (1..=MAX_PLACEMENTS).contains(&args.placements),
@@ -60,18 +60,18 @@
     };
     let now = Millis(1_000_000);
     let mut router = Router::new(settings, &document, Millis(0));
-    let busy = args.engines as u32 * BUSY;
-    for number in 0..busy {
+    let warm_up_requests = args.engines as u32 * WARM_UP_REQUESTS_PER_ENGINE;
+    for number in 0..warm_up_requests {
         place(&mut router, &document, number, true, now, &mut rng)?;
     }
     let began = Instant::now();
     for number in 0..args.placements {
         place(&mut router, &document, number, false, now, &mut rng)?;
     }
-    let one_us = began.elapsed().as_secs_f64() * 1e6 / f64::from(args.placements);
+    let placement_us = began.elapsed().as_secs_f64() * 1e6 / f64::from(args.placements);
     println!(
-        "{} engines, {} models, {busy} requests asked for a place before: {one_us:.1} us a placement",
-        args.engines, MODELS
+        "{} engines, {} models, {warm_up_requests} warm-up requests: {placement_us:.1} us per placement",
+        args.engines, MODEL_COUNT
     );
     Ok(())
 }
@@ -80,12 +80,12 @@
     router: &mut Router,
     document: &Document,
     number: u32,
-    is_started: bool,
+    starts_request: bool,
     now: Millis,
     rng: &mut StdRng,
 ) -> anyhow::Result<()> {
     let id: RequestId = format!("r-{number}").parse()?;
-    let model = &document.models[number as usize % MODELS];
+    let model = &document.models[number as usize % MODEL_COUNT];
     let request = Request {
         id: &id,
         requirement: Requirement::Model {
@@ -100,9 +100,9 @@
         hops: &Hops::default(),
         tried: &[],
     };
-    // A request that finds every engine full is refused, which takes as long to find out.
+    // A request is refused if all engines are full; deciding that takes as long as a placement.
     if let Ok(placement) = router.place(&request, now, rng) {
-        if is_started {
+        if starts_request {
             router.start(&placement, now);
         }
     }
@@ -110,10 +110,10 @@
 }
 
 fn document(engines: usize) -> anyhow::Result<Document> {
-    let mut document = Document::parse(EXAMPLE.as_bytes())
-        .map_err(|faults| anyhow!("the example has faults: {faults:?}"))?;
+    let mut document = Document::parse(EXAMPLE_DOCUMENT.as_bytes())
+        .map_err(|faults| anyhow!("invalid example document: {faults:?}"))?;
     let model = document.models[0].clone();
-    document.models = (0..MODELS)
+    document.models = (0..MODEL_COUNT)
         .map(|number| {
             let mut model = model.clone();
             model.id = format!("model-{number}").parse()?;
@@ -133,7 +133,7 @@
                 model, batch_slots, ..
             } = &mut upstream.serves
             {
-                *model = document.models[number % MODELS].id.clone();
+                *model = document.models[number % MODEL_COUNT].id.clone();
                 *batch_slots = BATCH_SLOTS;
             }
             Ok(upstream)
