--- a/crates/ctl/src/experiment/gossip/fleet.rs
+++ b/crates/ctl/src/experiment/gossip/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of instances in this process.
+//! Fleet of instances in this process, and the measurement of their costs.
 
 use super::node::{self, Event, Node, NodeOptions};
 use super::Args;
@@ -15,24 +15,25 @@
 use std::time::{Duration, Instant};
 use tokio_util::sync::CancellationToken;
 
-/// Bytes of the headers of IPv4 and UDP before each datagram's payload.
-const HEADER_BYTES: u64 = 28;
-/// Bound on the spread of one revision.
-const SPREAD_TIMEOUT: Duration = Duration::from_secs(60);
-/// Members and regions of the target, which the number of regions follows.
+/// Size of the IPv4 and UDP headers of a datagram, in bytes.
+const UDP_IP_HEADER_BYTES: u64 = 28;
+/// Timeout for one revision to reach all instances.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(60);
+/// Members and regions of the target fleet, from which the number of regions is scaled.
 const TARGET_MEMBERS: f64 = 370.0;
 const TARGET_REGIONS: f64 = 11.0;
+/// Number of regions of the current fleet, the minimum for all sizes.
 const MIN_REGIONS: usize = 3;
 
-/// Running instances.
+/// A fleet of running instances.
 pub(super) struct Fleet {
     nodes: Vec<Node>,
     regions: usize,
     cancel: CancellationToken,
-    base: Usage,
+    base_usage: Usage,
 }
 
-/// Traffic of several instances, in both directions.
+/// Traffic of one or several instances, in both directions.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Traffic {
     pub(super) sent_bytes: u64,
@@ -41,7 +42,7 @@
 
 impl Traffic {
     fn of(stats: &PeerStats) -> Self {
-        let with_headers = |bytes: u64, datagrams: u64| bytes + HEADER_BYTES * datagrams;
+        let with_headers = |bytes: u64, datagrams: u64| bytes + UDP_IP_HEADER_BYTES * datagrams;
         Self {
             sent_bytes: with_headers(stats.sent_udp_bytes, stats.sent_udp_datagrams),
             received_bytes: with_headers(stats.received_udp_bytes, stats.received_udp_datagrams),
@@ -55,13 +56,13 @@
         }
     }
 
-    /// Bytes sent.
+    /// Returns the bytes sent.
     pub(super) fn bytes(self) -> f64 {
         self.sent_bytes as f64
     }
 }
 
-/// Cost of one instance.
+/// Average cost of one instance.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Cost {
     pub(super) sent_bytes_per_s: f64,
@@ -76,10 +77,10 @@
 
 impl Fleet {
     pub(super) fn start(args: &Args, members: usize) -> anyhow::Result<Self> {
-        let base = usage(std::process::id())?;
+        let base_usage = usage(std::process::id())?;
         let regions = args
             .regions
-            .map_or_else(|| regions_of(members), usize::from)
+            .map_or_else(|| region_count(members), usize::from)
             .min(members);
         let authority = CertificateAuthority::new("experiment")?;
         let cancel = CancellationToken::new();
@@ -105,7 +106,7 @@
             nodes,
             regions,
             cancel,
-            base,
+            base_usage,
         })
     }
 
@@ -113,20 +114,20 @@
         self.regions
     }
 
-    /// Waits until every instance sees all others, and returns the time that took, in seconds.
-    pub(super) fn wait_settled(&self, limit: Duration) -> anyhow::Result<f64> {
+    /// Waits until every instance has discovered all others; returns the elapsed time in seconds.
+    pub(super) fn wait_discovered(&self, timeout: Duration) -> anyhow::Result<f64> {
         let start = Instant::now();
         let members = self.nodes.len() as u64;
-        let is_settled = || {
-            let alive = |node: &Node| node.seen.alive.load(Ordering::Acquire);
+        let is_discovered = || {
+            let alive = |node: &Node| node.shared.alive.load(Ordering::Acquire);
             self.nodes.iter().all(|node| alive(node) == members)
         };
-        wait(limit, is_settled).context("the instances do not find each other")?;
+        wait_until(timeout, is_discovered).context("the instances did not discover each other")?;
         Ok(start.elapsed().as_secs_f64())
     }
 
     pub(super) fn traffic(&self) -> Traffic {
-        // The threads renew their sums every second.
+        // The threads update their counters every second.
         thread::sleep(Duration::from_millis(1_200));
         let sum = |sum: Traffic, node: &Node| {
             let traffic = Traffic::of(&node.handle.stats());
@@ -138,7 +139,7 @@
         self.nodes.iter().fold(Traffic::default(), sum)
     }
 
-    /// Measures the cost of one instance at rest.
+    /// Measures the average cost of an idle instance.
     pub(super) fn measure_cost(&self, duration: Duration) -> anyhow::Result<Cost> {
         let stats = || -> Vec<PeerStats> { self.nodes.iter().map(|n| n.handle.stats()).collect() };
         let (before, used_before, start) = (stats(), usage(std::process::id())?, Instant::now());
@@ -161,15 +162,17 @@
         Ok(cost)
     }
 
-    /// Resident memory of one instance, in bytes.
+    /// Returns the average resident memory of one instance, in bytes.
     pub(super) fn memory_bytes(&self) -> anyhow::Result<f64> {
         let used = usage(std::process::id())?;
-        let own_bytes = used.memory_bytes.saturating_sub(self.base.memory_bytes);
+        let own_bytes = used
+            .memory_bytes
+            .saturating_sub(self.base_usage.memory_bytes);
         Ok(own_bytes as f64 / self.nodes.len() as f64)
     }
 
-    /// Gives one instance a new document, and returns the time until all have it in force, in
-    /// milliseconds.
+    /// Publishes a new document at one instance; returns the time until it is in force at all
+    /// instances, in milliseconds.
     pub(super) fn publish(&self, revision: u64, document_bytes: usize) -> anyhow::Result<f64> {
         let bytes = document(revision, document_bytes);
         let first = &self.nodes[revision as usize % self.nodes.len()];
@@ -179,10 +182,11 @@
             .send(Event::Publish { revision, bytes })
             .context("an instance has stopped")?;
         let is_in_force = || {
-            let in_force = |node: &Node| node.seen.revision.load(Ordering::Acquire) >= revision;
+            let in_force = |node: &Node| node.shared.revision.load(Ordering::Acquire) >= revision;
             self.nodes.iter().all(in_force)
         };
-        wait(SPREAD_TIMEOUT, is_in_force).context("the revision does not reach everyone")?;
+        wait_until(PROPAGATION_TIMEOUT, is_in_force)
+            .context("the revision did not reach all instances")?;
         Ok(start.elapsed().as_secs_f64() * 1_000.0)
     }
 
@@ -197,7 +201,7 @@
     }
 }
 
-/// A document in which one stretch differs from each revision to the next.
+/// Builds a document of which only short byte ranges differ between two revisions.
 fn document(revision: u64, bytes: usize) -> Bytes {
     let text = format!("revision {revision} changes this account;");
     let start = (revision as usize * 7_919) % bytes;
@@ -241,18 +245,19 @@
     node::start(identity, settings, options, cancel)
 }
 
-/// Regions of a fleet, between today's three and the target's.
-fn regions_of(members: usize) -> usize {
+/// Returns the number of regions of a fleet, scaled by the square root of its size and at least
+/// the current three.
+fn region_count(members: usize) -> usize {
     let share = (members as f64 / TARGET_MEMBERS).sqrt();
     let regions = (TARGET_REGIONS * share).round() as usize;
     regions.max(MIN_REGIONS)
 }
 
-fn wait(limit: Duration, is_reached: impl Fn() -> bool) -> anyhow::Result<()> {
+fn wait_until(timeout: Duration, is_reached: impl Fn() -> bool) -> anyhow::Result<()> {
     let start = Instant::now();
     while !is_reached() {
-        if start.elapsed() > limit {
-            bail!("not within {} s", limit.as_secs());
+        if start.elapsed() > timeout {
+            bail!("condition not reached within {} s", timeout.as_secs());
         }
         thread::sleep(Duration::from_millis(1));
     }
--- a/crates/ctl/src/experiment/gossip/node.rs
+++ b/crates/ctl/src/experiment/gossip/node.rs
@@ -1,4 +1,4 @@
-//! One instance of the fleet: its links, and a thread that owns its membership table.
+//! One instance of the fleet: its links and the decision thread with its membership table.
 
 use anyhow::Context as _;
 use bytes::Bytes;
@@ -14,31 +14,31 @@
 use std::time::Duration;
 use tokio_util::sync::CancellationToken;
 
-/// Time between two ticks of a table, in milliseconds.
-const TICK_MS: u64 = 100;
-/// Events that may wait for the thread.
-const QUEUE_EVENTS: usize = 4_096;
-/// Topic of the load digest; it stays inside the region.
+/// Interval between two ticks of the membership table, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 100;
+/// Capacity of the decision thread's event queue.
+const EVENT_QUEUE_CAPACITY: usize = 4_096;
+/// Topic of the load digest, which is not sent to other regions.
 const DIGEST_TOPIC: u8 = 200;
-/// Time between two digests, in milliseconds.
+/// Interval between two digests, in milliseconds.
 const DIGEST_PERIOD_MS: u64 = 1_000;
 
-/// What the thread waits for.
+/// An event for the decision thread.
 pub(super) enum Event {
-    /// Something arrived.
+    /// A message or document from a peer.
     Inbound(Inbound),
-    /// The live list.
+    /// A live list from the store.
     LiveList(Arc<Vec<LiveListEntry>>),
-    /// A new document from the operators.
+    /// A new document published by the operators.
     Publish { revision: u64, bytes: Bytes },
 }
 
-/// Readable state of the thread.
+/// State that the decision thread shares with the measurement.
 #[derive(Debug, Default)]
-pub(super) struct Seen {
-    /// Revision in force.
+pub(super) struct SharedState {
+    /// Document revision in force.
     pub(super) revision: AtomicU64,
-    /// Members that are alive, the instance itself included.
+    /// Number of members that are alive, including the instance itself.
     pub(super) alive: AtomicU64,
     /// Lowest revision over all members.
     pub(super) lowest_revision: AtomicU64,
@@ -49,7 +49,7 @@
     pub(super) identity: Identity,
     pub(super) handle: Handle,
     pub(super) events: mpsc::SyncSender<Event>,
-    pub(super) seen: Arc<Seen>,
+    pub(super) shared: Arc<SharedState>,
     pub(super) threads: Vec<JoinHandle<()>>,
 }
 
@@ -61,14 +61,14 @@
     pub(super) seed: u64,
 }
 
-/// Starts an instance; `identity` gets the address that it listens on.
+/// Starts an instance and sets `identity.peer_addr` to the address that it listens on.
 pub(super) fn start(
     mut identity: Identity,
     settings: PeerSettings,
     options: NodeOptions,
     cancel: &CancellationToken,
 ) -> anyhow::Result<Node> {
-    let (events, queue) = mpsc::sync_channel(QUEUE_EVENTS);
+    let (events, queue) = mpsc::sync_channel(EVENT_QUEUE_CAPACITY);
     let inbound = events.clone();
     let sinks = Sinks {
         inbound: Box::new(move |message| inbound.try_send(Event::Inbound(message)).is_ok()),
@@ -76,8 +76,8 @@
     };
     let (handle, links) = peers::start(settings, sinks, cancel.clone())?;
     identity.peer_addr = handle.local_addr();
-    let seen = Arc::new(Seen::default());
-    let table = Table {
+    let shared = Arc::new(SharedState::default());
+    let decision_thread = DecisionThread {
         own_region: identity.region.clone(),
         members: Members::new(identity.clone(), 1, options.seed, Millis(0)),
         handle: handle.clone(),
@@ -86,44 +86,44 @@
         delayed: VecDeque::new(),
         revision: 1,
         next_digest_at: Millis(0),
-        digests: 0,
-        seen: Arc::clone(&seen),
+        digest_count: 0,
+        shared: Arc::clone(&shared),
     };
     let token = cancel.clone();
-    let decide = thread::Builder::new()
+    let decision_handle = thread::Builder::new()
         .name("decide".to_owned())
-        .spawn(move || table.run(&queue, &token))
-        .context("no thread")?;
+        .spawn(move || decision_thread.run(&queue, &token))
+        .context("cannot start the decision thread")?;
     Ok(Node {
         identity,
         handle,
         events,
-        seen,
-        threads: vec![links, decide],
+        shared,
+        threads: vec![links, decision_handle],
     })
 }
 
-/// Something from another region that is held back.
-struct Delayed {
+/// A message or document from another region whose delivery is delayed.
+struct DelayedInbound {
     due: Millis,
     inbound: Inbound,
 }
 
-/// The thread that owns the table.
-struct Table {
+/// State of the decision thread, which owns the membership table.
+struct DecisionThread {
     own_region: RegionId,
     members: Members,
     handle: Handle,
     clock: Clock,
     options: NodeOptions,
-    delayed: VecDeque<Delayed>,
+    delayed: VecDeque<DelayedInbound>,
     revision: u64,
     next_digest_at: Millis,
-    digests: u64,
-    seen: Arc<Seen>,
+    digest_count: u64,
+    shared: Arc<SharedState>,
 }
 
-impl Table {
+impl DecisionThread {
     fn run(mut self, queue: &mpsc::Receiver<Event>, cancel: &CancellationToken) {
         let mut next_tick = self.clock.now();
         while !cancel.is_cancelled() {
@@ -133,15 +133,15 @@
             if let Ok(event) = queue.recv_timeout(Duration::from_millis(wait_ms)) {
                 self.handle_event(event);
             }
-            self.release_delayed();
+            self.process_delayed();
             let now = self.clock.now();
             if now >= next_tick {
-                next_tick = now.plus(TICK_MS);
+                next_tick = now.plus(TICK_INTERVAL_MS);
                 self.renew_digest(now);
                 let out = self.members.tick(now);
                 self.send(out);
                 self.fetch(now);
-                self.publish_seen();
+                self.publish_state();
             }
         }
     }
@@ -149,7 +149,7 @@
     fn handle_event(&mut self, event: Event) {
         let now = self.clock.now();
         match event {
-            Event::Inbound(inbound) => self.hold_back(inbound, now),
+            Event::Inbound(inbound) => self.delay_inbound(inbound, now),
             Event::LiveList(list) => {
                 let out = self.members.on_live_list(&list, now);
                 self.send(out);
@@ -158,9 +158,9 @@
         }
     }
 
-    /// Holds back what comes from another region: a message for one way, a document for two.
-    fn hold_back(&mut self, inbound: Inbound, now: Millis) {
-        let (from, ways) = match &inbound {
+    /// Delays input from another region: a message by one one-way delay, a document by two.
+    fn delay_inbound(&mut self, inbound: Inbound, now: Millis) {
+        let (from, one_way_delays) = match &inbound {
             Inbound::Message { from, .. } => (from, 1),
             Inbound::Document { from, .. } | Inbound::DocumentFailed { from } => (from, 2),
         };
@@ -169,24 +169,24 @@
             .member(from)
             .is_none_or(|member| member.identity.region == self.own_region);
         if is_local {
-            self.take_in(inbound, now);
+            self.process_inbound(inbound, now);
             return;
         }
-        let due = now.plus(self.options.region_delay_ms * ways);
+        let due = now.plus(self.options.region_delay_ms * one_way_delays);
         let at = self.delayed.partition_point(|delayed| delayed.due <= due);
-        self.delayed.insert(at, Delayed { due, inbound });
+        self.delayed.insert(at, DelayedInbound { due, inbound });
     }
 
-    fn release_delayed(&mut self) {
+    fn process_delayed(&mut self) {
         let now = self.clock.now();
         while self.delayed.front().is_some_and(|d| d.due <= now) {
             if let Some(delayed) = self.delayed.pop_front() {
-                self.take_in(delayed.inbound, now);
+                self.process_inbound(delayed.inbound, now);
             }
         }
     }
 
-    fn take_in(&mut self, inbound: Inbound, now: Millis) {
+    fn process_inbound(&mut self, inbound: Inbound, now: Millis) {
         match inbound {
             Inbound::Message {
                 from,
@@ -211,21 +211,21 @@
         }
         self.revision = revision;
         self.handle.serve_document(revision, bytes);
-        self.seen.revision.store(revision, Ordering::Release);
+        self.shared.revision.store(revision, Ordering::Release);
         let out = self.members.set_revision(revision, now);
         self.send(out);
     }
 
     fn fetch(&mut self, now: Millis) {
         if let Some((from, addr)) = self.members.choose_fetch_peer(now) {
-            // A full queue shows as a fetch that brings nothing.
+            // A full queue has the same effect as a fetch without a result.
             let _ = self.handle.fetch_document(from, addr, self.revision);
         }
     }
 
     fn send(&self, out: Vec<Outgoing>) {
         for Outgoing { to, addr, packet } in out {
-            // A packet that finds no room is lost, like any datagram.
+            // A packet is dropped if the queue is full, like any datagram.
             let _ = self.handle.send(to, addr, Message::Member(packet));
         }
     }
@@ -235,14 +235,14 @@
             return;
         }
         self.next_digest_at = now.plus(DIGEST_PERIOD_MS);
-        self.digests += 1;
+        self.digest_count += 1;
         let mut bytes = vec![0; self.options.digest_bytes];
-        bytes[0] = self.digests as u8;
-        // The content is within the bound that the command line sets.
+        bytes[0] = self.digest_count as u8;
+        // Cannot fail: the command line limits the size of the digest.
         let _ = self.members.set_entry(DIGEST_TOPIC, &bytes);
     }
 
-    fn publish_seen(&mut self) {
+    fn publish_state(&mut self) {
         self.members.take_events();
         let alive: usize = self
             .members
@@ -251,7 +251,7 @@
             .map(|region| self.members.alive_in(region).len())
             .sum();
         let lowest = self.members.revision_range().lowest;
-        self.seen.alive.store(alive as u64, Ordering::Release);
-        self.seen.lowest_revision.store(lowest, Ordering::Release);
+        self.shared.alive.store(alive as u64, Ordering::Release);
+        self.shared.lowest_revision.store(lowest, Ordering::Release);
     }
 }
--- a/crates/ctl/src/experiment/gossip/report.rs
+++ b/crates/ctl/src/experiment/gossip/report.rs
@@ -1,20 +1,19 @@
-//! The report: a table, and the extrapolation to the target.
+//! Report of the measurement, with extrapolation to the target size.
 
 use super::fleet::Cost;
 use serde::Serialize;
 
-/// Instances of the target.
+/// Number of instances of the target fleet.
 const TARGET_MEMBERS: f64 = 370.0;
-/// What control may cost an instance at the target.
+/// Cost targets of the control plane per instance, at the target size.
 const TARGET_SENT_BYTES_PER_S: f64 = 2_000.0;
 const TARGET_PROCESSOR_PCT: f64 = 2.0;
 const TARGET_MEMORY_BYTES: f64 = 32e6;
-/// Bytes of a megabyte.
-const MEGABYTE: f64 = 1e6;
+const BYTES_PER_MB: f64 = 1e6;
 
-/// Figures of one size of fleet.
+/// Measurements of one fleet size.
 #[derive(Clone, Debug, Serialize)]
-pub(super) struct Line {
+pub(super) struct FleetRow {
     members: usize,
     regions: usize,
     sent_bytes_per_s: f64,
@@ -29,34 +28,34 @@
     sent_bytes_per_revision: f64,
 }
 
-/// A straight line through the figures, and its value at the target.
+/// Linear regression over fleet sizes, and its value at the target size.
 #[derive(Clone, Copy, Debug, Serialize)]
-struct Fit {
+struct LinearFit {
     per_member: f64,
     at_target: f64,
     target: f64,
     is_met: bool,
 }
 
-/// The whole report.
+/// Measurements of all fleet sizes and their extrapolations.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Report {
-    lines: Vec<Line>,
-    sent_bytes_per_s: Option<Fit>,
-    most_sent_bytes_per_s: Option<Fit>,
-    processor_pct: Option<Fit>,
-    memory_bytes: Option<Fit>,
+    lines: Vec<FleetRow>,
+    sent_bytes_per_s: Option<LinearFit>,
+    most_sent_bytes_per_s: Option<LinearFit>,
+    processor_pct: Option<LinearFit>,
+    memory_bytes: Option<LinearFit>,
 }
 
-impl Line {
+impl FleetRow {
     pub(super) fn new(
         members: usize,
         regions: usize,
         cost: Cost,
-        mut spreads_ms: Vec<f64>,
+        mut propagation_ms: Vec<f64>,
         sent_bytes_per_revision: f64,
     ) -> Self {
-        spreads_ms.sort_by(f64::total_cmp);
+        propagation_ms.sort_by(f64::total_cmp);
         Self {
             members,
             regions,
@@ -67,16 +66,16 @@
             memory_bytes: cost.memory_bytes,
             links: cost.links,
             dials_per_s: cost.dials_per_s,
-            in_force_median_ms: spreads_ms[spreads_ms.len() / 2],
-            in_force_most_ms: spreads_ms[spreads_ms.len() - 1],
+            in_force_median_ms: propagation_ms[propagation_ms.len() / 2],
+            in_force_most_ms: propagation_ms[propagation_ms.len() - 1],
             sent_bytes_per_revision,
         }
     }
 }
 
 impl Report {
-    pub(super) fn new(lines: Vec<Line>) -> Self {
-        let fit = |value: fn(&Line) -> f64, target| {
+    pub(super) fn new(lines: Vec<FleetRow>) -> Self {
+        let fit = |value: fn(&FleetRow) -> f64, target| {
             let points: Vec<_> = lines.iter().map(|l| (l.members as f64, value(l))).collect();
             fit(&points, target)
         };
@@ -106,7 +105,7 @@
                 line.most_sent_bytes_per_s,
                 line.received_bytes_per_s,
                 line.processor_pct,
-                line.memory_bytes / MEGABYTE,
+                line.memory_bytes / BYTES_PER_MB,
                 line.links,
                 line.dials_per_s,
                 line.in_force_median_ms,
@@ -117,12 +116,12 @@
         print_fit("sent B/s", self.sent_bytes_per_s, 1.0);
         print_fit("most sent B/s", self.most_sent_bytes_per_s, 1.0);
         print_fit("core %", self.processor_pct, 1.0);
-        print_fit("MB", self.memory_bytes, MEGABYTE);
+        print_fit("MB", self.memory_bytes, BYTES_PER_MB);
         Ok(())
     }
 }
 
-fn print_fit(name: &str, fit: Option<Fit>, unit: f64) {
+fn print_fit(name: &str, fit: Option<LinearFit>, unit: f64) {
     let Some(fit) = fit else {
         return;
     };
@@ -135,19 +134,19 @@
     );
 }
 
-/// The least-squares line through at least two points.
-fn fit(points: &[(f64, f64)], target: f64) -> Option<Fit> {
+/// Fits a least-squares line through the points; `None` unless they have two different sizes.
+fn fit(points: &[(f64, f64)], target: f64) -> Option<LinearFit> {
     let count = points.len() as f64;
     let mean = |value: fn(&(f64, f64)) -> f64| points.iter().map(value).sum::<f64>() / count;
     let (mean_x, mean_y) = (mean(|p| p.0), mean(|p| p.1));
-    let spread: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
-    if spread == 0.0 || points.is_empty() {
+    let variance_sum: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
+    if variance_sum == 0.0 || points.is_empty() {
         return None;
     }
-    let joint: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
-    let per_member = joint / spread;
+    let covariance_sum: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
+    let per_member = covariance_sum / variance_sum;
     let at_target = mean_y + per_member * (TARGET_MEMBERS - mean_x);
-    Some(Fit {
+    Some(LinearFit {
         per_member,
         at_target,
         target,
