--- a/crates/ctl/src/experiment/limits/world/mod.rs
+++ b/crates/ctl/src/experiment/limits/world/mod.rs
@@ -98,8 +98,8 @@
 
 struct Process {
     node: Node,
-    paused_from: Option<u64>,
-    paused_until: u64,
+    paused_from_ms: Option<u64>,
+    paused_until_ms: u64,
     deferred: Vec<(Peer, Payload)>,
     next_heartbeat_ms: u64,
     next_read_ms: u64,
@@ -248,8 +248,8 @@
         let node = Node::new(peer.clone(), region, self.now_ms, clock_ppm);
         self.processes[at] = Some(Process {
             node,
-            paused_from: None,
-            paused_until: 0,
+            paused_from_ms: None,
+            paused_until_ms: 0,
             deferred: Vec::new(),
             next_heartbeat_ms: 0,
             next_read_ms: 0,
@@ -261,7 +261,8 @@
         self.schedule_after(offset_ms, Event::Tick(peer));
     }
 
-    fn process_index(&self, peer: &Peer) -> Option<usize> {
+    /// Returns the index of the running process of a peer.
+    fn locate(&self, peer: &Peer) -> Option<usize> {
         self.processes.iter().position(|process| {
             process
                 .as_ref()
@@ -272,7 +273,7 @@
     fn is_paused(&self, at: usize) -> bool {
         self.processes[at]
             .as_ref()
-            .is_some_and(|process| process.paused_until > self.now_ms)
+            .is_some_and(|process| process.paused_until_ms > self.now_ms)
     }
 
     fn handle(&mut self, event: Event) {
@@ -285,7 +286,7 @@
                 self.on_store_request(&peer, write, began, is_answered);
             }
             Event::StoreResponse(peer, versioned, began) => {
-                if let Some(at) = self.process_index(&peer) {
+                if let Some(at) = self.locate(&peer) {
                     self.on_store_response(at, &versioned, began);
                 }
             }
@@ -306,8 +307,8 @@
             Fault::Pause(at, pause_ms) => {
                 let now_ms = self.now_ms;
                 if let Some(process) = &mut self.processes[at] {
-                    process.paused_from = Some(now_ms);
-                    process.paused_until = now_ms + pause_ms;
+                    process.paused_from_ms = Some(now_ms);
+                    process.paused_until_ms = now_ms + pause_ms;
                 }
             }
             Fault::Disconnect(at, disconnect_ms) => {
--- a/crates/ctl/src/experiment/limits/world/network.rs
+++ b/crates/ctl/src/experiment/limits/world/network.rs
@@ -97,9 +97,7 @@
     }
 
     pub(super) fn on_deliver(&mut self, from: &Peer, to: &Peer, payload: Payload) {
-        let Some(at) = self.process_index(to) else {
-            return;
-        };
+        let Some(at) = self.locate(to) else { return };
         if self.is_paused(at) {
             if let Some(process) = &mut self.processes[at] {
                 process.deferred.push((from.clone(), payload));
--- a/crates/ctl/src/experiment/limits/world/node.rs
+++ b/crates/ctl/src/experiment/limits/world/node.rs
@@ -123,7 +123,7 @@
             .then_some(heartbeat.document_revision)
     }
 
-    /// Returns whether the live list has been read, so that the peers to audit are current.
+    /// Returns whether the live list has been read, so that the peers to audit are known.
     pub fn has_live_list(&self) -> bool {
         !self.live_list.is_empty()
     }
--- a/crates/ctl/src/experiment/limits/world/platform.rs
+++ b/crates/ctl/src/experiment/limits/world/platform.rs
@@ -137,8 +137,8 @@
             .iter()
             .flatten()
             .filter(|process| {
-                let paused_from = process.paused_from;
-                paused_from.is_none_or(|from| now_ms - from < LIVE_LIST_RETENTION_MS)
+                let paused_from_ms = process.paused_from_ms;
+                paused_from_ms.is_none_or(|from| now_ms - from < LIVE_LIST_RETENTION_MS)
             })
             .map(|process| process.node.peer.clone())
             .collect();
--- a/crates/ctl/src/experiment/limits/world/process.rs
+++ b/crates/ctl/src/experiment/limits/world/process.rs
@@ -9,11 +9,9 @@
 
 impl World {
     pub(super) fn on_tick(&mut self, peer: &Peer) {
-        let Some(at) = self.process_index(peer) else {
-            return;
-        };
+        let Some(at) = self.locate(peer) else { return };
         if self.is_paused(at) {
-            let until = self.processes[at].as_ref().map_or(0, |p| p.paused_until);
+            let until = self.processes[at].as_ref().map_or(0, |p| p.paused_until_ms);
             self.schedule(until, Event::Tick(peer.clone()));
             return;
         }
@@ -35,7 +33,7 @@
         let Some(process) = &mut self.processes[at] else {
             return;
         };
-        process.paused_from = None;
+        process.paused_from_ms = None;
         let now = process.node.clock(now_ms);
         if !is_check_disabled && process.node.reconciler.detect_pause(now) {
             process.node.limiter.invalidate_slots();
