--- a/crates/ctl/src/experiment/routing/measure.rs
+++ b/crates/ctl/src/experiment/routing/measure.rs
@@ -145,11 +145,11 @@
     pub(super) fn over(
         &mut self,
         arrival: &Arrival,
-        outcome: super::live::Stage,
+        outcome: super::request_state::Stage,
         is_away: bool,
         attempts: u32,
     ) {
-        use super::live::Stage;
+        use super::request_state::Stage;
         if !arrival.is_measured {
             return;
         }
--- a/crates/ctl/src/experiment/routing/mod.rs
+++ b/crates/ctl/src/experiment/routing/mod.rs
@@ -4,16 +4,16 @@
 //! modelled engines. All policies get the same arrivals. Nothing is random but by the seed.
 
 mod baseline;
+mod comparison;
 mod deployment;
 mod event;
 mod instance;
-mod live;
 mod measure;
 mod plot;
+mod request_state;
 mod scenario;
 mod storm;
 mod table;
-mod verdict;
 mod workload;
 mod world;
 
@@ -69,7 +69,7 @@
     seed: u64,
     duration_s: u64,
     rows: Vec<Row>,
-    verdict: Vec<verdict::Comparison>,
+    verdict: Vec<comparison::Comparison>,
 }
 
 /// Runs the measurement and prints its results.
@@ -123,7 +123,7 @@
         scenario,
         seed: args.seed,
         duration_s: args.duration_s,
-        verdict: verdict::compare(deployment.document.policy.objective, &rows),
+        verdict: comparison::compare(deployment.document.policy.objective, &rows),
         rows,
     }
 }
--- a/crates/ctl/src/experiment/routing/table.rs
+++ b/crates/ctl/src/experiment/routing/table.rs
@@ -1,7 +1,7 @@
 //! Results as text.
 
+use super::comparison::{Comparison, Standing};
 use super::measure::Row;
-use super::verdict::{Comparison, Standing};
 use super::Outcome;
 use std::fmt::Write;
 
--- a/crates/ctl/src/experiment/routing/world/attempt.rs
+++ b/crates/ctl/src/experiment/routing/world/attempt.rs
@@ -3,7 +3,7 @@
 use super::{World, CALLER_US, RESUME_MS};
 use crate::experiment::routing::event::Event;
 use crate::experiment::routing::instance::Instance;
-use crate::experiment::routing::live::{job_of, request_of, Stage};
+use crate::experiment::routing::request_state::{job_of, request_of, Stage};
 use carobwheel_core::retry::{Decision, Failure, RelayAction};
 use carobwheel_standin::batch::{Job, JobId, Token};
 
--- a/crates/ctl/src/experiment/routing/world/mod.rs
+++ b/crates/ctl/src/experiment/routing/world/mod.rs
@@ -1,14 +1,14 @@
 //! The event loop over instances and engines.
 
 mod attempt;
-mod news;
+mod updates;
 
 use super::baseline::{self, Policy};
 use super::deployment::Deployment;
 use super::event::{Event, Events};
 use super::instance::Instance;
-use super::live::{Live, Stage};
 use super::measure::{EngineTotals, Measure, Row};
+use super::request_state::{Live, Stage};
 use super::scenario::Case;
 use super::workload::Arrival;
 use carobwheel_core::admit::{Dequeued, QueuedRequest};
