--- a/crates/ctl/src/experiment/routing/baseline.rs
+++ b/crates/ctl/src/experiment/routing/baseline.rs
@@ -1,38 +1,39 @@
-//! The policies that are compared.
+//! Load-balancing policies that are compared with the product's router.
 
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use serde::Serialize;
 
-/// An engine may exceed the mean load by this factor for the sake of its cache.
-const AFFINITY_BOUND: f64 = 1.25;
+/// Bound on an engine's load under cache affinity, as a multiple of the mean load.
+const MAX_LOAD_TO_MEAN: f64 = 1.25;
 
-/// How an engine is chosen among those allowed.
+/// Rule by which a baseline chooses an engine among the candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum Choice {
-    /// Each engine in turn.
+    /// Every engine in turn.
     RoundRobin,
-    /// Any engine.
+    /// A random engine.
     Random,
-    /// The engine with the least own work in flight.
+    /// The engine with the fewest requests of this instance in flight.
     LeastInFlight,
-    /// The engine with less own work in flight out of two random ones.
+    /// Of two random engines, the one with fewer requests of this instance in flight.
     TwoChoices,
-    /// Rendezvous hashing of the prompt's first block with bounded load.
+    /// Rendezvous hashing of the prompt's first block, with bounded loads.
     CacheAffine,
 }
 
-/// A policy.
+/// A policy of load balancing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub(super) enum Policy {
     /// The product's router, queues and retries.
     Ours,
-    /// A baseline: sent to an engine at once, which queues by priority.
+    /// A baseline that sends each request to an engine immediately; the engine queues by priority.
     Baseline {
         choice: Choice,
-        /// Unbound requests go to every region, not only home while any engine is alive there.
+        /// Whether unbound requests may go to every region; otherwise they leave the instance's own
+        /// region only if no engine is usable there.
         is_everywhere: bool,
     },
 }
@@ -74,50 +75,50 @@
             Choice::TwoChoices => "two choices",
             Choice::CacheAffine => "cache affine",
         };
-        let place = if is_everywhere { "all" } else { "home" };
-        format!("{choice}, {place}")
+        let scope = if is_everywhere { "all" } else { "home" };
+        format!("{choice}, {scope}")
     }
 }
 
-/// An engine that a baseline may choose.
+/// Engine that a baseline may choose.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Eligible {
+pub(super) struct Candidate {
     pub(super) engine: usize,
     pub(super) in_flight: u64,
 }
 
-/// Chooses one of `options`; none if there are none.
+/// Chooses one of `candidates`, or none if the list is empty.
 pub(super) fn choose(
     choice: Choice,
-    options: &[Eligible],
-    turn: &mut usize,
+    candidates: &[Candidate],
+    round_robin_counter: &mut usize,
     prefix: u64,
     rng: &mut StdRng,
 ) -> Option<usize> {
-    let less = |option: &&Eligible| option.in_flight;
+    let in_flight = |candidate: &&Candidate| candidate.in_flight;
     let chosen = match choice {
         Choice::RoundRobin => {
-            *turn += 1;
-            options.get(*turn % options.len().max(1))
+            *round_robin_counter += 1;
+            candidates.get(*round_robin_counter % candidates.len().max(1))
         }
-        Choice::Random => options.choose(rng),
-        Choice::LeastInFlight => options.iter().min_by_key(less),
-        Choice::TwoChoices => options.choose_multiple(rng, 2).min_by_key(less),
-        Choice::CacheAffine => affine(options, prefix),
+        Choice::Random => candidates.choose(rng),
+        Choice::LeastInFlight => candidates.iter().min_by_key(in_flight),
+        Choice::TwoChoices => candidates.choose_multiple(rng, 2).min_by_key(in_flight),
+        Choice::CacheAffine => choose_cache_affine(candidates, prefix),
     };
     Some(chosen?.engine)
 }
 
-fn affine(options: &[Eligible], prefix: u64) -> Option<&Eligible> {
-    let sum: u64 = options.iter().map(|option| option.in_flight).sum();
-    let mean = sum as f64 / options.len().max(1) as f64;
-    let bound = (mean * AFFINITY_BOUND).ceil() as u64 + 1;
-    let weight = |option: &&Eligible| {
-        let mixed = (prefix ^ option.engine as u64).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+fn choose_cache_affine(candidates: &[Candidate], prefix: u64) -> Option<&Candidate> {
+    let sum: u64 = candidates.iter().map(|candidate| candidate.in_flight).sum();
+    let mean = sum as f64 / candidates.len().max(1) as f64;
+    let max_in_flight = (mean * MAX_LOAD_TO_MEAN).ceil() as u64 + 1;
+    let weight = |candidate: &&Candidate| {
+        let mixed = (prefix ^ candidate.engine as u64).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         (mixed ^ (mixed >> 31)).wrapping_mul(0x94d0_49bb_1331_11eb)
     };
-    options
+    candidates
         .iter()
-        .filter(|option| option.in_flight <= bound)
+        .filter(|candidate| candidate.in_flight <= max_in_flight)
         .max_by_key(weight)
 }
--- a/crates/ctl/src/experiment/routing/deployment.rs
+++ b/crates/ctl/src/experiment/routing/deployment.rs
@@ -1,4 +1,4 @@
-//! Sizes, mix and objective of the two deployments.
+//! Sizes, traffic mix and objective of the two deployments.
 
 use super::DeploymentName;
 use carobwheel_core::document::{
@@ -9,28 +9,28 @@
 use carobwheel_standin::batch::EngineSettings;
 use std::ops::Range;
 
-/// Data centres, and so instances, of a region.
-const DATA_CENTRES: usize = 2;
+/// Data centres per region, each with one instance.
+const DATA_CENTRES_PER_REGION: usize = 2;
 const RETRY_BUDGET_PCT: u32 = 10;
 
-/// What the requests of one class look like.
+/// Sizes of the requests of one class.
 #[derive(Clone, Debug)]
-pub(super) struct Shape {
-    /// Share of the requests.
+pub(super) struct RequestShape {
+    /// Share of all requests.
     pub(super) share: f64,
-    /// Template that all of an account's requests of the class begin with, in tokens.
+    /// Length of the template that all requests of an account in this class begin with, in tokens.
     pub(super) template_tokens: u64,
-    /// Rest of the prompt, in tokens.
+    /// Length of the prompt after the template, in tokens.
     pub(super) prompt_tokens: Range<u64>,
     /// Length of the answer, in tokens.
     pub(super) output_tokens: Range<u64>,
-    /// Bound that the callers set on the answer, in tokens.
+    /// Limit on the answer's length in the request, in tokens.
     pub(super) max_output_tokens: u64,
-    /// Share of the requests that come back to a prompt that was sent before.
+    /// Share of the requests that repeat a prompt sent before.
     pub(super) repeat_share: f64,
 }
 
-/// One instance of the gateway.
+/// Name and location of an instance of the gateway.
 #[derive(Clone, Debug)]
 pub(super) struct InstanceSpec {
     pub(super) id: InstanceId,
@@ -38,7 +38,7 @@
     pub(super) data_centre: DataCentreId,
 }
 
-/// A deployment of a user.
+/// Deployment of the gateway, and the requests sent to it.
 #[derive(Clone, Debug)]
 pub(super) struct Deployment {
     pub(super) document: Document,
@@ -47,18 +47,22 @@
     pub(super) delays: NetworkDelays,
     /// Share of the requests of each account, in the document's order.
     pub(super) account_shares: Vec<f64>,
-    /// Shape of each class, in the document's order.
-    pub(super) shapes: Vec<Shape>,
+    /// Request sizes of each class, in the document's order.
+    pub(super) shapes: Vec<RequestShape>,
 }
 
-struct Sizes {
+/// Parameters in which the deployments differ.
+struct DeploymentSpec {
     objective: Objective,
     regions: [&'static str; 3],
+    /// Engines in each region.
     engines: [usize; 3],
+    /// One-way delay between data centres of a region, in microseconds.
     same_region_us: u64,
+    /// Name, share of the requests, and region to which the account is bound.
     accounts: [(&'static str, f64, Option<&'static str>); 5],
     classes: Vec<Class>,
-    shapes: Vec<Shape>,
+    shapes: Vec<RequestShape>,
 }
 
 impl Deployment {
@@ -69,23 +73,23 @@
         }
     }
 
-    /// Requests a second that one engine can serve at most, all caches cold.
+    /// Returns the highest rate of requests that one engine can serve with a cold cache, per second.
     pub(super) fn engine_requests_per_s(&self) -> f64 {
         let engine = &self.engine;
         let slots = engine.slots as f64;
         let step_us = engine.step_us as f64 + slots * engine.step_per_request_us as f64;
         let us_per_token = step_us / slots;
         let us_per_prompt_token = 1e6 / engine.prefill_tokens_per_s as f64;
-        let us = |shape: &Shape| {
-            let prompt = shape.template_tokens as f64 + middle(&shape.prompt_tokens);
-            let work = prompt * us_per_prompt_token + middle(&shape.output_tokens) * us_per_token;
+        let us = |shape: &RequestShape| {
+            let prompt = shape.template_tokens as f64 + midpoint(&shape.prompt_tokens);
+            let work = prompt * us_per_prompt_token + midpoint(&shape.output_tokens) * us_per_token;
             shape.share * work
         };
         1e6 / self.shapes.iter().map(us).sum::<f64>()
     }
 }
 
-fn middle(range: &Range<u64>) -> f64 {
+fn midpoint(range: &Range<u64>) -> f64 {
     (range.start + range.end) as f64 / 2.0
 }
 
@@ -100,8 +104,8 @@
     }
 }
 
-fn authority() -> Sizes {
-    Sizes {
+fn authority() -> DeploymentSpec {
+    DeploymentSpec {
         objective: Objective::TailLatency,
         regions: ["north", "south", "central"],
         engines: [3, 3, 3],
@@ -118,7 +122,7 @@
             class("dossier", 32_768, 2_500, 1),
         ],
         shapes: vec![
-            Shape {
+            RequestShape {
                 share: 0.85,
                 template_tokens: 1_024,
                 prompt_tokens: 60..500,
@@ -126,7 +130,7 @@
                 max_output_tokens: 256,
                 repeat_share: 0.0,
             },
-            Shape {
+            RequestShape {
                 share: 0.15,
                 template_tokens: 1_024,
                 prompt_tokens: 3_000..11_000,
@@ -138,8 +142,8 @@
     }
 }
 
-fn skledica() -> Sizes {
-    Sizes {
+fn skledica() -> DeploymentSpec {
+    DeploymentSpec {
         objective: Objective::Cost,
         regions: ["ljubljana", "maribor", "koper"],
         engines: [4, 3, 3],
@@ -156,7 +160,7 @@
             class("briefing", 16_384, 3_000, 1),
         ],
         shapes: vec![
-            Shape {
+            RequestShape {
                 share: 0.8,
                 template_tokens: 1_024,
                 prompt_tokens: 30..300,
@@ -164,7 +168,7 @@
                 max_output_tokens: 200,
                 repeat_share: 0.0,
             },
-            Shape {
+            RequestShape {
                 share: 0.2,
                 template_tokens: 1_024,
                 prompt_tokens: 1_500..5_000,
@@ -176,28 +180,28 @@
     }
 }
 
-fn build(sizes: Sizes) -> Deployment {
+fn build(spec: DeploymentSpec) -> Deployment {
     let engine = EngineSettings {
         cache_blocks: 768,
         ..EngineSettings::default()
     };
-    let regions: Vec<_> = sizes.regions.iter().map(|name| region(name)).collect();
+    let regions: Vec<_> = spec.regions.iter().map(|name| region(name)).collect();
     let document = Document {
         schema: SCHEMA,
         policy: Policy {
-            objective: sizes.objective,
+            objective: spec.objective,
             retry_budget_pct: RETRY_BUDGET_PCT,
             max_body_bytes: 1_048_576,
         },
-        accounts: sizes.accounts.iter().map(account).collect(),
-        classes: sizes.classes,
+        accounts: spec.accounts.iter().map(account).collect(),
+        classes: spec.classes,
         models: vec![Model {
             id: "m".parse().expect("a model name"),
             version: "v1".parse().expect("a version name"),
             default_max_output_tokens: 512,
             max_output_tokens: 4_096,
         }],
-        upstreams: upstreams(&regions, &sizes.engines, &engine),
+        upstreams: upstreams(&regions, &spec.engines, &engine),
         routes: Vec::new(),
         rollouts: Vec::new(),
         regions,
@@ -207,11 +211,11 @@
         engine,
         delays: NetworkDelays {
             same_data_centre_us: 100,
-            same_region_us: sizes.same_region_us,
+            same_region_us: spec.same_region_us,
             other_region_us: 80_000,
         },
-        account_shares: sizes.accounts.iter().map(|(_, share, _)| *share).collect(),
-        shapes: sizes.shapes,
+        account_shares: spec.accounts.iter().map(|(_, share, _)| *share).collect(),
+        shapes: spec.shapes,
         document,
     }
 }
@@ -220,7 +224,7 @@
     let data_centre = |index| format!("{name}-{index}").parse().expect("a name");
     Region {
         id: name.parse().expect("a region name"),
-        data_centres: (0..DATA_CENTRES).map(data_centre).collect(),
+        data_centres: (0..DATA_CENTRES_PER_REGION).map(data_centre).collect(),
         rate_weight: 1,
     }
 }
@@ -237,13 +241,13 @@
 }
 
 fn upstreams(regions: &[Region], engines: &[usize], engine: &EngineSettings) -> Vec<Upstream> {
-    let of_region = |(region, count): (&Region, &usize)| {
+    let in_region = |(region, count): (&Region, &usize)| {
         let upstream = |index: usize| Upstream {
             id: format!("{}-engine-{index}", region.id)
                 .parse()
                 .expect("an upstream name"),
             region: region.id.clone(),
-            data_centre: region.data_centres[index % DATA_CENTRES].clone(),
+            data_centre: region.data_centres[index % DATA_CENTRES_PER_REGION].clone(),
             url: format!("http://{}-engine-{index}", region.id),
             serves: Serves::Engine {
                 model: "m".parse().expect("a model name"),
@@ -256,11 +260,11 @@
         };
         (0..*count).map(upstream).collect::<Vec<_>>()
     };
-    regions.iter().zip(engines).flat_map(of_region).collect()
+    regions.iter().zip(engines).flat_map(in_region).collect()
 }
 
 fn instances(regions: &[Region]) -> Vec<InstanceSpec> {
-    let of_region = |region: &Region| {
+    let in_region = |region: &Region| {
         let instance = |(index, data_centre): (usize, &DataCentreId)| InstanceSpec {
             id: format!("{}-{index}", region.id)
                 .parse()
@@ -275,5 +279,5 @@
             .map(instance)
             .collect::<Vec<_>>()
     };
-    regions.iter().flat_map(of_region).collect()
+    regions.iter().flat_map(in_region).collect()
 }
--- a/crates/ctl/src/experiment/routing/event.rs
+++ b/crates/ctl/src/experiment/routing/event.rs
@@ -1,92 +1,96 @@
-//! Events in order of time.
+//! Events of the simulation and the queue that orders them by time.
 
 use carobwheel_core::route::LoadDigest;
 use carobwheel_standin::batch::{JobId, Token};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Something that happens.
+/// Event of the simulation. A lone number is the index of a request, or of a fault.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
-    /// A request comes in.
+    /// A request arrives at its instance.
     Arrive(usize),
     /// A request reaches its engine.
     Submit { engine: usize, job: JobId },
-    /// An engine ends a step; the number tells steps before a crash from those after it.
-    StepEnd { engine: usize, life: u64 },
-    /// Tokens reach an instance.
+    /// An engine ends a step. `registration` distinguishes steps before a crash from those after it.
+    StepEnd { engine: usize, registration: u64 },
+    /// Tokens arrive at an instance.
     Deliver { instance: usize, tokens: Vec<Token> },
-    /// An attempt fails: not run if the connection never came about.
+    /// An attempt fails. It was not run if no connection was established.
     Fail { job: JobId, is_not_run: bool },
-    /// A failed request is tried again.
+    /// A failed request is retried.
     Retry(usize),
-    /// A request's deadline has come.
+    /// A request's deadline is reached.
     Deadline(usize),
-    /// Instances tell each other about their work.
-    SendDigest { instance: usize, is_far: bool },
-    /// A digest arrives.
-    Digest {
+    /// An instance sends its load digest to its peers in its own region or in the others.
+    SendDigest {
+        instance: usize,
+        is_cross_region: bool,
+    },
+    /// A load digest arrives at an instance.
+    DeliverDigest {
         from: usize,
         to: usize,
         digest: LoadDigest,
     },
-    /// Engines report their load.
-    Report,
-    /// Instances expire and place what waits.
+    /// All engines report their load.
+    ReportLoads,
+    /// All instances expire old state and place waiting requests.
     Tick,
-    /// An engine crashes or returns.
+    /// An engine crashes or returns, as given by a fault of the scenario.
     Fault(usize),
-    /// The live list tells of a crash or return.
-    LiveList(usize),
+    /// The live list reports the crash or return of a fault.
+    UpdateLiveList(usize),
 }
 
+/// Event with its time. Events of equal time are ordered by `sequence`.
 #[derive(Debug)]
-struct Timed {
+struct ScheduledEvent {
     at_us: u64,
-    number: u64,
+    sequence: u64,
     event: Event,
 }
 
-impl PartialEq for Timed {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
-        self.number == other.number
+        self.sequence == other.sequence
     }
 }
 
-impl Eq for Timed {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Timed {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Timed {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> Ordering {
-        let key = |timed: &Self| (timed.at_us, timed.number);
+        let key = |scheduled: &Self| (scheduled.at_us, scheduled.sequence);
         key(other).cmp(&key(self))
     }
 }
 
-/// Events to come, the earliest first; events of the same time in order of insertion.
+/// Queue of future events, the earliest first; events of equal time in order of insertion.
 #[derive(Debug, Default)]
-pub(super) struct Events {
-    heap: BinaryHeap<Timed>,
-    next: u64,
+pub(super) struct EventQueue {
+    heap: BinaryHeap<ScheduledEvent>,
+    next_sequence: u64,
 }
 
-impl Events {
+impl EventQueue {
     pub(super) fn push(&mut self, at_us: u64, event: Event) {
-        self.heap.push(Timed {
+        self.heap.push(ScheduledEvent {
             at_us,
-            number: self.next,
+            sequence: self.next_sequence,
             event,
         });
-        self.next += 1;
+        self.next_sequence += 1;
     }
 
     pub(super) fn pop(&mut self) -> Option<(u64, Event)> {
-        let timed = self.heap.pop()?;
-        Some((timed.at_us, timed.event))
+        let scheduled = self.heap.pop()?;
+        Some((scheduled.at_us, scheduled.event))
     }
 }
--- a/crates/ctl/src/experiment/routing/measure.rs
+++ b/crates/ctl/src/experiment/routing/measure.rs
@@ -1,18 +1,18 @@
-//! What is measured.
+//! Measurements of a run: latency, refusals, failures and engine time.
 
 use super::deployment::Deployment;
 use super::workload::Arrival;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Digits that the histograms keep.
-const DIGITS: u8 = 3;
-/// Longest duration that the histograms tell apart, in microseconds.
-const MAX_US: u64 = 120_000_000;
-/// The aim for the first token, in microseconds.
-const FIRST_TOKEN_AIM_US: u64 = 480_000;
-/// The aim for the time between two tokens, in microseconds.
-const BETWEEN_AIM_US: u64 = 30_000;
+/// Significant decimal digits of the histograms.
+const HISTOGRAM_DIGITS: u8 = 3;
+/// Highest duration that the histograms record, in microseconds; longer ones count as this.
+const MAX_RECORDED_US: u64 = 120_000_000;
+/// Target for the time to the first token, in microseconds.
+const FIRST_TOKEN_TARGET_US: u64 = 480_000;
+/// Target for the time between two tokens, in microseconds.
+const BETWEEN_TOKENS_TARGET_US: u64 = 30_000;
 
 /// Percentiles of a duration, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
@@ -44,26 +44,28 @@
 
 /// Results of one policy.
 #[derive(Clone, Debug, Serialize)]
-pub(super) struct Row {
+pub(super) struct PolicyRow {
     pub(super) policy: String,
     pub(super) requests: u64,
     pub(super) classes: Vec<ClassRow>,
-    /// First token of the worst-served account's most urgent class, 95th percentile.
+    /// Time to the first token in the class of highest priority, 95th percentile, of the account for
+    /// which it is longest.
     pub(super) worst_account_first_token_p95_ms: f64,
-    /// Answers of the worst-served account as a share of its requests.
+    /// Share of the requests answered, of the account for which it is lowest.
     pub(super) worst_account_served_share: f64,
-    /// Refused, or without a first token at the deadline.
+    /// Requests refused, or without a first token at the deadline.
     pub(super) refused: u64,
-    /// Refused although the account kept to its share.
+    /// Refused requests of accounts that kept to their share of the load.
     pub(super) refused_wrongly: u64,
-    /// Cut and not resumed.
+    /// Answers interrupted and not resumed.
     pub(super) failed: u64,
+    /// Share of the requests whose last attempt went to another region.
     pub(super) away_share: f64,
     pub(super) busy_s_per_1000_tokens: f64,
     pub(super) cache_hit_ratio: f64,
-    /// Share of the first tokens within 480 ms, of all requests.
+    /// Share of all requests whose first token came within 480 ms.
     pub(super) first_token_in_aim_share: f64,
-    /// Share of the gaps between tokens within 30 ms.
+    /// Share of the gaps between tokens that took at most 30 ms.
     pub(super) between_in_aim_share: f64,
     pub(super) attempts_per_request: f64,
 }
@@ -77,25 +79,26 @@
     pub(super) cached_tokens: u64,
 }
 
+/// Counts over all measured requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     requests: u64,
     served: u64,
     refused: u64,
     failed: u64,
-    away: u64,
+    in_other_region: u64,
     attempts: u64,
-    first_in_aim: u64,
+    first_tokens_in_target: u64,
     gaps: u64,
-    gaps_in_aim: u64,
+    gaps_in_target: u64,
     refused_wrongly: u64,
 }
 
 /// Collects the measurements of one run.
-pub(super) struct Measure {
-    first: Vec<Histogram<u64>>,
-    between: Vec<Histogram<u64>>,
-    account_first: Vec<Histogram<u64>>,
+pub(super) struct Measurements {
+    first_token: Vec<Histogram<u64>>,
+    between_tokens: Vec<Histogram<u64>>,
+    account_first_token: Vec<Histogram<u64>>,
     account_requests: Vec<u64>,
     account_served: Vec<u64>,
     counts: Counts,
@@ -103,17 +106,18 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_US, DIGITS).expect("a histogram with valid bounds")
+    Histogram::new_with_bounds(1, MAX_RECORDED_US, HISTOGRAM_DIGITS)
+        .expect("a histogram with valid bounds")
 }
 
-impl Measure {
+impl Measurements {
     pub(super) fn new(deployment: &Deployment, greedy_account: Option<usize>) -> Self {
         let classes = deployment.document.classes.len();
         let accounts = deployment.document.accounts.len();
         Self {
-            first: vec![histogram(); classes],
-            between: vec![histogram(); classes],
-            account_first: vec![histogram(); accounts],
+            first_token: vec![histogram(); classes],
+            between_tokens: vec![histogram(); classes],
+            account_first_token: vec![histogram(); accounts],
             account_requests: vec![0; accounts],
             account_served: vec![0; accounts],
             counts: Counts::default(),
@@ -121,32 +125,32 @@
         }
     }
 
-    pub(super) fn first_token(&mut self, arrival: &Arrival, us: u64) {
+    pub(super) fn record_first_token(&mut self, arrival: &Arrival, us: u64) {
         if !arrival.is_measured {
             return;
         }
-        self.first[arrival.class].saturating_record(us);
+        self.first_token[arrival.class].saturating_record(us);
         if arrival.class == 0 {
-            self.account_first[arrival.account].saturating_record(us);
+            self.account_first_token[arrival.account].saturating_record(us);
         }
-        self.counts.first_in_aim += u64::from(us <= FIRST_TOKEN_AIM_US);
+        self.counts.first_tokens_in_target += u64::from(us <= FIRST_TOKEN_TARGET_US);
     }
 
-    pub(super) fn gap(&mut self, arrival: &Arrival, us: u64) {
+    pub(super) fn record_gap(&mut self, arrival: &Arrival, us: u64) {
         if !arrival.is_measured {
             return;
         }
-        self.between[arrival.class].saturating_record(us);
+        self.between_tokens[arrival.class].saturating_record(us);
         self.counts.gaps += 1;
-        self.counts.gaps_in_aim += u64::from(us <= BETWEEN_AIM_US);
+        self.counts.gaps_in_target += u64::from(us <= BETWEEN_TOKENS_TARGET_US);
     }
 
-    /// Counts a request that is over.
-    pub(super) fn over(
+    /// Records the end of a request.
+    pub(super) fn record_finished(
         &mut self,
         arrival: &Arrival,
         outcome: super::request_state::Stage,
-        is_away: bool,
+        is_in_other_region: bool,
         attempts: u32,
     ) {
         use super::request_state::Stage;
@@ -155,7 +159,7 @@
         }
         let counts = &mut self.counts;
         counts.requests += 1;
-        counts.away += u64::from(is_away);
+        counts.in_other_region += u64::from(is_in_other_region);
         counts.attempts += u64::from(attempts);
         self.account_requests[arrival.account] += 1;
         match outcome {
@@ -164,53 +168,57 @@
                 self.account_served[arrival.account] += 1;
             }
             Stage::Failed => counts.failed += 1,
-            Stage::Idle | Stage::Queued | Stage::Flying | Stage::Refused => {
+            Stage::Idle | Stage::Queued | Stage::InFlight | Stage::Refused => {
                 counts.refused += 1;
                 counts.refused_wrongly += u64::from(!arrival.is_greedy);
             }
         }
     }
 
+    /// Returns the results of the run. The worst account is chosen without the greedy one.
     pub(super) fn row(
         &self,
         policy: String,
         deployment: &Deployment,
         engines: &EngineTotals,
-    ) -> Row {
+    ) -> PolicyRow {
         let counts = &self.counts;
-        let share = |part: u64, whole: u64| part as f64 / whole.max(1) as f64;
+        let share = |part: u64, total: u64| part as f64 / total.max(1) as f64;
         let classes = deployment.document.classes.iter().enumerate();
         let class = |(index, class): (usize, &carobwheel_core::document::Class)| ClassRow {
             class: class.id.to_string(),
-            requests: self.first[index].len(),
-            first_token: Percentiles::of(&self.first[index]),
-            between_tokens: Percentiles::of(&self.between[index]),
+            requests: self.first_token[index].len(),
+            first_token: Percentiles::of(&self.first_token[index]),
+            between_tokens: Percentiles::of(&self.between_tokens[index]),
         };
-        let others = || {
+        let other_accounts = || {
             let accounts = 0..self.account_requests.len();
             accounts.filter(|account| {
                 Some(*account) != self.greedy_account && self.account_requests[*account] > 0
             })
         };
-        let first_p95 = |account: usize| Percentiles::of(&self.account_first[account]).p95_ms;
+        let first_token_p95 =
+            |account: usize| Percentiles::of(&self.account_first_token[account]).p95_ms;
         let served =
             |account: usize| share(self.account_served[account], self.account_requests[account]);
-        Row {
+        PolicyRow {
             policy,
             requests: counts.requests,
             classes: classes.map(class).collect(),
-            worst_account_first_token_p95_ms: others().map(first_p95).fold(0.0, f64::max),
-            worst_account_served_share: others().map(served).fold(1.0, f64::min),
+            worst_account_first_token_p95_ms: other_accounts()
+                .map(first_token_p95)
+                .fold(0.0, f64::max),
+            worst_account_served_share: other_accounts().map(served).fold(1.0, f64::min),
             refused: counts.refused,
             refused_wrongly: counts.refused_wrongly,
             failed: counts.failed,
-            away_share: share(counts.away, counts.requests),
+            away_share: share(counts.in_other_region, counts.requests),
             busy_s_per_1000_tokens: engines.busy_us as f64
                 / 1_000.0
                 / engines.output_tokens.max(1) as f64,
             cache_hit_ratio: share(engines.cached_tokens, engines.prompt_tokens),
-            first_token_in_aim_share: share(counts.first_in_aim, counts.requests),
-            between_in_aim_share: share(counts.gaps_in_aim, counts.gaps),
+            first_token_in_aim_share: share(counts.first_tokens_in_target, counts.requests),
+            between_in_aim_share: share(counts.gaps_in_target, counts.gaps),
             attempts_per_request: share(counts.attempts, counts.requests),
         }
     }
--- a/crates/ctl/src/experiment/routing/mod.rs
+++ b/crates/ctl/src/experiment/routing/mod.rs
@@ -1,7 +1,9 @@
-//! Routing, admission and retries under load, against the usual baselines.
+//! `carobctl experiment routing`: routing, admission and retries under load, compared with common
+//! baselines.
 //!
-//! A small event loop runs several instances, each with its own router, queues and retrier, before
-//! modelled engines. All policies get the same arrivals. Nothing is random but by the seed.
+//! A discrete-event simulation runs several instances, each with its own router, queues and
+//! retrier, in front of simulated engines. All policies get the same arrivals. Every random choice
+//! derives from the seed.
 
 mod baseline;
 mod comparison;
@@ -23,12 +25,12 @@
 use anyhow::Context;
 use clap::ValueEnum;
 use deployment::Deployment;
-use measure::Row;
-use scenario::{Case, Scenario};
+use measure::PolicyRow;
+use scenario::{Scenario, ScenarioSettings};
 use serde::Serialize;
 use std::path::PathBuf;
 
-/// The deployments of the users.
+/// Deployment to simulate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DeploymentName {
@@ -38,13 +40,13 @@
     Skledica,
 }
 
-/// Arguments of the measurement.
+/// Arguments of `carobctl experiment routing`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Args {
-    /// Deployment whose sizes, mix and objective are used.
+    /// Deployment whose sizes, traffic mix and objective are used.
     #[arg(long, value_enum)]
     pub deployment: DeploymentName,
-    /// Scenario, or `all`.
+    /// Scenario to run, or `all`.
     #[arg(long, value_enum, default_value = "all")]
     pub scenario: Scenario,
     /// Seed of the arrivals and of every random choice.
@@ -56,39 +58,39 @@
     /// Print JSON instead of tables.
     #[arg(long)]
     pub json: bool,
-    /// Also draw the 95th percentile of the first token into this SVG file.
+    /// Also plot the 95th percentile of the time to the first token into this SVG file.
     #[arg(long)]
     pub svg: Option<PathBuf>,
 }
 
 /// Results of one scenario.
 #[derive(Clone, Debug, Serialize)]
-struct Outcome {
+struct ScenarioResults {
     deployment: DeploymentName,
     scenario: Scenario,
     seed: u64,
     duration_s: u64,
-    rows: Vec<Row>,
+    rows: Vec<PolicyRow>,
     verdict: Vec<comparison::Comparison>,
 }
 
-/// Runs the measurement and prints its results.
+/// Runs the experiment and prints its results.
 ///
 /// # Errors
 ///
 /// Fails if the plot cannot be written.
 pub fn run(args: Args) -> anyhow::Result<()> {
     let deployment = Deployment::new(args.deployment);
-    let mut outcomes = Vec::new();
+    let mut results = Vec::new();
     for scenario in args.scenario.expand() {
         if scenario == Scenario::RetryStorm {
             continue;
         }
-        let outcome = run_scenario(&args, &deployment, scenario);
+        let scenario_results = run_scenario(&args, &deployment, scenario);
         if !args.json {
-            print!("{}", table::render(&outcome));
+            print!("{}", table::render(&scenario_results));
         }
-        outcomes.push(outcome);
+        results.push(scenario_results);
     }
     let storm = args
         .scenario
@@ -101,24 +103,24 @@
         }
     }
     if args.json {
-        let whole = serde_json::json!({ "scenarios": outcomes, "retry_storm": storm });
-        println!("{}", serde_json::to_string_pretty(&whole)?);
+        let report = serde_json::json!({ "scenarios": results, "retry_storm": storm });
+        println!("{}", serde_json::to_string_pretty(&report)?);
     }
     if let Some(path) = &args.svg {
         let context = || format!("cannot write {}", path.display());
-        plot::write(path, &outcomes).with_context(context)?;
+        plot::write(path, &results).with_context(context)?;
     }
     Ok(())
 }
 
-fn run_scenario(args: &Args, deployment: &Deployment, scenario: Scenario) -> Outcome {
-    let case = Case::new(scenario, deployment, args.duration_s);
-    let arrivals = workload::arrivals(deployment, &case, args.seed);
-    let rows: Vec<Row> = baseline::Policy::ALL
+fn run_scenario(args: &Args, deployment: &Deployment, scenario: Scenario) -> ScenarioResults {
+    let settings = ScenarioSettings::new(scenario, deployment, args.duration_s);
+    let arrivals = workload::arrivals(deployment, &settings, args.seed);
+    let rows: Vec<PolicyRow> = baseline::Policy::ALL
         .iter()
-        .map(|policy| world::run(deployment, &case, &arrivals, *policy, args.seed))
+        .map(|policy| world::run(deployment, &settings, &arrivals, *policy, args.seed))
         .collect();
-    Outcome {
+    ScenarioResults {
         deployment: args.deployment,
         scenario,
         seed: args.seed,
--- a/crates/ctl/src/experiment/routing/request_state.rs
+++ b/crates/ctl/src/experiment/routing/request_state.rs
@@ -1,46 +1,48 @@
-//! State of one request on its way through the system.
+//! State of a request in the simulation.
 
 use carobwheel_core::id::{RequestId, UpstreamId};
 use carobwheel_core::retry::ResumePoint;
 use carobwheel_core::route::{AttemptId, Hops};
 use carobwheel_standin::batch::JobId;
 
-/// Attempts that a job's name has room for.
-const ATTEMPTS: u64 = 16;
+/// Number of attempts of a request that a job identifier can distinguish.
+const MAX_ATTEMPTS: u64 = 16;
 
-/// Where a request is.
+/// Stage of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Not here yet, or waiting for its retry.
+    /// Not yet arrived, or waiting for its retry.
     Idle,
-    /// In a queue of the gateway.
+    /// In an admission queue of the gateway.
     Queued,
-    /// On an engine.
-    Flying,
-    /// Answered in full.
+    /// Sent to an engine.
+    InFlight,
+    /// Answered completely.
     Done,
     /// Refused, or without a first token at its deadline.
     Refused,
-    /// Cut, and not resumed.
+    /// Interrupted and not resumed.
     Failed,
 }
 
-/// A request on its way.
+/// State of a request.
 #[derive(Clone, Debug)]
-pub(super) struct Live {
+pub(super) struct RequestState {
     pub(super) id: RequestId,
     pub(super) stage: Stage,
     pub(super) attempts: u32,
+    /// Upstreams on which an attempt has failed.
     pub(super) tried: Vec<UpstreamId>,
     pub(super) engine: Option<usize>,
-    pub(super) flight: Option<AttemptId>,
+    pub(super) attempt_id: Option<AttemptId>,
     pub(super) last_token_at_us: Option<u64>,
-    pub(super) resume: ResumePoint,
-    pub(super) is_away: bool,
+    pub(super) resume_point: ResumePoint,
+    /// Whether the last attempt went to a region other than the instance's.
+    pub(super) is_in_other_region: bool,
     pub(super) hops: Hops,
 }
 
-impl Live {
+impl RequestState {
     pub(super) fn new(id: RequestId, hops: Hops, max_output_tokens: u64) -> Self {
         Self {
             id,
@@ -48,25 +50,28 @@
             attempts: 0,
             tried: Vec::new(),
             engine: None,
-            flight: None,
+            attempt_id: None,
             last_token_at_us: None,
-            resume: ResumePoint::new(true, max_output_tokens),
-            is_away: false,
+            resume_point: ResumePoint::new(true, max_output_tokens),
+            is_in_other_region: false,
             hops,
         }
     }
 
-    pub(super) fn is_over(&self) -> bool {
+    pub(super) fn is_finished(&self) -> bool {
         matches!(self.stage, Stage::Done | Stage::Refused | Stage::Failed)
     }
 }
 
-/// The job of a request's attempt.
-pub(super) fn job_of(request: usize, attempt: u32) -> JobId {
-    JobId(request as u64 * ATTEMPTS + u64::from(attempt))
+/// Returns the job identifier of an attempt.
+pub(super) fn job_id(request: usize, attempt: u32) -> JobId {
+    JobId(request as u64 * MAX_ATTEMPTS + u64::from(attempt))
 }
 
-/// The request and attempt of a job.
-pub(super) fn request_of(job: JobId) -> (usize, u32) {
-    ((job.0 / ATTEMPTS) as usize, (job.0 % ATTEMPTS) as u32)
+/// Returns the request and the attempt of a job.
+pub(super) fn request_and_attempt(job: JobId) -> (usize, u32) {
+    (
+        (job.0 / MAX_ATTEMPTS) as usize,
+        (job.0 % MAX_ATTEMPTS) as u32,
+    )
 }
--- a/crates/ctl/src/experiment/routing/scenario.rs
+++ b/crates/ctl/src/experiment/routing/scenario.rs
@@ -1,27 +1,27 @@
-//! The scenarios: load, its distribution over regions, and faults.
+//! Scenarios: load, its distribution over regions, and faults.
 
 use super::deployment::Deployment;
 use clap::ValueEnum;
 use serde::Serialize;
 
-/// Time at the start that is not measured, as a part of the whole.
-const WARM_UP_PART: u64 = 8;
+/// Divisor of the duration that gives the warm-up time, in which nothing is measured.
+const WARM_UP_DIVISOR: u64 = 8;
 
-/// A scenario of load and faults.
+/// Scenario of load and faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Scenario {
-    /// All of the scenarios.
+    /// All scenarios.
     All,
-    /// Two fifths of the capacity: engines have room.
+    /// Load of two fifths of the capacity, so that engines have free slots.
     Room,
-    /// Three quarters of the capacity.
+    /// Load of three quarters of the capacity.
     Peak,
-    /// The regions' peaks follow each other.
+    /// The regions have their peaks of demand one after the other.
     OffsetPeaks,
-    /// One account sends five times its share.
+    /// One account sends five times its share of the load.
     FiveTimes,
-    /// A region loses half of its engines, with the work on them.
+    /// A region loses half of its engines and the requests in flight on them.
     HalfRegionLost,
     /// A region's engines return with cold caches.
     ColdReturn,
@@ -30,7 +30,7 @@
 }
 
 impl Scenario {
-    /// The scenarios that this one stands for.
+    /// Returns the scenarios that the argument selects.
     pub(super) fn expand(self) -> Vec<Self> {
         match self {
             Self::All => vec![
@@ -42,28 +42,28 @@
                 Self::ColdReturn,
                 Self::RetryStorm,
             ],
-            one => vec![one],
+            single => vec![single],
         }
     }
 }
 
-/// A change of an engine's state.
+/// Crash or return of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Fault {
     pub(super) at_us: u64,
     pub(super) engine: usize,
-    /// The engine returns, rather than crashes.
+    /// Whether the engine returns; otherwise it crashes.
     pub(super) is_return: bool,
 }
 
-/// A scenario worked out for a deployment.
+/// Load and faults of a scenario in a deployment.
 #[derive(Clone, Debug)]
-pub(super) struct Case {
-    /// Arrivals as a share of what all engines can serve with cold caches.
+pub(super) struct ScenarioSettings {
+    /// Arrival rate as a share of the rate that all engines can serve with cold caches.
     pub(super) load: f64,
-    /// Amplitude of the regions' daily rhythm, as a share of their mean.
-    pub(super) rhythm: f64,
-    /// Account that sends a multiple of its share.
+    /// Amplitude of the daily variation of each region's demand, as a share of the mean.
+    pub(super) demand_amplitude: f64,
+    /// Account that exceeds its share of the load by `greedy_factor`.
     pub(super) greedy_account: Option<usize>,
     pub(super) greedy_factor: f64,
     pub(super) faults: Vec<Fault>,
@@ -71,53 +71,53 @@
     pub(super) duration_us: u64,
 }
 
-impl Case {
+impl ScenarioSettings {
     pub(super) fn new(scenario: Scenario, deployment: &Deployment, duration_s: u64) -> Self {
         let duration_us = duration_s * 1_000_000;
-        let calm = Self {
+        let base = Self {
             load: 0.6,
-            rhythm: 0.0,
+            demand_amplitude: 0.0,
             greedy_account: None,
             greedy_factor: 1.0,
             faults: Vec::new(),
-            measured_from_us: duration_us / WARM_UP_PART,
+            measured_from_us: duration_us / WARM_UP_DIVISOR,
             duration_us,
         };
         let half_us = duration_us / 2;
         match scenario {
-            Scenario::All | Scenario::RetryStorm => calm,
-            Scenario::Room => Self { load: 0.4, ..calm },
-            Scenario::Peak => Self { load: 0.75, ..calm },
+            Scenario::All | Scenario::RetryStorm => base,
+            Scenario::Room => Self { load: 0.4, ..base },
+            Scenario::Peak => Self { load: 0.75, ..base },
             Scenario::OffsetPeaks => Self {
-                rhythm: 0.8,
-                ..calm
+                demand_amplitude: 0.8,
+                ..base
             },
             Scenario::FiveTimes => Self {
                 load: 0.7,
                 greedy_account: Some(deployment.account_shares.len() - 1),
                 greedy_factor: 5.0,
-                ..calm
+                ..base
             },
             Scenario::HalfRegionLost => {
-                let home = home_engines(deployment);
-                let lost = home.len().div_ceil(2);
+                let engines = first_region_engines(deployment);
+                let lost = engines.len().div_ceil(2);
                 Self {
-                    faults: home[..lost].iter().map(|e| crash(*e, half_us)).collect(),
+                    faults: engines[..lost].iter().map(|e| crash(*e, half_us)).collect(),
                     measured_from_us: half_us,
-                    ..calm
+                    ..base
                 }
             }
             Scenario::ColdReturn => {
-                let home = home_engines(deployment);
-                let crashes = home.iter().map(|engine| crash(*engine, 0));
-                let returns = home.iter().map(|engine| Fault {
+                let engines = first_region_engines(deployment);
+                let crashes = engines.iter().map(|engine| crash(*engine, 0));
+                let returns = engines.iter().map(|engine| Fault {
                     is_return: true,
                     ..crash(*engine, half_us)
                 });
                 Self {
                     faults: crashes.chain(returns).collect(),
                     measured_from_us: half_us,
-                    ..calm
+                    ..base
                 }
             }
         }
@@ -132,8 +132,8 @@
     }
 }
 
-/// Engines of the first region.
-fn home_engines(deployment: &Deployment) -> Vec<usize> {
+/// Returns the engines of the first region.
+fn first_region_engines(deployment: &Deployment) -> Vec<usize> {
     let region = &deployment.document.regions[0].id;
     let upstreams = deployment.document.upstreams.iter().enumerate();
     upstreams
--- a/crates/ctl/src/experiment/routing/storm.rs
+++ b/crates/ctl/src/experiment/routing/storm.rs
@@ -1,4 +1,4 @@
-//! A retry storm: half of all attempts fail, and the retries must not add up.
+//! Retry storm: half of all attempts fail, and the retry budget has to bound the attempts.
 
 use super::deployment::Deployment;
 use carobwheel_core::retry::{Decision, Failure, Retrier, RetrySettings};
@@ -10,10 +10,10 @@
 const REQUESTS: u64 = 100_000;
 const FAILURE_SHARE: f64 = 0.5;
 const DEADLINE_MS: u64 = 10_000;
-/// Retries of one request by the baseline, which has no budget.
-const PLAIN_RETRIES: u32 = 3;
+/// Retries per request of the baseline, which has no retry budget.
+const BASELINE_RETRIES: u32 = 3;
 
-/// Attempts and outcomes with one way of retrying.
+/// Attempts and answers under one retry policy.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct StormRow {
     policy: &'static str,
@@ -21,35 +21,38 @@
     answered_share: f64,
 }
 
-/// Results of the storm.
+/// Results of the retry storm.
 #[derive(Clone, Debug, Serialize)]
-pub(super) struct Storm {
+pub(super) struct StormReport {
     budget_pct: u32,
     failure_share: f64,
     rows: Vec<StormRow>,
 }
 
-/// Runs the storm.
+/// Simulates the retry storm with and without a retry budget.
 ///
 /// # Panics
 ///
 /// Panics if the attempts exceed the requests by more than the budget.
-pub(super) fn run(deployment: &Deployment, seed: u64) -> Storm {
+pub(super) fn run(deployment: &Deployment, seed: u64) -> StormReport {
     let budget_pct = deployment.document.policy.retry_budget_pct;
-    let ours = budgeted(budget_pct, seed);
-    let most = 1.0 + f64::from(budget_pct) / 100.0;
-    assert!(ours.attempts_per_request <= most, "the retries grew");
-    Storm {
+    let ours = run_with_budget(budget_pct, seed);
+    let max_attempts_per_request = 1.0 + f64::from(budget_pct) / 100.0;
+    assert!(
+        ours.attempts_per_request <= max_attempts_per_request,
+        "attempts exceed the retry budget"
+    );
+    StormReport {
         budget_pct,
         failure_share: FAILURE_SHARE,
-        rows: vec![ours, plain(seed)],
+        rows: vec![ours, run_without_budget(seed)],
     }
 }
 
-fn budgeted(budget_pct: u32, seed: u64) -> StormRow {
+fn run_with_budget(budget_pct: u32, seed: u64) -> StormRow {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut retrier = Retrier::new(RetrySettings::with_budget_pct(budget_pct));
-    count("carobwheel", &mut rng, |attempts, rng| {
+    simulate("carobwheel", &mut rng, |attempts, rng| {
         if attempts == 0 {
             retrier.on_request();
             return true;
@@ -60,14 +63,14 @@
     })
 }
 
-fn plain(seed: u64) -> StormRow {
+fn run_without_budget(seed: u64) -> StormRow {
     let mut rng = StdRng::seed_from_u64(seed);
-    count("three retries, no budget", &mut rng, |attempts, _| {
-        attempts <= PLAIN_RETRIES
+    simulate("three retries, no budget", &mut rng, |attempts, _| {
+        attempts <= BASELINE_RETRIES
     })
 }
 
-fn count(
+fn simulate(
     policy: &'static str,
     rng: &mut StdRng,
     mut may_try: impl FnMut(u32, &mut StdRng) -> bool,
@@ -91,8 +94,8 @@
     }
 }
 
-/// The results as text.
-pub(super) fn render(storm: &Storm) -> String {
+/// Renders the results as text.
+pub(super) fn render(storm: &StormReport) -> String {
     let mut text = String::new();
     let _ = writeln!(
         text,
--- a/crates/ctl/src/experiment/routing/table.rs
+++ b/crates/ctl/src/experiment/routing/table.rs
@@ -1,21 +1,21 @@
-//! Results as text.
+//! Results as a text table.
 
 use super::comparison::{Comparison, Standing};
-use super::measure::Row;
-use super::Outcome;
+use super::measure::PolicyRow;
+use super::ScenarioResults;
 use std::fmt::Write;
 
-/// A table of one scenario's results and the comparisons that were not won.
-pub(super) fn render(outcome: &Outcome) -> String {
+/// Renders the results of one scenario and the comparisons in which a baseline was better.
+pub(super) fn render(scenario_results: &ScenarioResults) -> String {
     let mut text = String::new();
-    let (deployment, scenario) = (outcome.deployment, outcome.scenario);
-    let requests = outcome.rows.first().map_or(0, |row| row.requests);
+    let (deployment, scenario) = (scenario_results.deployment, scenario_results.scenario);
+    let requests = scenario_results.rows.first().map_or(0, |row| row.requests);
     let _ = writeln!(
         text,
         "\n{deployment:?}, {scenario:?}, seed {}, {} s, {requests} requests",
-        outcome.seed, outcome.duration_s
+        scenario_results.seed, scenario_results.duration_s
     );
-    let Some(first) = outcome.rows.first() else {
+    let Some(first) = scenario_results.rows.first() else {
         return text;
     };
     let _ = write!(text, "{:<22}", "policy");
@@ -42,14 +42,14 @@
         "<480ms",
         "<30ms"
     );
-    for row in &outcome.rows {
+    for row in &scenario_results.rows {
         render_row(&mut text, row);
     }
-    render_verdict(&mut text, &outcome.verdict);
+    render_comparisons(&mut text, &scenario_results.verdict);
     text
 }
 
-fn render_row(text: &mut String, row: &Row) {
+fn render_row(text: &mut String, row: &PolicyRow) {
     let _ = write!(text, "{:<22}", row.policy);
     for class in &row.classes {
         let (first, between) = (&class.first_token, &class.between_tokens);
@@ -80,9 +80,9 @@
     );
 }
 
-fn render_verdict(text: &mut String, verdict: &[Comparison]) {
+fn render_comparisons(text: &mut String, comparisons: &[Comparison]) {
     let count = |standing| {
-        let same = verdict.iter().filter(|c| c.standing == standing);
+        let same = comparisons.iter().filter(|c| c.standing == standing);
         same.count()
     };
     let _ = writeln!(
@@ -92,7 +92,7 @@
         count(Standing::Even),
         count(Standing::Worse)
     );
-    for comparison in verdict.iter().filter(|c| c.standing == Standing::Worse) {
+    for comparison in comparisons.iter().filter(|c| c.standing == Standing::Worse) {
         let _ = writeln!(
             text,
             "  worse than {} on {}: {:.3} against {:.3}",
