--- a/crates/ctl/src/experiment/routing/deployment.rs
+++ b/crates/ctl/src/experiment/routing/deployment.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns the highest rate of requests that one engine can serve with a cold cache, per second.
+    /// Returns the requests per second that one engine can serve at most with a cold cache.
     pub(super) fn engine_requests_per_s(&self) -> f64 {
         let engine = &self.engine;
         let slots = engine.slots as f64;
--- a/crates/ctl/src/experiment/routing/event.rs
+++ b/crates/ctl/src/experiment/routing/event.rs
@@ -12,7 +12,7 @@
     Arrive(usize),
     /// A request reaches its engine.
     Submit { engine: usize, job: JobId },
-    /// An engine ends a step. `registration` distinguishes steps before a crash from those after it.
+    /// An engine ends a step. `registration` tells apart steps before and after a crash.
     StepEnd { engine: usize, registration: u64 },
     /// Tokens arrive at an instance.
     Deliver { instance: usize, tokens: Vec<Token> },
--- a/crates/ctl/src/experiment/routing/instance.rs
+++ b/crates/ctl/src/experiment/routing/instance.rs
@@ -71,7 +71,7 @@
         delays.other_region_us
     }
 
-    /// Records the outcome of an attempt, and ejects the upstream from routing if it fails too often.
+    /// Records the outcome of an attempt, and ejects the upstream if it fails too often.
     pub(super) fn record_outcome(&mut self, upstream: &Upstream, is_error: bool, now: Millis) {
         let ejection = self.outlier_detector.record(&upstream.id, is_error, now);
         if let Some(EjectionChange::Ejected { upstream, .. }) = ejection {
--- a/crates/ctl/src/experiment/routing/measure.rs
+++ b/crates/ctl/src/experiment/routing/measure.rs
@@ -48,8 +48,8 @@
     pub(super) policy: String,
     pub(super) requests: u64,
     pub(super) classes: Vec<ClassRow>,
-    /// Time to the first token in the class of highest priority, 95th percentile, of the account for
-    /// which it is longest.
+    /// Time to the first token in the class of highest priority, 95th percentile, of the account
+    /// for which it is longest.
     pub(super) worst_account_first_token_p95_ms: f64,
     /// Share of the requests answered, of the account for which it is lowest.
     pub(super) worst_account_served_share: f64,
--- a/crates/ctl/src/experiment/routing/workload.rs
+++ b/crates/ctl/src/experiment/routing/workload.rs
@@ -126,8 +126,8 @@
         body
     }
 
-    /// Picks the instance that receives the request: in the region to which the account is bound, or
-    /// in one picked by the regions' current demand.
+    /// Picks the instance that receives the request: in the region to which the account is bound,
+    /// or in one picked by the regions' current demand.
     fn pick_instance(&mut self, account: usize, at_us: u64) -> usize {
         let document = &self.deployment.document;
         let region = match &document.accounts[account].bound_region {
--- a/crates/ctl/src/experiment/routing/world/updates.rs
+++ b/crates/ctl/src/experiment/routing/world/updates.rs
@@ -1,4 +1,4 @@
-//! Updates between instances and engines: load digests and reports, ticks, faults and the live list.
+//! Updates between instances and engines: load digests and reports, faults and the live list.
 
 use super::{
     World, CROSS_REGION_DIGEST_INTERVAL_US, REGION_DIGEST_INTERVAL_US, REPORT_INTERVAL_US,
