--- a/crates/ctl/src/experiment/rollout/mod.rs
+++ b/crates/ctl/src/experiment/rollout/mod.rs
@@ -1,7 +1,8 @@
-//! Measurement of rollouts: bad versions stopped, good ones completed.
+//! `carobctl experiment rollout`: verdicts on bad and good versions, and the traffic that bad ones
+//! receive.
 //!
-//! Six instances in three regions move traffic to a new version while it misbehaves in one of
-//! many ways, or not at all, under ordinary noise, partitions and outages of the store.
+//! Six simulated instances in three regions move traffic to a new version, which is good or has one
+//! of several faults, under ordinary variation of the load, partitions and outages of the store.
 
 mod case;
 mod report;
@@ -9,18 +10,18 @@
 
 use anyhow::Context;
 use case::{Case, CASES};
-use report::Row;
+use report::CaseRow;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
-use world::Outcome;
+use world::RunResult;
 
 /// Arguments of `carobctl experiment rollout`.
 #[derive(Debug, clap::Args)]
 pub struct Args {
-    /// Seed of the first run; each run adds one.
+    /// Seed of the first run of each case; every further run adds one.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Runs of each case.
+    /// Number of runs of each case.
     #[arg(long, default_value_t = 1_000)]
     pub runs: u64,
     /// Print JSON instead of a table.
@@ -29,16 +30,17 @@
     /// Run only the cases whose name contains this text.
     #[arg(long, default_value = "")]
     pub case: String,
-    /// Threads that share the runs.
+    /// Number of threads that execute the runs.
     #[arg(long, default_value_t = 4)]
     pub threads: usize,
 }
 
-/// Runs the measurement and prints its report.
+/// Runs the experiment and prints its report.
 ///
 /// # Errors
 ///
-/// Fails if no case has the given name or the report cannot be encoded.
+/// Fails if no case's name contains the given text, no run is requested, or the report cannot be
+/// encoded.
 pub fn run(args: Args) -> anyhow::Result<()> {
     let cases: Vec<&Case> = CASES
         .iter()
@@ -48,7 +50,7 @@
     anyhow::ensure!(args.runs > 0, "at least one run is needed");
     let mut rows = Vec::new();
     for case in cases {
-        let row = Row::new(case, &outcomes(case, &args));
+        let row = CaseRow::new(case, &run_case(case, &args));
         if !args.json {
             if rows.is_empty() {
                 println!("{}", report::HEADER);
@@ -64,10 +66,10 @@
     Ok(())
 }
 
-fn outcomes(case: &Case, args: &Args) -> Vec<Outcome> {
+fn run_case(case: &Case, args: &Args) -> Vec<RunResult> {
     let runs = usize::try_from(args.runs).unwrap_or(usize::MAX);
     let next = AtomicUsize::new(0);
-    let outcomes = Mutex::new(vec![Outcome::default(); runs]);
+    let results = Mutex::new(vec![RunResult::default(); runs]);
     std::thread::scope(|scope| {
         for _ in 0..args.threads.max(1) {
             scope.spawn(|| loop {
@@ -75,13 +77,13 @@
                 if run >= runs {
                     break;
                 }
-                let outcome = world::run(case, args.seed + run as u64);
-                let mut outcomes = outcomes.lock().expect("no run panics with the lock held");
-                outcomes[run] = outcome;
+                let result = world::run(case, args.seed + run as u64);
+                let mut results = results.lock().expect("no run panics with the lock held");
+                results[run] = result;
             });
         }
     });
-    outcomes
+    results
         .into_inner()
         .expect("no run panics with the lock held")
 }
--- a/crates/ctl/src/experiment/rollout/report.rs
+++ b/crates/ctl/src/experiment/rollout/report.rs
@@ -1,18 +1,18 @@
-//! The report of all runs of one case.
+//! Report of all runs of a case.
 
 use super::case::Case;
-use super::world::Outcome;
+use super::world::RunResult;
 use carobwheel_core::rollout::Verdict;
 use serde::Serialize;
 use std::fmt;
 
-/// Heading of the table.
+/// Header of the table.
 pub(super) const HEADER: &str = "\
 case                                  right  wrong  none  before  after p50/p99/max  share p50/p99/max %  suspicion s p50/p99  verdict s p50/p99";
 
-/// One line of the table.
+/// Results of all runs of a case; a line of the table.
 #[derive(Debug, Serialize)]
-pub(super) struct Row {
+pub(super) struct CaseRow {
     case: &'static str,
     runs: usize,
     right: usize,
@@ -32,33 +32,33 @@
     new_after_stop: u64,
 }
 
-impl Row {
-    pub(super) fn new(case: &Case, outcomes: &[Outcome]) -> Self {
-        let wanted = if case.is_bad() {
+impl CaseRow {
+    pub(super) fn new(case: &Case, results: &[RunResult]) -> Self {
+        let expected = if case.is_bad() {
             Verdict::RolledBack
         } else {
             Verdict::Done
         };
-        let right = outcomes
+        let right = results
             .iter()
-            .filter(|o| o.verdict == Some(wanted))
+            .filter(|r| r.verdict == Some(expected))
             .count();
-        let none = outcomes.iter().filter(|o| o.verdict.is_none()).count();
-        let before = sorted(outcomes.iter().map(|o| o.new_before as f64));
-        let after = sorted(outcomes.iter().map(|o| o.new_after as f64));
-        let share = sorted(outcomes.iter().map(share_pct));
-        let suspicion = sorted(outcomes.iter().filter_map(|o| o.suspicion_ms).map(seconds));
+        let no_verdict = results.iter().filter(|r| r.verdict.is_none()).count();
+        let before = sorted(results.iter().map(|r| r.new_before as f64));
+        let after = sorted(results.iter().map(|r| r.new_after as f64));
+        let share = sorted(results.iter().map(share_pct));
+        let suspicion = sorted(results.iter().filter_map(|r| r.suspicion_ms).map(seconds));
         let verdict = sorted(
-            outcomes
+            results
                 .iter()
-                .map(|o| o.verdict_after_deadline_ms as f64 / 1_000.0),
+                .map(|r| r.verdict_after_deadline_ms as f64 / 1_000.0),
         );
         Self {
             case: case.name,
-            runs: outcomes.len(),
+            runs: results.len(),
             right,
-            wrong: outcomes.len() - right - none,
-            no_verdict: none,
+            wrong: results.len() - right - no_verdict,
+            no_verdict,
             new_before_p50: quantile(&before, 0.5) as u64,
             new_after_p50: quantile(&after, 0.5) as u64,
             new_after_p99: quantile(&after, 0.99) as u64,
@@ -70,12 +70,12 @@
             suspicion_p99_s: quantile(&suspicion, 0.99),
             verdict_after_deadline_p50_s: quantile(&verdict, 0.5),
             verdict_after_deadline_p99_s: quantile(&verdict, 0.99),
-            new_after_stop: outcomes.iter().map(|o| o.new_after_stop).sum(),
+            new_after_stop: results.iter().map(|r| r.new_after_stop).sum(),
         }
     }
 }
 
-impl fmt::Display for Row {
+impl fmt::Display for CaseRow {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let after = format!(
             "{}/{}/{}",
@@ -98,8 +98,8 @@
     }
 }
 
-fn share_pct(outcome: &Outcome) -> f64 {
-    100.0 * outcome.new_after as f64 / outcome.all_after.max(1) as f64
+fn share_pct(result: &RunResult) -> f64 {
+    100.0 * result.new_after as f64 / result.all_after.max(1) as f64
 }
 
 fn seconds(ms: u64) -> f64 {
