--- a/crates/gateway/src/decide/membership.rs
+++ b/crates/gateway/src/decide/membership.rs
@@ -171,7 +171,7 @@
             match event {
                 MemberEvent::ToldToLeave => self.leave(now),
                 MemberEvent::Superseded { .. } => {
-                    log::error!("another process runs under this instance's name; leaving");
+                    log::error!("another process has this instance's name; leaving");
                     self.leave(now);
                 }
                 _ => {}
--- a/crates/gateway/src/decide/slots.rs
+++ b/crates/gateway/src/decide/slots.rs
@@ -78,7 +78,7 @@
         if !self.slots.reconciler.detect_pause(now) {
             return;
         }
-        log::warn!("process was paused; its slots are invalid until the store confirms them");
+        log::warn!("this process was paused: its slots are invalid until the store confirms them");
         self.slots.are_invalidated = true;
         let uncovered = self.charging.limiter.invalidate_slots();
         self.charging.cancel(uncovered);
--- a/crates/gateway/src/platform/document.rs
+++ b/crates/gateway/src/platform/document.rs
@@ -79,7 +79,7 @@
                     report_document(record, decide).await;
                 }
             }
-            WatchUpdate::Lost(err) => log::debug!("watch on the document lost: {err}"),
+            WatchUpdate::Lost(err) => log::debug!("lost the watch on the document: {err}"),
         }
     }
 }
--- a/crates/gateway/src/platform/slots.rs
+++ b/crates/gateway/src/platform/slots.rs
@@ -46,7 +46,7 @@
             WatchUpdate::Reset(snapshot) => {
                 report_records(&snapshot.records, Millis::default(), decide).await;
             }
-            WatchUpdate::Lost(err) => log::debug!("watch on slot ownership lost: {err}"),
+            WatchUpdate::Lost(err) => log::debug!("lost the watch on slot ownership: {err}"),
         }
     }
 }
--- a/crates/gateway/src/relay/body.rs
+++ b/crates/gateway/src/relay/body.rs
@@ -160,7 +160,7 @@
     fn fail(&mut self, err: &ExchangeError) -> io::Result<()> {
         self.source = AnswerSource::Ended;
         self.running.trace().record_refusal(Cause::UpstreamFailed);
-        log::warn!(received_bytes = self.received_bytes; "answer truncated: {err}");
+        log::warn!(received_bytes = self.received_bytes; "answer cut short: {err}");
         if self.framing == Framing::Events {
             self.unread = error_event(&err.to_string());
             return Ok(());
